--- a/agent/callers.go
+++ b/agent/callers.go
@@ -40,7 +40,7 @@
 	e.limits = make(map[string]bool)
 	for _, ws := range x.Config().Workspaces {
 		e.limit(ws.Name, ws.TokensPerSecond, gone)
-		e.limit(quota.RequestsOf(ws.Name), ws.RequestsPerSecond, gone)
+		e.limit(quota.RequestLimitKey(ws.Name), ws.RequestsPerSecond, gone)
 	}
 	for name := range gone {
 		e.quota.Forget(name)
@@ -103,7 +103,7 @@
 func (e *entries) sweep(now time.Time, visible float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.quota.SetVisible(visible)
+	e.quota.SetVisibleFraction(visible)
 	for name, h := range e.heard {
 		if now.Sub(h.at) > entryLife {
 			delete(e.heard, name)
--- a/agent/callers_test.go
+++ b/agent/callers_test.go
@@ -23,7 +23,7 @@
 		home.update(config.NewIndex(config.Config{Workspaces: []config.Workspace{{Name: "w", TokensPerSecond: 100}}}))
 		home.sweep(now, visible)
 		l := quota.New("e1", rand.New(rand.NewPCG(1, 2)))
-		l.SetFleet(1, []string{"a"})
+		l.SetMembers(1, []string{"a"})
 		l.SetLimit("w", quota.Limit{Rate: 100})
 		n := 0
 		for range 3000 { // 30 s, ten times the limit
@@ -32,7 +32,7 @@
 				n++
 			}
 			for _, agent := range l.Due(now) {
-				reply, err := home.hear(&wire.ExchangeRequest{Quota: l.Digest(nil, agent, now)}, now)
+				reply, err := home.hear(&wire.ExchangeRequest{Quota: l.AppendReport(nil, agent, now)}, now)
 				is.NoErr(err)
 				is.NoErr(l.Merge(agent, reply, now))
 			}
--- a/bench/fairness/limits.go
+++ b/bench/fairness/limits.go
@@ -63,7 +63,7 @@
 	}
 	for i := range size.entries {
 		l := quota.New(fmt.Sprint("entry-", i), rand.New(rand.NewPCG(21, uint64(i))))
-		l.SetFleet(size.entries, agents)
+		l.SetMembers(size.entries, agents)
 		f.entries = append(f.entries, l)
 	}
 	for name, limit := range limits {
@@ -79,7 +79,7 @@
 func (f *fleet) exchange() error {
 	for i, l := range f.entries {
 		for _, home := range l.Due(f.now) {
-			report := l.Digest(nil, home, f.now)
+			report := l.AppendReport(nil, home, f.now)
 			reply, err := f.homes[home].Merge(nil, report, f.now)
 			if err != nil {
 				return err
--- a/core/plumbing/story/cause.go
+++ b/core/plumbing/story/cause.go
@@ -149,7 +149,7 @@
 		return Cause{Refused, strings.Trim(reason, `"`)}
 	case strings.Contains(reason, "not sent"):
 		return Cause{ServerLost, strings.Trim(reason, `"`)}
-	case strings.Contains(reason, queue.ReasonDown):
+	case strings.Contains(reason, queue.ReasonAllTargetsRefuse):
 		return Cause{Refused, "all targets have refused for long"}
 	case strings.Contains(reason, permit.ReasonThrottled):
 		return Cause{Refused, "all targets that could take it have asked for less"}
--- a/core/request/admission/admission.go
+++ b/core/request/admission/admission.go
@@ -63,8 +63,8 @@
 	Objective time.Duration
 	// Patience is how long its caller waits for the first event; 0 if that is not known.
 	Patience time.Duration
-	// Returning says that its caller has been refused before.
-	Returning bool
+	// Retry says that its caller has been refused before.
+	Retry bool
 }
 
 // place is the group in which a request runs, and when it was sent there last.
@@ -73,8 +73,8 @@
 	sent  time.Time
 }
 
-// Settled is what became of a request that has waited.
-type Settled struct {
+// Decision is what became of a request that has waited.
+type Decision struct {
 	ID string
 	// Group is the group that takes it, if Refusal is nil. It is empty for engines
 	// whose group is not known.
@@ -91,7 +91,7 @@
 	names []string
 	// places are where the requests run, by ID.
 	places  map[string]place
-	settled []Settled
+	settled []Decision
 	shed    []queue.Shed
 	// emptyAt is when nobody waited last.
 	emptyAt time.Time
@@ -110,14 +110,14 @@
 	}
 }
 
-// Starting tells that this entry has just started and knows nothing of the groups that it
+// ColdStart tells that this entry has just started and knows nothing of the groups that it
 // meets. Until the load of such a group is told, or a target there takes a request, it gets
 // one request at a time.
 //
 // The load pattern it answers is a loss of power of entries and engines together: the
 // entries are back first, and what each sends to find that out has to be sent again later,
 // out of the few retries that all of them have.
-func (p *Pool) Starting() { p.unproven = true }
+func (p *Pool) ColdStart() { p.unproven = true }
 
 // SetGroups takes how many slots the engines of each group have together. A group that
 // is missing has none any more; it is forgotten when the last request there has ended.
@@ -148,26 +148,26 @@
 	}
 }
 
-// Tell takes the load of a group as its steward tells it.
-func (p *Pool) Tell(l Load, now time.Time) {
+// ReportLoad takes the load of a group as its steward tells it.
+func (p *Pool) ReportLoad(l Load, now time.Time) {
 	if g := p.groups[l.Group]; g != nil {
 		g.tell(l, p.queue.Load().Items > 0, now)
 		p.pump(now)
 	}
 }
 
-// Enter takes a request in, or refuses it at once: then it has not run. What becomes
+// Enqueue takes a request in, or refuses it at once: then it has not run. What becomes
 // of it otherwise comes out of Settled.
-func (p *Pool) Enter(r Request, now time.Time) *outcome.Error {
-	if p.Lasting(now) {
-		return &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonDown}
+func (p *Pool) Enqueue(r Request, now time.Time) *outcome.Error {
+	if p.FailFast(now) {
+		return &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonAllTargetsRefuse}
 	}
 	p.judge(now)
 	item := queue.Item{
 		ID: r.ID, Workspace: r.Workspace, Priority: priorityOf(r), Cost: r.Cost, Deadline: p.latestStart(r, now),
 		// How long a wait will be is not known while nothing is served, and who comes back
 		// has nothing to gain by a refusal.
-		Patient: r.Returning || p.Down(now),
+		Patient: r.Retry || p.Down(now),
 	}
 	if refusal := p.queue.Enqueue(item, now); refusal != nil {
 		return refusal
@@ -179,7 +179,7 @@
 // priorityOf puts callers that come back before the others: they are late
 // already, and a second refusal is mostly the last.
 func priorityOf(r Request) queue.Priority {
-	if r.Returning {
+	if r.Retry {
 		return queue.Urgent
 	}
 	return queue.Normal
@@ -193,14 +193,16 @@
 
 func (p *Pool) wait(r Request, now time.Time) queue.Wait {
 	return queue.Wait{
-		Objective: r.Objective, Service: p.service(), Patience: r.Patience, Line: p.line(now),
-		Returning: r.Returning, Closed: p.Down(now),
+		Objective: r.Objective, Service: p.service(), Patience: r.Patience, BacklogAge: p.line(now),
+		Retry: r.Retry, Closed: p.Down(now),
 	}
 }
 
-// LongestAgain returns how long after its arrival a request may start that a target has
+// MaxRetryWait returns how long after its arrival a request may start that a target has
 // refused.
-func (p *Pool) LongestAgain(r Request, now time.Time) time.Duration { return p.wait(r, now).Last() }
+func (p *Pool) MaxRetryWait(r Request, now time.Time) time.Duration {
+	return p.wait(r, now).CallerLimit()
+}
 
 // service returns how long the fastest group that takes requests needs to the first
 // event.
@@ -208,12 +210,12 @@
 	least := time.Duration(0)
 	for _, name := range p.names {
 		g := p.groups[name]
-		if usual := g.firstEvent.Usual(); !g.gate.Closed() && (least == 0 || usual < least) {
+		if usual := g.firstEvent.P90(); !g.gate.Closed() && (least == 0 || usual < least) {
 			least = usual
 		}
 	}
 	if least == 0 {
-		return (&queue.ServiceTime{}).Usual()
+		return (&queue.ServiceTime{}).P90()
 	}
 	return least
 }
@@ -225,8 +227,8 @@
 	return waits
 }
 
-// Leave ends a request that has run, with the tokens that it cost.
-func (p *Pool) Leave(id string, cost int64, now time.Time) {
+// Done ends a request that has run, with the tokens that it cost.
+func (p *Pool) Done(id string, cost int64, now time.Time) {
 	p.queue.Done(id, cost, now)
 	if g := p.places[id].group; g != nil {
 		delete(p.places, id)
--- a/core/request/admission/admission_test.go
+++ b/core/request/admission/admission_test.go
@@ -27,7 +27,7 @@
 	t.Helper()
 	for i := range n {
 		// A refusal shows in what is counted.
-		_ = p.Enter(request(now.Sub(start).String()+"-"+strconv.Itoa(i)), now)
+		_ = p.Enqueue(request(now.Sub(start).String()+"-"+strconv.Itoa(i)), now)
 	}
 	return placed(p)
 }
@@ -35,7 +35,7 @@
 // placed returns the requests that have got a place since the last call, by group.
 func placed(p *Pool) map[string][]string {
 	out := map[string][]string{}
-	for _, s := range p.Settled() {
+	for _, s := range p.Decisions() {
 		if s.Refusal == nil {
 			out[s.Group] = append(out[s.Group], s.ID)
 		}
@@ -48,19 +48,19 @@
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"": 1}, start)
-	is.Equal(p.Enter(request("a"), start), nil)
-	is.Equal(p.Enter(Request{ID: "b", Cost: cost, Objective: objective, Returning: true}, start), nil) // it waits
+	is.Equal(p.Enqueue(request("a"), start), nil)
+	is.Equal(p.Enqueue(Request{ID: "b", Cost: cost, Objective: objective, Retry: true}, start), nil) // it waits
 	now := start.Add(1100 * time.Millisecond)
 	before := p.latestStart(request("c"), now)
 	for range 100 {
-		p.Began("a", 300*time.Millisecond)
+		p.ObserveFirstEvent("a", 300*time.Millisecond)
 	}
 	after := p.latestStart(request("c"), now)
 	is.True(before.Sub(after) > 100*time.Millisecond)
 	for range 1000 {
-		p.Began("a", time.Second)
+		p.ObserveFirstEvent("a", time.Second)
 	}
-	is.Equal(p.latestStart(request("c"), now), now.Add(queue.Wait{Line: time.Minute}.Longest()))
+	is.Equal(p.latestStart(request("c"), now), now.Add(queue.Wait{BacklogAge: time.Minute}.Longest()))
 }
 
 // Guards against taking the load of one group for that of all, which sends callers away while
@@ -69,9 +69,9 @@
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100, "g2": 100}, start)
-	p.Tell(Load{Group: "g0", Open: true, Running: 100, Queued: 20}, start)
-	p.Tell(Load{Group: "g1", Open: true, Running: 40}, start)
-	p.Tell(Load{Group: "g2", Open: true, Running: 40}, start)
+	p.ReportLoad(Load{Group: "g0", Complete: true, Running: 100, Queued: 20}, start)
+	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 40}, start)
+	p.ReportLoad(Load{Group: "g2", Complete: true, Running: 40}, start)
 	got := fill(t, p, 200, start)
 	is.Equal(len(got["g0"]), 1) // a full group lets each entry keep one
 	is.True(len(got["g1"]) >= 15 && len(got["g1"]) <= 60)
@@ -84,8 +84,8 @@
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
 	tell := func(open bool, now time.Time) {
-		p.Tell(Load{Group: "g0", Open: open, Running: 0}, now)
-		p.Tell(Load{Group: "g1", Open: true, Running: 30}, now)
+		p.ReportLoad(Load{Group: "g0", Complete: open, Running: 0}, now)
+		p.ReportLoad(Load{Group: "g1", Complete: true, Running: 30}, now)
 	}
 	tell(true, start)
 	first := fill(t, p, 10, start)
@@ -101,7 +101,7 @@
 		is.Equal(len(got["g1"]), 2)
 		is.True(!p.Closed())
 		for _, id := range got["g1"] {
-			p.Leave(id, cost, now)
+			p.Done(id, cost, now)
 		}
 	}
 	now := start.Add(5 * time.Second)
@@ -120,8 +120,8 @@
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
-	p.Tell(Load{Group: "g0", Open: false, Running: 0}, start)
-	p.Tell(Load{Group: "g1", Open: true, Running: 60}, start)
+	p.ReportLoad(Load{Group: "g0", Complete: false, Running: 0}, start)
+	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 60}, start)
 	got := fill(t, p, 10, start)
 	is.Equal(len(got["g1"]), 10)
 	// A word that is old says nothing any more.
@@ -135,12 +135,12 @@
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
-	p.Tell(Load{Group: "g0", Open: true, Running: 10}, start)
-	p.Tell(Load{Group: "g1", Open: true, Running: 60}, start)
+	p.ReportLoad(Load{Group: "g0", Complete: true, Running: 10}, start)
+	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 60}, start)
 	got := fill(t, p, 10, start)
 	is.True(len(got["g0"]) > 0)
 	id := got["g0"][0]
-	p.Silent("g0", start.Add(time.Second))
+	p.MarkStalled("g0", start.Add(time.Second))
 	now := start.Add(100 * time.Millisecond)
 	is.Equal(len(fill(t, p, 5, now)["g0"]), 0)
 	group, moved := p.Move(id, now)
@@ -171,7 +171,7 @@
 	is.Equal(len(fill(t, p, 3, start.Add(10*time.Millisecond))), 0)
 	is.True(p.Accepted(got["g1"][0], start.Add(20*time.Millisecond)))
 	is.Equal(len(placed(p)["g1"]), 3)
-	wait, down := p.Comeback(8*time.Second, start.Add(20*time.Millisecond))
+	wait, down := p.RetryAfter(8*time.Second, start.Add(20*time.Millisecond))
 	is.True(!down && wait == 0)
 }
 
@@ -181,8 +181,8 @@
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"slow": 10000, "fast": 10000}, start)
-	p.Tell(Load{Group: "slow", Open: true, Running: 4000, Pass: 120 * time.Millisecond}, start)
-	p.Tell(Load{Group: "fast", Open: true, Running: 4000, Pass: 60 * time.Millisecond}, start)
+	p.ReportLoad(Load{Group: "slow", Complete: true, Running: 4000, PassTime: 120 * time.Millisecond}, start)
+	p.ReportLoad(Load{Group: "fast", Complete: true, Running: 4000, PassTime: 60 * time.Millisecond}, start)
 	got := fill(t, p, 200, start)
 	for i := range 4 {
 		for group, ids := range fill(t, p, 200, start.Add(time.Duration(i+1)*time.Millisecond)) {
@@ -203,7 +203,7 @@
 	is.Equal(len(p.Groups(start)), 2)
 	is.Equal(len(fill(t, p, 2, start.Add(time.Millisecond))["new"]), 2)
 	for _, id := range got["old"] {
-		p.Leave(id, cost, start)
+		p.Done(id, cost, start)
 	}
 	is.Equal(len(p.Groups(start)), 1)
 	is.Equal(p.Load().Running, 2)
--- a/core/request/admission/attempt.go
+++ b/core/request/admission/attempt.go
@@ -38,16 +38,16 @@
 	return opened
 }
 
-// Began tells how long after its start the request got its first event.
-func (p *Pool) Began(id string, d time.Duration) {
+// ObserveFirstEvent tells how long after its start the request got its first event.
+func (p *Pool) ObserveFirstEvent(id string, d time.Duration) {
 	if g := p.places[id].group; g != nil {
 		g.firstEvent.Observe(d)
 	}
 }
 
-// Silent tells that nothing has come from a group for a while although answers are in
+// MarkStalled tells that nothing has come from a group for a while although answers are in
 // progress there: until the given time it is taken to stand still.
-func (p *Pool) Silent(group string, until time.Time) {
+func (p *Pool) MarkStalled(group string, until time.Time) {
 	if g := p.groups[group]; g != nil {
 		g.silentUntil = until
 	}
@@ -76,8 +76,8 @@
 	return to.name, true
 }
 
-// MayPass reports whether the request, which was refused, may be tried again now.
-func (p *Pool) MayPass(id string, now time.Time) bool {
+// MayRetry reports whether the request, which was refused, may be tried again now.
+func (p *Pool) MayRetry(id string, now time.Time) bool {
 	g := p.places[id].group
 	if g == nil {
 		return true
@@ -92,9 +92,9 @@
 	return true
 }
 
-// Lasting reports whether all groups have refused for so long that nobody should wait.
-func (p *Pool) Lasting(now time.Time) bool {
-	return p.every(func(g *group) bool { return g.gate.Lasting(now) })
+// FailFast reports whether all groups have refused for so long that nobody should wait.
+func (p *Pool) FailFast(now time.Time) bool {
+	return p.every(func(g *group) bool { return g.gate.FailFast(now) })
 }
 
 // Closed reports whether all groups refuse.
@@ -122,11 +122,11 @@
 	return some
 }
 
-// Comeback returns when a caller that is refused may come back, of the time that it has
+// RetryAfter returns when a caller that is refused may come back, of the time that it has
 // left, and false unless all groups are down or have been a moment ago. The queue's own
 // answer follows from its rate, which says nothing then: callers would be back while the
 // service is still down, or all together when it returns, and lost.
-func (p *Pool) Comeback(left time.Duration, now time.Time) (time.Duration, bool) {
+func (p *Pool) RetryAfter(left time.Duration, now time.Time) (time.Duration, bool) {
 	if !p.recovering && !p.Down(now) {
 		return 0, false
 	}
--- a/core/request/admission/choose.go
+++ b/core/request/admission/choose.go
@@ -36,7 +36,7 @@
 func (p *Pool) probe(now time.Time) *group {
 	for _, name := range p.names {
 		g := p.groups[name]
-		if g.gate.Due(now) && g.own < g.allowed && g.fresh(now) && g.last.Open {
+		if g.gate.ProbeDue(now) && g.own < g.allowed && g.fresh(now) && g.last.Complete {
 			return g
 		}
 	}
@@ -86,18 +86,18 @@
 		return slots * unknownFree
 	}
 	free := max(slots-float64(g.last.Running+g.last.Queued+g.since), slots*leastFree)
-	if g.last.Pass <= 0 || usual <= 0 {
+	if g.last.PassTime <= 0 || usual <= 0 {
 		return free
 	}
-	return free * usual.Seconds() / g.last.Pass.Seconds()
+	return free * usual.Seconds() / g.last.PassTime.Seconds()
 }
 
 // usualPass returns the mean length of the passes of the groups that tell it, or 0.
 func (p *Pool) usualPass(now time.Time) time.Duration {
 	sum, n := time.Duration(0), 0
 	for _, g := range p.groups {
-		if g.fresh(now) && g.last.Pass > 0 {
-			sum += g.last.Pass
+		if g.fresh(now) && g.last.PassTime > 0 {
+			sum += g.last.PassTime
 			n++
 		}
 	}
--- a/core/request/admission/group.go
+++ b/core/request/admission/group.go
@@ -13,12 +13,12 @@
 // Load is the load of a group as its steward tells it.
 type Load struct {
 	Group string
-	// Open is false while the group has lost a rank.
-	Open bool
+	// Complete is false while the group has lost a rank.
+	Complete bool
 	// Running and Queued are the requests at all its ranks, from all entries.
 	Running, Queued int
-	// Pass is how long its passes take; 0 if that is not known.
-	Pass time.Duration
+	// PassTime is how long its passes take; 0 if that is not known.
+	PassTime time.Duration
 	// Entries is how many entries send to it; 0 if that is not known.
 	Entries int
 }
@@ -70,15 +70,15 @@
 // requests wait at this entry.
 func (g *group) tell(l Load, waiting bool, now time.Time) {
 	switch {
-	case l.Open && g.lost(now):
-		g.gate.RetryAt(now)
-	case !l.Open && (g.last.Open || !g.fresh(now)):
+	case l.Complete && g.lost(now):
+		g.gate.SetNextProbe(now)
+	case !l.Complete && (g.last.Complete || !g.fresh(now)):
 		g.lostAt = now
 	}
 	g.last, g.toldAt, g.since = l, now, 0
 	g.unproven = false
 	if g.lost(now) {
-		g.allowed = queue.Reopened(g.slots, l.Entries)
+		g.allowed = queue.RecoveryLimit(g.slots, l.Entries)
 		return
 	}
 	g.allow(waiting)
@@ -90,24 +90,24 @@
 		g.allowed = 0
 		return
 	}
-	e := queue.Engines{Slots: g.slots, Running: g.last.Running, Queued: g.last.Queued, Entries: g.last.Entries, Waiting: waiting}
-	g.allowed = queue.Allowed(e, g.own)
+	e := queue.EngineLoad{Slots: g.slots, Running: g.last.Running, Queued: g.last.Queued, Entries: g.last.Entries, Waiting: waiting}
+	g.allowed = queue.EntryLimit(e, g.own)
 }
 
 // age sets the limit without a load when nothing has been told for a while.
 func (g *group) age(now time.Time) {
 	switch {
 	case g.unproven:
-		g.allowed = queue.Reopened(g.slots, g.last.Entries)
+		g.allowed = queue.RecoveryLimit(g.slots, g.last.Entries)
 	case !g.fresh(now):
-		g.allowed = queue.Untold(g.slots, g.last.Entries)
+		g.allowed = queue.StaleLimit(g.slots, g.last.Entries)
 	}
 }
 
 // reopen limits the requests to a group that has just come back, until its load is told.
 func (g *group) reopen(now time.Time) {
-	g.allowed = queue.Reopened(g.slots, g.last.Entries)
-	g.last, g.toldAt, g.since = Load{Group: g.name, Open: true, Running: g.own, Entries: g.last.Entries}, now, 0
+	g.allowed = queue.RecoveryLimit(g.slots, g.last.Entries)
+	g.last, g.toldAt, g.since = Load{Group: g.name, Complete: true, Running: g.own, Entries: g.last.Entries}, now, 0
 }
 
 // start counts a request that goes there.
@@ -131,23 +131,23 @@
 // mayProbe reports whether a group that does not work may get a request all the same, so
 // that somebody finds out when it is back.
 func (g *group) mayProbe(now time.Time) bool {
-	return g.slots > 0 && !now.Before(g.probeAt) && (!g.gate.Closed() || g.gate.Due(now))
+	return g.slots > 0 && !now.Before(g.probeAt) && (!g.gate.Closed() || g.gate.ProbeDue(now))
 }
 
 // probed counts a request to a group that does not work.
 func (g *group) probed(now time.Time) {
-	g.gate.Pass(now)
+	g.gate.Allow(now)
 	g.probeAt = now.Add(probeEvery)
 	if g.lost(now) {
 		g.probeAt = now.Add(lostProbe)
-		g.gate.RetryAt(g.probeAt)
+		g.gate.SetNextProbe(g.probeAt)
 	}
 }
 
 // lost reports whether the steward tells that the group has lost a rank, and no target there
 // has shown that it is wrong: it may just be unable to read one.
 func (g *group) lost(now time.Time) bool {
-	return g.fresh(now) && !g.last.Open && now.Sub(g.provedAt) > provedFor
+	return g.fresh(now) && !g.last.Complete && now.Sub(g.provedAt) > provedFor
 }
 
 // provedFor is how long a request that was taken goes before the word of the steward. All
@@ -156,7 +156,7 @@
 
 // accepted takes the word that a target has taken a request that was sent at a time.
 func (g *group) accepted(sent, now time.Time) {
-	if g.fresh(now) && !g.last.Open && !sent.Before(g.lostAt) {
+	if g.fresh(now) && !g.last.Complete && !sent.Before(g.lostAt) {
 		g.provedAt = now
 	}
 }
--- a/core/request/admission/outage_test.go
+++ b/core/request/admission/outage_test.go
@@ -15,7 +15,7 @@
 func TestStartingEntryTriesOneAtATime(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
-	p.Starting()
+	p.ColdStart()
 	p.SetGroups(map[string]int{"g0": 200, "g1": 200}, start)
 	tried := 0
 	for at := time.Duration(0); at < time.Second; at += 10 * time.Millisecond {
@@ -23,12 +23,12 @@
 			tried += len(ids)
 			is.True(p.Down(start.Add(at)))
 			p.Refused(ids[0], group+"-x", start.Add(at))
-			p.Leave(ids[0], cost, start.Add(at))
+			p.Done(ids[0], cost, start.Add(at))
 		}
 	}
 	is.True(tried >= 2 && tried <= 2*int(time.Second/probeEvery+1))
 	now := start.Add(time.Second)
-	p.Tell(Load{Group: "g1", Open: true, Running: 5, Entries: 12}, now)
+	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 5, Entries: 12}, now)
 	is.True(!p.Down(now))
 	is.True(len(placed(p)["g1"]) > 0)
 }
@@ -38,7 +38,7 @@
 func TestAcceptedRequestProvesItsGroup(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
-	p.Starting()
+	p.ColdStart()
 	p.SetGroups(map[string]int{"g0": 200}, start)
 	got := fill(t, p, 5, start)
 	is.Equal(len(got["g0"]), 1)
@@ -55,17 +55,17 @@
 	tried := 0
 	for i := range 15 {
 		now := start.Add(time.Duration(i) * 200 * time.Millisecond)
-		p.Tell(Load{Group: "g0", Open: false}, now)
+		p.ReportLoad(Load{Group: "g0", Complete: false}, now)
 		got := fill(t, p, 1, now)["g0"]
 		tried += len(got)
 		for _, id := range got {
 			p.Refused(id, fmt.Sprint("x", i%3), now)
-			p.Leave(id, cost, now)
+			p.Done(id, cost, now)
 		}
 	}
 	is.True(tried <= int(3*time.Second/lostProbe)+1)
 	now := start.Add(3 * time.Second)
-	p.Tell(Load{Group: "g0", Open: true}, now)
+	p.ReportLoad(Load{Group: "g0", Complete: true}, now)
 	is.True(len(placed(p)["g0"]) >= 1)
 }
 
@@ -82,14 +82,14 @@
 func (r *recovery) ask(returning bool) {
 	r.next++
 	id := fmt.Sprintf("%t-%d", returning, r.next)
-	q := Request{ID: id, Workspace: fmt.Sprint("w", r.next%8), Cost: cost, Objective: objective, Patience: 2 * time.Second, Returning: returning}
-	if refusal := r.pool.Enter(q, r.now); refusal != nil && returning {
+	q := Request{ID: id, Workspace: fmt.Sprint("w", r.next%8), Cost: cost, Objective: objective, Patience: 2 * time.Second, Retry: returning}
+	if refusal := r.pool.Enqueue(q, r.now); refusal != nil && returning {
 		r.lost++
 	}
 }
 
 func (r *recovery) settle(running map[string]time.Time) {
-	for _, s := range r.pool.Settled() {
+	for _, s := range r.pool.Decisions() {
 		returning := s.ID[0] == 't'
 		switch {
 		case s.Refusal == nil:
@@ -117,11 +117,11 @@
 		for id, end := range running {
 			if !r.now.Before(end) {
 				delete(running, id)
-				r.pool.Leave(id, cost, r.now)
+				r.pool.Done(id, cost, r.now)
 			}
 		}
 		if at%(200*time.Millisecond) == 0 {
-			r.pool.Tell(Load{Group: "g0", Open: at >= open, Running: len(running), Entries: 1}, r.now)
+			r.pool.ReportLoad(Load{Group: "g0", Complete: at >= open, Running: len(running), Entries: 1}, r.now)
 		}
 		r.ask(false)
 		for range 4 {
@@ -142,14 +142,14 @@
 	is := is.New(t)
 	const slots, entries = 240, 12
 	for _, running := range []int{0, 6, 60, 200} {
-		e := queue.Engines{Slots: slots, Running: running, Entries: entries, Waiting: true}
+		e := queue.EngineLoad{Slots: slots, Running: running, Entries: entries, Waiting: true}
 		sum := 0
 		for i := range entries {
 			own := running / entries
 			if i < running%entries {
 				own++
 			}
-			sum += queue.Allowed(e, own) - own
+			sum += queue.EntryLimit(e, own) - own
 		}
 		is.True(sum <= slots-running+entries)
 		is.True(sum >= (slots-running)*9/10)
@@ -161,20 +161,20 @@
 func TestLostGroupsRefuseAtOnceAfterAWhile(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
-	p.Starting()
+	p.ColdStart()
 	p.SetGroups(map[string]int{"g0": 200}, start)
 	waited := 0
 	for i := range 200 {
 		now := start.Add(time.Duration(i) * 100 * time.Millisecond)
 		if i%2 == 0 {
-			p.Tell(Load{Group: "g0", Open: false}, now)
+			p.ReportLoad(Load{Group: "g0", Complete: false}, now)
 		}
-		refusal := p.Enter(request(fmt.Sprint("r", i)), now)
+		refusal := p.Enqueue(request(fmt.Sprint("r", i)), now)
 		p.Tick(now)
-		for _, s := range p.Settled() {
+		for _, s := range p.Decisions() {
 			if s.Refusal == nil {
 				p.Refused(s.ID, fmt.Sprint("x", i%3), now)
-				p.Leave(s.ID, cost, now)
+				p.Done(s.ID, cost, now)
 			}
 		}
 		if now.Sub(start) > 12*time.Second && refusal == nil {
@@ -196,21 +196,21 @@
 	for i := range 300 {
 		now := start.Add(time.Duration(i) * 10 * time.Millisecond)
 		if i%20 == 0 {
-			p.Tell(Load{Group: "g0", Open: i < 20, Running: 10}, now)
+			p.ReportLoad(Load{Group: "g0", Complete: i < 20, Running: 10}, now)
 		}
 		for id, at := range begun {
 			if now.Sub(at) >= first {
 				p.Accepted(id, now)
-				p.Leave(id, cost, now)
+				p.Done(id, cost, now)
 				delete(begun, id)
 				served++
 			}
 		}
-		if refusal := p.Enter(request(fmt.Sprint("r", i)), now); refusal != nil {
+		if refusal := p.Enqueue(request(fmt.Sprint("r", i)), now); refusal != nil {
 			refused++
 		}
 		p.Tick(now)
-		for _, s := range p.Settled() {
+		for _, s := range p.Decisions() {
 			if s.Refusal != nil {
 				refused++
 				continue
--- a/core/request/admission/pump.go
+++ b/core/request/admission/pump.go
@@ -15,9 +15,9 @@
 	p.pump(now)
 }
 
-// Settled returns what has become of requests since the last call. It is valid until the
+// Decisions returns what has become of requests since the last call. It is valid until the
 // next one.
-func (p *Pool) Settled() []Settled {
+func (p *Pool) Decisions() []Decision {
 	out := p.settled
 	p.settled = p.settled[len(p.settled):]
 	return out
@@ -41,13 +41,13 @@
 		}
 		g.start(now)
 		p.places[item.ID] = place{g, now}
-		p.settled = append(p.settled, Settled{ID: item.ID, Group: g.name})
+		p.settled = append(p.settled, Decision{ID: item.ID, Group: g.name})
 	}
 	p.limit()
 	p.judge(now)
 	p.shed = p.queue.TakeShed(p.shed[:0])
 	for _, s := range p.shed {
-		p.settled = append(p.settled, Settled{ID: s.ID, Refusal: s.Refusal})
+		p.settled = append(p.settled, Decision{ID: s.ID, Refusal: s.Refusal})
 	}
 	// A line that has ended is noticed also while nobody comes.
 	p.line(now)
@@ -99,8 +99,8 @@
 	Group string
 	// Running is how many requests of this entry run there, Limit how many may.
 	Running, Limit int
-	// Works is false while the group refuses, stands still or has lost a rank.
-	Works bool
+	// Available is false while the group refuses, stands still or has lost a rank.
+	Available bool
 }
 
 // Groups returns what this entry does at each group, by name.
@@ -108,7 +108,7 @@
 	out := make([]GroupLoad, 0, len(p.names))
 	for _, name := range p.names {
 		g := p.groups[name]
-		out = append(out, GroupLoad{Group: name, Running: g.own, Limit: g.allowed, Works: g.works(now)})
+		out = append(out, GroupLoad{Group: name, Running: g.own, Limit: g.allowed, Available: g.works(now)})
 	}
 	return out
 }
--- a/core/request/queue/admit.go
+++ b/core/request/queue/admit.go
@@ -9,14 +9,14 @@
 
 // The reasons of refusals; outcome.Error carries them.
 const (
-	ReasonFull      = "queue-full"
-	ReasonShare     = "workspace-queue-full"
-	ReasonDeadline  = "deadline-before-start"
-	ReasonExpired   = "deadline-passed"
-	ReasonDisplaced = "displaced"
-	ReasonDuplicate = "request-already-queued"
-	// ReasonDown says that all targets have refused for long.
-	ReasonDown = "all-targets-refuse"
+	ReasonFull          = "queue-full"
+	ReasonWorkspaceFull = "workspace-queue-full"
+	ReasonDeadline      = "deadline-before-start"
+	ReasonExpired       = "deadline-passed"
+	ReasonDisplaced     = "displaced"
+	ReasonDuplicate     = "request-already-queued"
+	// ReasonAllTargetsRefuse says that all targets have refused for long.
+	ReasonAllTargetsRefuse = "all-targets-refuse"
 )
 
 const (
@@ -168,7 +168,7 @@
 	if f.items < q.limits.WorkspaceItems && f.queued+item.Cost <= q.limits.WorkspaceTokens {
 		return nil
 	}
-	return q.refuse(ReasonShare, q.meter.seconds(f.backlog()*c.weight))
+	return q.refuse(ReasonWorkspaceFull, q.meter.seconds(f.backlog()*c.weight))
 }
 
 // full reports whether the classes down to level have no room for the item.
--- a/core/request/queue/gate.go
+++ b/core/request/queue/gate.go
@@ -65,21 +65,21 @@
 // Closed reports whether requests are kept waiting.
 func (g *Gate) Closed() bool { return g.closed }
 
-// Lasting reports whether a request that comes now should be refused at once:
+// FailFast reports whether a request that comes now should be refused at once:
 // the gate has been closed for long, and it is not time for a probe.
-func (g *Gate) Lasting(now time.Time) bool {
+func (g *Gate) FailFast(now time.Time) bool {
 	return g.closed && now.Sub(g.since) >= gateLasting && now.Before(g.next)
 }
 
-// Due reports whether a closed gate would let a request through now.
-func (g *Gate) Due(now time.Time) bool { return g.closed && !now.Before(g.next) }
+// ProbeDue reports whether a closed gate would let a request through now.
+func (g *Gate) ProbeDue(now time.Time) bool { return g.closed && !now.Before(g.next) }
 
-// RetryAt sets when the next request is let through, since something else tells whether the
+// SetNextProbe sets when the next request is let through, since something else tells whether the
 // targets may take requests again.
-func (g *Gate) RetryAt(t time.Time) { g.next = t }
+func (g *Gate) SetNextProbe(t time.Time) { g.next = t }
 
-// Pass reports whether a request may go now.
-func (g *Gate) Pass(now time.Time) bool {
+// Allow reports whether a request may go now.
+func (g *Gate) Allow(now time.Time) bool {
 	if !g.closed {
 		return true
 	}
--- a/core/request/queue/gate_test.go
+++ b/core/request/queue/gate_test.go
@@ -11,21 +11,21 @@
 func TestGateOfAServiceThatStartsAgain(t *testing.T) {
 	is := is.New(t)
 	var g Gate
-	is.True(g.Pass(start))
+	is.True(g.Allow(start))
 	is.True(!g.Refused("a", start))
 	is.True(!g.Refused("b", start))
 	is.True(g.Refused("a", start))
-	is.True(!g.Pass(start.Add(gateProbe - 1)))
+	is.True(!g.Allow(start.Add(gateProbe - 1)))
 	passed := 0
 	for at := start; at.Before(start.Add(time.Second)); at = at.Add(10 * time.Millisecond) {
-		if g.Pass(at) {
+		if g.Allow(at) {
 			passed++
 			is.True(!g.Refused("c", at))
 		}
 	}
 	is.Equal(passed, int(time.Second/gateProbe))
 	is.True(g.Accepted())
-	is.True(g.Pass(start))
+	is.True(g.Allow(start))
 	is.True(!g.Accepted())
 }
 
@@ -36,7 +36,7 @@
 	for range 10 {
 		is.True(!g.Refused("leaving", start))
 	}
-	is.True(g.Pass(start))
+	is.True(g.Allow(start))
 	is.True(!g.Accepted())
 	is.True(!g.Refused("x", start))
 	is.True(!g.Refused("y", start))
--- a/core/request/queue/limiter.go
+++ b/core/request/queue/limiter.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Engines is the load of the engines of one group, as its steward tells it.
-type Engines struct {
+// EngineLoad is the load of the engines of one group, as its steward tells it.
+type EngineLoad struct {
 	// Slots is how many requests the engines can run at once, Running how many
 	// they do, and Queued how many wait there.
 	Slots, Running, Queued int
@@ -35,7 +35,7 @@
 	return math.Min(leastShare, overcommit/float64(entries))
 }
 
-// Allowed returns how many requests one entry may have at the engines, of which
+// EntryLimit returns how many requests one entry may have at the engines, of which
 // it has own there now: those and its part of the free slots, or its part of all
 // slots if more wait there already.
 //
@@ -47,7 +47,7 @@
 //
 // Engines are not held to fewer requests than they have slots: a full batch makes
 // more tokens a second.
-func Allowed(e Engines, own int) int {
+func EntryLimit(e EngineLoad, own int) int {
 	total := float64(max(e.Running+e.Queued, own))
 	slots := float64(e.Slots)
 	if total >= slots {
@@ -61,7 +61,7 @@
 // While requests wait, they wait at all entries, and the parts of all must not be more than
 // there is: each takes the part that its requests have of all, which says little where few
 // run, as at engines that have just come back, and counts together with an even part there.
-func (e Engines) share(own, total float64) float64 {
+func (e EngineLoad) share(own, total float64) float64 {
 	part := leastPart(e.Entries, e.Waiting)
 	if e.Waiting {
 		even := e.Slots / evenPart
@@ -77,9 +77,9 @@
 // requests of an entry are of all to count as much as an even part.
 const evenPart = 8
 
-// Reopened returns how many requests each of so many entries may have at engines that have
+// RecoveryLimit returns how many requests each of so many entries may have at engines that have
 // just come back, until their load is told.
-func Reopened(slots, entries int) int {
+func RecoveryLimit(slots, entries int) int {
 	part := leastShare * reopenedPart
 	if entries > 0 {
 		part = math.Min(part, 1/float64(entries))
@@ -87,10 +87,10 @@
 	return max(1, int(part*float64(slots)))
 }
 
-// Untold returns how many requests an entry may have at engines whose load has not been
+// StaleLimit returns how many requests an entry may have at engines whose load has not been
 // told for a while. Where many entries send to them, each unlimited, all that waits while a
 // steward is replaced would wait at the engines.
-func Untold(slots, entries int) int {
+func StaleLimit(slots, entries int) int {
 	if entries <= 0 {
 		return slots
 	}
--- a/core/request/queue/overload_test.go
+++ b/core/request/queue/overload_test.go
@@ -110,7 +110,7 @@
 
 // inTime is how long requests may wait if they are to be on time.
 func inTime(returning bool, line time.Duration) time.Duration {
-	return Wait{Objective: replayObjective, Service: replayService, Line: line, Returning: returning}.Longest()
+	return Wait{Objective: replayObjective, Service: replayService, BacklogAge: line, Retry: returning}.Longest()
 }
 
 // Guards against an overload in which hardly anybody is on time: all stand in one line, or
@@ -124,7 +124,7 @@
 		return onTime, o.served
 	}
 	told, servedTold := play("told", 0.3, inTime)
-	line, servedLine := play("one line", 0.3, func(bool, time.Duration) time.Duration { return Wait{Service: replayService}.Last() })
+	line, servedLine := play("one line", 0.3, func(bool, time.Duration) time.Duration { return Wait{Service: replayService}.CallerLimit() })
 	first, servedFirst := play("who comes back first", 0.9, inTime)
 	is.True(told > 0.55)
 	is.True(line < 0.25)
@@ -149,14 +149,14 @@
 		w    Wait
 		want time.Duration
 	}{
-		{"a moment", Wait{Objective: 500 * time.Millisecond, Service: service, Line: shortLine}, last},
-		{"in time", Wait{Objective: 500 * time.Millisecond, Service: service, Line: shortLine + 1}, 300 * time.Millisecond},
-		{"slow engines", Wait{Objective: 500 * time.Millisecond, Service: 450 * time.Millisecond, Line: 2 * time.Second}, leastWait},
-		{"no objective", Wait{Service: service, Line: 2 * time.Second}, leastWait},
-		{"all refuse", Wait{Objective: 500 * time.Millisecond, Service: service, Line: 2 * time.Second, Closed: true}, closedWait},
-		{"comes back", Wait{Objective: 500 * time.Millisecond, Service: service, Line: 2 * time.Second, Returning: true, Closed: true}, last},
+		{"a moment", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: shortLine}, last},
+		{"in time", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: shortLine + 1}, 300 * time.Millisecond},
+		{"slow engines", Wait{Objective: 500 * time.Millisecond, Service: 450 * time.Millisecond, BacklogAge: 2 * time.Second}, leastWait},
+		{"no objective", Wait{Service: service, BacklogAge: 2 * time.Second}, leastWait},
+		{"all refuse", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Closed: true}, closedWait},
+		{"comes back", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Retry: true, Closed: true}, last},
 		{"patient caller", Wait{Service: service, Patience: 5 * time.Second}, 5*time.Second - service - startMargin},
-		{"impatient caller", Wait{Objective: 500 * time.Millisecond, Service: service, Patience: 250 * time.Millisecond, Line: 2 * time.Second}, leastWait},
+		{"impatient caller", Wait{Objective: 500 * time.Millisecond, Service: service, Patience: 250 * time.Millisecond, BacklogAge: 2 * time.Second}, leastWait},
 	} {
 		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(tt.w.Longest(), tt.want) })
 	}
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -219,7 +219,7 @@
 	for i := range 26 {
 		refusal = small.Enqueue(Item{ID: fmt.Sprint(i), Workspace: "importer", Priority: Normal, Cost: 10}, start)
 	}
-	is.Equal(refusal.Reason, ReasonShare)
+	is.Equal(refusal.Reason, ReasonWorkspaceFull)
 	is.True(refusal.RetryAfter > 0)
 }
 
--- a/core/request/queue/service.go
+++ b/core/request/queue/service.go
@@ -25,15 +25,15 @@
 
 // Observe takes the time of one answer.
 func (s *ServiceTime) Observe(d time.Duration) {
-	if d > s.Usual() {
-		s.learned = min(s.Usual()+serviceUp, mostService)
+	if d > s.P90() {
+		s.learned = min(s.P90()+serviceUp, mostService)
 		return
 	}
-	s.learned = max(s.Usual()-serviceDown, leastService)
+	s.learned = max(s.P90()-serviceDown, leastService)
 }
 
-// Usual returns the time within which nine of ten answers begin.
-func (s *ServiceTime) Usual() time.Duration {
+// P90 returns the time within which nine of ten answers begin.
+func (s *ServiceTime) P90() time.Duration {
 	if s.learned == 0 {
 		return firstService
 	}
--- a/core/request/queue/service_test.go
+++ b/core/request/queue/service_test.go
@@ -12,16 +12,16 @@
 func TestServiceTimeIsThatOfNineInTen(t *testing.T) {
 	is := is.New(t)
 	var s ServiceTime
-	is.Equal(s.Usual(), firstService)
+	is.Equal(s.P90(), firstService)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		s.Observe(100*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))))
 	}
-	is.True(s.Usual() > 260*time.Millisecond && s.Usual() < 300*time.Millisecond)
+	is.True(s.P90() > 260*time.Millisecond && s.P90() < 300*time.Millisecond)
 	for range 5 {
 		s.Observe(time.Second)
 	}
-	is.True(s.Usual() < 320*time.Millisecond)
+	is.True(s.P90() < 320*time.Millisecond)
 }
 
 // Guards against waits without end and starts before the arrival, whatever is observed.
@@ -31,9 +31,9 @@
 	for range 10000 {
 		s.Observe(time.Minute)
 	}
-	is.Equal(s.Usual(), mostService)
+	is.Equal(s.P90(), mostService)
 	for range 10000 {
 		s.Observe(0)
 	}
-	is.Equal(s.Usual(), leastService)
+	is.Equal(s.P90(), leastService)
 }
--- a/core/request/queue/wait.go
+++ b/core/request/queue/wait.go
@@ -29,11 +29,11 @@
 	// Patience is how long its caller waits for the first part of the answer; 0 if that
 	// is not known.
 	Patience time.Duration
-	// Line is how long others have been waiting without a break.
-	Line time.Duration
-	// Returning says that its caller has been refused before, Closed that no target takes
+	// BacklogAge is how long others have been waiting without a break.
+	BacklogAge time.Duration
+	// Retry says that its caller has been refused before, Closed that no target takes
 	// requests now.
-	Returning, Closed bool
+	Retry, Closed bool
 }
 
 // Longest returns how long the request may wait from its arrival.
@@ -46,19 +46,19 @@
 // since a second refusal is mostly its last.
 func (w Wait) Longest() time.Duration {
 	switch {
-	case w.Returning:
-		return w.Last()
+	case w.Retry:
+		return w.CallerLimit()
 	case w.Closed:
-		return min(closedWait, w.Last())
-	case w.Line <= shortLine:
-		return w.Last()
+		return min(closedWait, w.CallerLimit())
+	case w.BacklogAge <= shortLine:
+		return w.CallerLimit()
 	}
-	return min(max(w.Objective-w.Service, leastWait), w.Last())
+	return min(max(w.Objective-w.Service, leastWait), w.CallerLimit())
 }
 
-// Last returns how long after its arrival the request must have started for its caller
+// CallerLimit returns how long after its arrival the request must have started for its caller
 // to be there still when its answer begins.
-func (w Wait) Last() time.Duration {
+func (w Wait) CallerLimit() time.Duration {
 	patience := w.Patience
 	if patience <= 0 {
 		patience = defaultPatience
--- a/core/request/quota/allow.go
+++ b/core/request/quota/allow.go
@@ -38,7 +38,7 @@
 		s.credit, s.phased = -l.rnd.Float64()*cost, true
 	}
 	if s.room < cost && s.room < l.slack(s) {
-		return false, ReportSpacing.Seconds()
+		return false, MinReportInterval.Seconds()
 	}
 	s.credit = math.Min(s.credit+s.fraction*cost, cost)
 	if s.credit <= 0 {
@@ -67,9 +67,9 @@
 	s.filled = now
 }
 
-// Settle corrects an admitted request of the given expected cost that took
+// Reconcile corrects an admitted request of the given expected cost that took
 // actual tokens.
-func (l *Limiter) Settle(workspace string, cost, actual int64, now time.Time) {
+func (l *Limiter) Reconcile(workspace string, cost, actual int64, now time.Time) {
 	s, ok := l.states[workspace]
 	if !ok || s.Rate <= 0 {
 		return
--- a/core/request/quota/home.go
+++ b/core/request/quota/home.go
@@ -101,10 +101,10 @@
 	delete(h.accounts, ID(workspace))
 }
 
-// SetVisible tells which part of the entries, between 0 and 1, this side of a
+// SetVisibleFraction tells which part of the entries, between 0 and 1, this side of a
 // partition can see. The home gives out only that part of each limit: without
 // it, every side has a home of its own and each gives out the whole limit.
-func (h *Home) SetVisible(part float64) { h.visible = math.Min(1, math.Max(0, part)) }
+func (h *Home) SetVisibleFraction(part float64) { h.visible = math.Min(1, math.Max(0, part)) }
 
 // Merge takes in the report of an entry and appends the reply to dst. A report
 // that is malformed is refused whole.
@@ -144,8 +144,8 @@
 	a, ok := h.accounts[r.id]
 	if !ok {
 		a = &account{limit: limit, at: now, fraction: 1, reporters: make(map[uint64]reporter)}
-		a.spilled = rate * math.Max(0, (r.span-ReportEvery).Seconds())
-		a.begun, a.learned = now, now.Add(ReportEvery)
+		a.spilled = rate * math.Max(0, (r.span-ReportInterval).Seconds())
+		a.begun, a.learned = now, now.Add(ReportInterval)
 		h.accounts[r.id] = a
 	}
 	a.advance(rate, burst, now)
@@ -201,11 +201,11 @@
 // count puts the entry's rates in place of what it last said. They hold until
 // twice the time to the next report.
 func (a *account) count(entry uint64, r record, now time.Time) {
-	span := max(r.span, ReportSpacing)
+	span := max(r.span, MinReportInterval)
 	old, next := a.reporters[entry], reporter{at: now}
 	next.rate = exact(math.Max(0, float64(r.offered)) / span.Seconds())
 	next.admitted = exact(math.Max(0, float64(r.admitted)) / span.Seconds())
-	next.until = now.Add(2*max(span, a.interval) + ReportEvery)
+	next.until = now.Add(2*max(span, a.interval) + ReportInterval)
 	a.demand = math.Max(0, a.demand+next.rate-old.rate)
 	a.flow = math.Max(0, a.flow+next.admitted-old.admitted)
 	if next.rate == 0 {
@@ -241,7 +241,7 @@
 	case calm:
 		a.interval = paced(n/calmReports, calmInterval)
 	case math.Abs(a.demand-a.slow) > steadyWithin*a.demand:
-		a.interval = ReportEvery
+		a.interval = ReportInterval
 	default:
 		a.interval = paced(n/busyReports, busyInterval)
 	}
@@ -250,7 +250,7 @@
 // paced guards against a home that drowns in reports: a workspace that all
 // entries use would bring one from each of them in every second.
 func paced(seconds float64, longest time.Duration) time.Duration {
-	return min(longest, max(ReportEvery, time.Duration(seconds*float64(time.Second))))
+	return min(longest, max(ReportInterval, time.Duration(seconds*float64(time.Second))))
 }
 
 // sweep forgets idle accounts, at most once in forgetAfter.
--- a/core/request/quota/quota.go
+++ b/core/request/quota/quota.go
@@ -52,14 +52,14 @@
 )
 
 const (
-	// ReportEvery is the longest time between two reports of a workspace that
+	// ReportInterval is the longest time between two reports of a workspace that
 	// is in use.
-	ReportEvery = time.Second
-	// ReportSpacing is the shortest time between two such reports.
-	ReportSpacing = 100 * time.Millisecond
-	// CutOffAfter is how long a report may stay without a reply before the
+	ReportInterval = time.Second
+	// MinReportInterval is the shortest time between two such reports.
+	MinReportInterval = 100 * time.Millisecond
+	// ReplyTimeout is how long a report may stay without a reply before the
 	// entry falls back to its safe share.
-	CutOffAfter = 3 * time.Second
+	ReplyTimeout = 3 * time.Second
 	// openFor and cutFor are how long a fraction of 1 and a lower one hold
 	// beyond the time to the next report. An entry that did not report then
 	// had no demand, and refuses nobody on the word of a burst long past.
@@ -168,10 +168,10 @@
 	return best
 }
 
-// SetFleet sets the number of entries, which gives the safe share, and the
+// SetMembers sets the number of entries, which gives the safe share, and the
 // agents among which the homes are. It costs a hash for each workspace and
 // agent, so call it only when the membership has changed.
-func (l *Limiter) SetFleet(entries int, agents []string) {
+func (l *Limiter) SetMembers(entries int, agents []string) {
 	l.entries = float64(max(1, entries))
 	l.agents = slices.Clone(agents)
 	for workspace, s := range l.states {
@@ -196,7 +196,7 @@
 		s.Limit = limit
 		return
 	}
-	s := &state{Limit: limit, id: ID(workspace), fraction: 1, ratio: 1, interval: ReportEvery, home: HomeOf(workspace, l.agents)}
+	s := &state{Limit: limit, id: ID(workspace), fraction: 1, ratio: 1, interval: ReportInterval, home: HomeOf(workspace, l.agents)}
 	s.safe = l.allowance(s)
 	l.states[workspace] = s
 	l.byID[s.id] = s
@@ -242,14 +242,14 @@
 // home is gone: all entries in that state together would exceed the limit for
 // as long as the home is away. The safe shares add up to the limit.
 func (s *state) cutOff(now time.Time) bool {
-	return !s.asked.IsZero() && now.Sub(s.asked) >= CutOffAfter
+	return !s.asked.IsZero() && now.Sub(s.asked) >= ReplyTimeout
 }
 
 func (l *Limiter) spread(seconds float64) time.Duration {
-	after := time.Duration(math.Min(math.Max(seconds, ReportSpacing.Seconds()), maxRetryAfter.Seconds()) * float64(time.Second))
+	after := time.Duration(math.Min(math.Max(seconds, MinReportInterval.Seconds()), maxRetryAfter.Seconds()) * float64(time.Second))
 	return time.Duration((0.5 + l.rnd.Float64()) * float64(after))
 }
 
-// RequestsOf names the second limit of a workspace, that on its requests. No
+// RequestLimitKey names the second limit of a workspace, that on its requests. No
 // workspace name holds a slash, so that the two never meet.
-func RequestsOf(workspace string) string { return workspace + "/requests" }
+func RequestLimitKey(workspace string) string { return workspace + "/requests" }
--- a/core/request/quota/quota_test.go
+++ b/core/request/quota/quota_test.go
@@ -34,7 +34,7 @@
 	for i := range n {
 		f.debt = append(f.debt, cost*float64(i)/float64(n))
 		l := New(fmt.Sprint("entry", i), rand.New(rand.NewPCG(7, uint64(i))))
-		l.SetFleet(n, []string{"agent"})
+		l.SetMembers(n, []string{"agent"})
 		l.SetLimit("w", Limit{Rate: rate})
 		f.entries = append(f.entries, l)
 	}
@@ -68,9 +68,9 @@
 func (f *fleet) exchange(t *testing.T, i int) {
 	l := f.entries[i]
 	for _, home := range l.Due(f.now) {
-		report := l.Digest(nil, home, f.now)
+		report := l.AppendReport(nil, home, f.now)
 		if f.lost(i) {
-			l.Lost(home)
+			l.ReportFailed(home)
 			continue
 		}
 		reply, err := f.home.Merge(nil, report, f.now)
@@ -95,7 +95,7 @@
 }
 
 func overshootBound(n float64) float64 {
-	return rate + n*(rate/math.Sqrt(n)+cost) + 2*rate*ReportEvery.Seconds()
+	return rate + n*(rate/math.Sqrt(n)+cost) + 2*rate*ReportInterval.Seconds()
 }
 
 // At a closing all members of one workspace come at once, through all entries,
@@ -147,7 +147,7 @@
 	f := newFleet(3)
 	f.run(t, 5*time.Second, even(0.5*rate, 3))
 	f.lost = func(int) bool { return true }
-	is.True(f.run(t, CutOffAfter+time.Second, even(6*rate, 3)) <= overshootBound(3))
+	is.True(f.run(t, ReplyTimeout+time.Second, even(6*rate, 3)) <= overshootBound(3))
 	got := f.run(t, 20*time.Second, even(6*rate, 3))
 	is.True(got <= 1.05*rate*20)
 	is.True(got >= 0.9*rate*20)
@@ -170,7 +170,7 @@
 	}
 	f.run(t, time.Minute, first)
 	f.home = NewHome()
-	f.run(t, CutOffAfter+time.Second, first)
+	f.run(t, ReplyTimeout+time.Second, first)
 	got := f.run(t, 10*time.Second, first)
 	is.True(got >= 0.9*rate/3*10 && got <= 1.1*rate/3*10)
 	f.home = newTestHome()
@@ -184,10 +184,10 @@
 	is := is.New(t)
 	f := newFleet(4)
 	l, s := f.entries[0], f.entries[0].states["w"]
-	s.admitted, s.offered, s.from = 4*rate, 4*rate, f.now.Add(-ReportSpacing)
+	s.admitted, s.offered, s.from = 4*rate, 4*rate, f.now.Add(-MinReportInterval)
 	before := l.slack(s)
 	s.send(f.now)
-	l.hear(s, reply{fraction: fractionUnit, interval: ReportEvery}, f.now)
+	l.hear(s, reply{fraction: fractionUnit, interval: ReportInterval}, f.now)
 	is.True(l.slack(s) <= 2*before)
 	l.refill(s, f.now)
 	l.refill(s, f.now.Add(time.Hour))
@@ -239,7 +239,7 @@
 	sum := 0.0
 	for range 2 {
 		side := newFleet(6)
-		side.home.SetVisible(0.5)
+		side.home.SetVisibleFraction(0.5)
 		side.run(t, 20*time.Second, even(4*rate, 6))
 		sum += side.run(t, 20*time.Second, even(4*rate, 6))
 	}
@@ -255,7 +255,7 @@
 	for range 40 * 20 {
 		for range 10 {
 			if ok, _ := f.entries[0].Allow("w", cost, f.now); ok {
-				f.entries[0].Settle("w", cost, cost/2, f.now)
+				f.entries[0].Reconcile("w", cost, cost/2, f.now)
 				served += cost / 2
 			}
 		}
@@ -283,7 +283,7 @@
 func TestAllow(t *testing.T) {
 	is := is.New(t)
 	l := New("entry", rand.New(rand.NewPCG(1, 1)))
-	l.SetFleet(4, nil)
+	l.SetMembers(4, nil)
 	l.SetLimit("w", Limit{Rate: 100, Burst: 100})
 	now := time.Unix(1e9, 0)
 	ok, _ := l.Allow("unlimited", 1<<30, now)
--- a/core/request/quota/report.go
+++ b/core/request/quota/report.go
@@ -82,9 +82,9 @@
 	if s.silent() || s.home == "" || !s.sentAt.IsZero() {
 		return false
 	}
-	spacing := ReportSpacing
+	spacing := MinReportInterval
 	if !s.asked.IsZero() {
-		spacing = ReportEvery // the last report was lost: do not insist
+		spacing = ReportInterval // the last report was lost: do not insist
 	}
 	if now.Sub(s.reported) < spacing {
 		return false
@@ -111,10 +111,10 @@
 	return s.offered == 0 && s.told <= toldPart*s.Rate
 }
 
-// Digest appends the report for a home to dst: the workspaces that owe one,
+// AppendReport appends the report for a home to dst: the workspaces that owe one,
 // and those of the same home that have anything new. The caller passes the
 // answer to Merge, or calls Lost, before it asks for the home's next digest.
-func (l *Limiter) Digest(dst []byte, home string, now time.Time) []byte {
+func (l *Limiter) AppendReport(dst []byte, home string, now time.Time) []byte {
 	dst = binary.LittleEndian.AppendUint64(dst, l.id)
 	n := 0
 	for _, s := range l.active {
@@ -131,9 +131,9 @@
 func (s *state) send(now time.Time) {
 	s.sentSpan = now.Sub(s.from)
 	if s.from.IsZero() {
-		s.sentSpan = max(ReportEvery, now.Sub(s.since))
+		s.sentSpan = max(ReportInterval, now.Sub(s.since))
 	}
-	s.sentSpan = min(max(ReportSpacing, s.sentSpan), maxSpan)
+	s.sentSpan = min(max(MinReportInterval, s.sentSpan), maxSpan)
 	s.sentOffered, s.sentAdmitted = s.offered, s.admitted
 	s.offered, s.admitted = 0, 0
 	s.sentAt, s.reported, s.sentSince = now, now, s.since
@@ -165,9 +165,9 @@
 	s.sentOffered, s.sentAdmitted, s.sentAt = 0, 0, time.Time{}
 }
 
-// Lost tells that a report got no answer. It is sent again; if the home did
+// ReportFailed tells that a report got no answer. It is sent again; if the home did
 // get it, the workspace is charged twice, which errs on the strict side.
-func (l *Limiter) Lost(home string) {
+func (l *Limiter) ReportFailed(home string) {
 	for _, s := range l.active {
 		if s.home == home {
 			s.giveBack()
@@ -179,7 +179,7 @@
 // home does not know the workspace yet, counts as lost. A malformed reply
 // counts as lost from the fault on.
 func (l *Limiter) Merge(home string, b []byte, now time.Time) error {
-	defer l.Lost(home)
+	defer l.ReportFailed(home)
 	for at := 0; at < len(b); {
 		r, n := readReply(b[at:])
 		if n <= 0 {
@@ -248,7 +248,7 @@
 func appendReply(dst []byte, r reply) []byte {
 	dst = binary.LittleEndian.AppendUint64(dst, r.id)
 	dst = binary.AppendUvarint(dst, r.fraction)
-	return binary.AppendUvarint(dst, uint64(r.interval/ReportSpacing))
+	return binary.AppendUvarint(dst, uint64(r.interval/MinReportInterval))
 }
 
 // readReply returns the first record of a reply and its length, or 0 if
@@ -264,9 +264,9 @@
 	}
 	at += n
 	units, n := binary.Uvarint(b[at:])
-	if n <= 0 || units > uint64(maxSpan/ReportSpacing) {
+	if n <= 0 || units > uint64(maxSpan/MinReportInterval) {
 		return reply{}, 0
 	}
-	r.interval = max(ReportEvery, time.Duration(units)*ReportSpacing)
+	r.interval = max(ReportInterval, time.Duration(units)*MinReportInterval)
 	return r, at + n
 }
--- a/entry/limiter.go
+++ b/entry/limiter.go
@@ -56,7 +56,7 @@
 			limits = append(limits, namedLimit{quota.Limit{Rate: ws.TokensPerSecond}, ws.Name})
 		}
 		if ws.RequestsPerSecond > 0 {
-			limits = append(limits, namedLimit{quota.Limit{Rate: ws.RequestsPerSecond}, quota.RequestsOf(ws.Name)})
+			limits = append(limits, namedLimit{quota.Limit{Rate: ws.RequestsPerSecond}, quota.RequestLimitKey(ws.Name)})
 		}
 	}
 	return limits
@@ -66,7 +66,7 @@
 func (l *limiter) setFleet(entries int, agents []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quota.SetFleet(entries, agents)
+	l.quota.SetMembers(entries, agents)
 }
 
 // allow takes one request of cost tokens, or returns when to come back.
@@ -74,7 +74,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	if ok, wait := l.quota.Allow(quota.RequestsOf(workspace), 1, now); !ok {
+	if ok, wait := l.quota.Allow(quota.RequestLimitKey(workspace), 1, now); !ok {
 		return wait, false
 	}
 	ok, wait := l.quota.Allow(workspace, int64(cost), now)
@@ -85,7 +85,7 @@
 func (l *limiter) settle(workspace string, cost, actual uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quota.Settle(workspace, int64(cost), int64(actual), time.Now())
+	l.quota.Reconcile(workspace, int64(cost), int64(actual), time.Now())
 }
 
 // report sends the reports that are due to their homes until ctx ends.
@@ -112,7 +112,7 @@
 
 func (l *limiter) reportTo(ctx context.Context, home string, exchange func(context.Context, string, []byte) ([]byte, error)) {
 	l.mu.Lock()
-	digest := l.quota.Digest(nil, home, time.Now())
+	digest := l.quota.AppendReport(nil, home, time.Now())
 	l.mu.Unlock()
 	if len(digest) == 0 {
 		return
@@ -121,6 +121,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err != nil || l.quota.Merge(home, reply, time.Now()) != nil {
-		l.quota.Lost(home)
+		l.quota.ReportFailed(home)
 	}
 }
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -26,7 +26,7 @@
 
 	mu      sync.Mutex
 	pool    *admission.Pool
-	waiting map[string]chan admission.Settled
+	waiting map[string]chan admission.Decision
 	next    uint64
 }
 
@@ -35,9 +35,9 @@
 	a := &admitter{
 		log: log, service: service,
 		pool:    admission.New(newRand()),
-		waiting: map[string]chan admission.Settled{},
+		waiting: map[string]chan admission.Decision{},
 	}
-	a.pool.Starting()
+	a.pool.ColdStart()
 	return a
 }
 
@@ -47,7 +47,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	step(a.pool, now)
-	for _, s := range a.pool.Settled() {
+	for _, s := range a.pool.Decisions() {
 		if ready := a.waiting[s.ID]; ready != nil {
 			delete(a.waiting, s.ID)
 			ready <- s
@@ -62,12 +62,12 @@
 
 // tell takes the load of a group as its steward tells it.
 func (a *admitter) tell(l admission.Load) {
-	a.locked(func(p *admission.Pool, now time.Time) { p.Tell(l, now) })
+	a.locked(func(p *admission.Pool, now time.Time) { p.ReportLoad(l, now) })
 }
 
 // silent tells that nothing comes from a group.
 func (a *admitter) silent(group string, until time.Time) {
-	a.locked(func(p *admission.Pool, _ time.Time) { p.Silent(group, until) })
+	a.locked(func(p *admission.Pool, _ time.Time) { p.MarkStalled(group, until) })
 }
 
 // place is where a request runs. Its zero value is nowhere.
@@ -91,7 +91,7 @@
 }
 
 // settled returns the place that a request has got, or its refusal.
-func (a *admitter) settled(c *call, s admission.Settled) (place, *outcome.Error) {
+func (a *admitter) settled(c *call, s admission.Decision) (place, *outcome.Error) {
 	if s.Refusal != nil {
 		a.later(c, s.Refusal)
 		return place{}, s.Refusal
@@ -101,13 +101,13 @@
 
 // join puts a request into the queue and returns its key and where its turn will
 // be told, or refuses it at once.
-func (a *admitter) join(c *call) (id string, ready <-chan admission.Settled, refusal *outcome.Error) {
+func (a *admitter) join(c *call) (id string, ready <-chan admission.Decision, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		a.next++
 		id = strconv.FormatUint(a.next, 36)
-		turn := make(chan admission.Settled, 1)
+		turn := make(chan admission.Decision, 1)
 		a.waiting[id], ready = turn, turn
-		if refusal = p.Enter(c.asked(id), now); refusal != nil {
+		if refusal = p.Enqueue(c.asked(id), now); refusal != nil {
 			delete(a.waiting, id)
 		}
 	})
@@ -118,7 +118,7 @@
 func (c *call) asked(id string) admission.Request {
 	return admission.Request{
 		ID: id, Workspace: c.workspaceName(), Cost: int64(c.cost()), Objective: c.route.Objective,
-		Patience: c.silence(), Returning: c.returning,
+		Patience: c.silence(), Retry: c.returning,
 	}
 }
 
@@ -132,7 +132,7 @@
 }
 
 // withdraw takes back a request whose caller has left or whose time is over.
-func (a *admitter) withdraw(id string, ready <-chan admission.Settled) (place, *outcome.Error) {
+func (a *admitter) withdraw(id string, ready <-chan admission.Decision) (place, *outcome.Error) {
 	waits := false
 	a.locked(func(p *admission.Pool, _ time.Time) {
 		if waits = p.Withdraw(id); waits {
@@ -152,7 +152,7 @@
 // later sets in a refusal when the caller may come back, if the service is down.
 func (a *admitter) later(c *call, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
-		if wait, down := p.Comeback(c.deadline.Sub(now), now); down {
+		if wait, down := p.RetryAfter(c.deadline.Sub(now), now); down {
 			refusal.RetryAfter = wait
 		}
 	})
@@ -213,7 +213,7 @@
 
 // longestAgain returns how long after its arrival a request may be sent once more.
 func (a *admitter) longestAgain(c *call) (longest time.Duration) {
-	a.locked(func(p *admission.Pool, now time.Time) { longest = p.LongestAgain(c.asked(c.place.id), now) })
+	a.locked(func(p *admission.Pool, now time.Time) { longest = p.MaxRetryWait(c.asked(c.place.id), now) })
 	return longest
 }
 
@@ -221,20 +221,20 @@
 // retry for it, and whether the service has been down for long.
 func (a *admitter) mayPass(at place, retry bool) (may, lasting bool) {
 	a.locked(func(p *admission.Pool, now time.Time) {
-		may = retry && p.MayPass(at.id, now)
-		lasting = p.Lasting(now)
+		may = retry && p.MayRetry(at.id, now)
+		lasting = p.FailFast(now)
 	})
 	return may, lasting
 }
 
 // began tells how long after its start the request at a place got its first event.
 func (a *admitter) began(at place, after time.Duration) {
-	a.locked(func(p *admission.Pool, _ time.Time) { p.Began(at.id, after) })
+	a.locked(func(p *admission.Pool, _ time.Time) { p.ObserveFirstEvent(at.id, after) })
 }
 
 // leave gives the place of a request back.
 func (a *admitter) leave(at place, cost float64) {
-	a.locked(func(p *admission.Pool, now time.Time) { p.Leave(at.id, int64(cost), now) })
+	a.locked(func(p *admission.Pool, now time.Time) { p.Done(at.id, int64(cost), now) })
 }
 
 // tick lets time pass: requests that can no longer start in time are refused.
@@ -256,7 +256,7 @@
 		key := a.service + "/" + g.Group
 		set(metricRunning, key, g.Running)
 		set(metricLimit, key, g.Limit)
-		set(metricWorks, key, one(g.Works))
+		set(metricWorks, key, one(g.Available))
 	}
 	if l.Items > 0 {
 		a.log.Info("queue", "service", a.service, "waiting", l.Items, "running", l.Running, "limit", l.Slots,
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -94,7 +94,7 @@
 		is := is.New(t)
 		a, probe := refusedAdmitter(t)
 		// There is no place for a probe.
-		a.tell(admission.Load{Open: true, Running: 10000})
+		a.tell(admission.Load{Complete: true, Running: 10000})
 		c := caller(false)
 		waiting := enter(t.Context(), a, c)
 		began := time.Now()
@@ -106,14 +106,14 @@
 			// refused.
 			time.Sleep(10 * time.Millisecond)
 			a.refused(probe, "x")
-			a.tell(admission.Load{Open: true, Running: 10000})
+			a.tell(admission.Load{Complete: true, Running: 10000})
 			synctest.Wait()
 		}
 		is.Equal(len(waiting[0]), 1)
 		refusal := <-waiting[0]
 		is.Equal(refusal.Outcome, outcome.NotRun)
 		took := time.Since(began)
-		longest := queue.Wait{Patience: c.silence(), Closed: true, Service: (&queue.ServiceTime{}).Usual()}.Longest()
+		longest := queue.Wait{Patience: c.silence(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
 		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.silence())
 		is.True(refusal.RetryAfter > 1500*time.Millisecond && refusal.RetryAfter < 8*time.Second/3)
 	})
@@ -257,7 +257,7 @@
 			_, refusal := a.enter(t.Context(), caller(false))
 			is.Equal(refusal, nil)
 		}
-		a.tell(admission.Load{Open: true, Running: 192, Queued: 48})
+		a.tell(admission.Load{Complete: true, Running: 192, Queued: 48})
 		is.Equal(limit(a), 48)
 		time.Sleep(3 * time.Second)
 		a.tick()
@@ -294,7 +294,7 @@
 		first := enter(t.Context(), a, caller(true))
 		time.Sleep(1100 * time.Millisecond)
 		waiting := enter(t.Context(), a, caller(false))
-		limit := 500*time.Millisecond - (&queue.ServiceTime{}).Usual()
+		limit := 500*time.Millisecond - (&queue.ServiceTime{}).P90()
 		time.Sleep(limit - time.Millisecond)
 		a.tick()
 		synctest.Wait()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -184,7 +184,7 @@
 		if kind == retry.Refused && !c.again(ctx) {
 			refusal := c.decide(retry.RefusedAll).Err
 			c.admitter.later(c, refusal)
-			c.giveUp(refusal, queue.ReasonDown)
+			c.giveUp(refusal, queue.ReasonAllTargetsRefuse)
 			return
 		}
 		d := c.decide(kind)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -163,7 +163,7 @@
 		g.admitTo(cat.config)
 	}
 	if a := g.admitterOf(r.service); a != nil {
-		a.tell(admission.Load{Group: d.Group.Name, Open: d.Open, Running: r.running, Queued: r.queued, Pass: d.Pass, Entries: d.Gateways})
+		a.tell(admission.Load{Group: d.Group.Name, Complete: d.Open, Running: r.running, Queued: r.queued, PassTime: d.Pass, Entries: d.Gateways})
 	}
 	if health.Leave(len(r.slow), len(d.Targets)) {
 		g.fleet.leave(r.slow, g.spareRetries(r.service))
