--- a/agent/app.go
+++ b/agent/app.go
@@ -51,7 +51,7 @@
 	entries    *entries
 	members    *follow.Members
 	engine     *target.Engine
-	plain      *target.Plain
+	plain      *target.Service
 	step       stepTime
 	store      *store.Client
 
@@ -148,7 +148,7 @@
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	opt := target.Options{OrderToken: cfg.OrderToken}
 	if cfg.Kind == kindService {
-		a.plain = target.NewPlain(cfg.Target, opt)
+		a.plain = target.NewService(cfg.Target, opt)
 	} else {
 		a.engine = target.NewEngine(cfg.Target, opt)
 	}
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -88,7 +88,7 @@
 		if !ok {
 			return
 		}
-		d.pacer.Use(now)
+		d.pacer.RecordSent(now)
 		d.answer(item.ID, nil)
 	}
 }
--- a/agent/dispatch_test.go
+++ b/agent/dispatch_test.go
@@ -138,7 +138,7 @@
 	for _, path := range []string{"/", "/refused"} {
 		a := &Agent{
 			dispatcher: newDispatcher(Settings{Slots: 1}), log: slog.New(slog.DiscardHandler),
-			plain: target.NewPlain(s.Listener.Addr().String(), target.Options{}),
+			plain: target.NewService(s.Listener.Addr().String(), target.Options{}),
 		}
 		go a.dispatcher.duty.Run(ctx)
 		r := &run{agent: a, answer: &answer{log: draft.New(100)}, req: &wire.SubmitRequest{Call: &wire.Call{Method: http.MethodGet, Path: path}}}
--- a/agent/ending.go
+++ b/agent/ending.go
@@ -68,7 +68,7 @@
 	// An agent that stops starts nothing more.
 	_ = d.duty.Post(context.Background(), func() {
 		now := time.Now()
-		if d.pacer.Named(a.Limit, now) {
+		if d.pacer.SetLimit(a.Limit, now) {
 			r.agent.log.Info("target set a rate limit", "request-id", r.req.RequestId, "requests-a-second", a.Limit)
 		}
 		d.pause(a.Pause, now)
--- a/bench/routing/routing_pick.go
+++ b/bench/routing/routing_pick.go
@@ -53,7 +53,7 @@
 
 func pickFigures() []figure.Figure {
 	table, rng := loaded(largeFleet, allChoices)
-	q := &route.Query{Model: model, Cost: meanCost, Saved: meanCost / 2}
+	q := &route.Query{Model: model, Cost: meanCost, CacheSavings: meanCost / 2}
 	allocs := testing.AllocsPerRun(1000, func() {
 		q.Prefix = rng.Uint64()
 		table.Pick(q, epoch, rng)
@@ -90,7 +90,7 @@
 
 func picker(n int, opt route.Options) func() {
 	table, rng := loaded(n, opt)
-	q := &route.Query{Model: model, Cost: meanCost, Saved: meanCost / 2}
+	q := &route.Query{Model: model, Cost: meanCost, CacheSavings: meanCost / 2}
 	return func() {
 		q.Prefix = rng.Uint64()
 		table.Pick(q, epoch, rng)
@@ -129,7 +129,7 @@
 func scan(table *route.Table, n int) int {
 	best, at := time.Duration(1<<62), 0
 	for i := range n {
-		if d := table.Expected(i, epoch); d < best {
+		if d := table.ExpectedWait(i, epoch); d < best {
 			best, at = d, i
 		}
 	}
--- a/bench/routing/routing_policy.go
+++ b/bench/routing/routing_policy.go
@@ -48,7 +48,7 @@
 		table: route.New(route.Options{
 			Entry: fmt.Sprint("entry-", index), Zone: fmt.Sprint("zone-", index%3),
 			Index: index, Entries: t.set.entries, Choices: t.set.choices,
-			Bound: bound,
+			LoadBound: bound,
 		}),
 		monitor:  health.New(t.set.health),
 		budgets:  retry.NewBudgets(retry.Limits{}),
@@ -109,7 +109,7 @@
 func (e *entry) query(j *job) *route.Query {
 	q := &route.Query{Model: model, Cost: j.cost, MayNotRepeat: j.booking, Exclude: j.tried}
 	if e.set.policy != noAffinity {
-		q.Prefix, q.Saved = j.prefix, j.cost*savedPart
+		q.Prefix, q.CacheSavings = j.prefix, j.cost*savedPart
 	}
 	return q
 }
--- a/core/plumbing/story/cause.go
+++ b/core/plumbing/story/cause.go
@@ -86,7 +86,7 @@
 	switch status, _ := strconv.Atoi(end.Field("status")); {
 	case end.Field("outcome") == "caller-left":
 		return Cause{CallerLeft, strings.TrimSpace("after " + end.Field("ms") + " ms")}
-	case reason == quarantine.ReasonHeld:
+	case reason == quarantine.ReasonQuarantined:
 		return Cause{HeldBack, "print " + end.Field("print")}
 	case end.Field("outcome") == "broken-off":
 		return lost(own, end)
--- a/core/request/permit/availability.go
+++ b/core/request/permit/availability.go
@@ -29,14 +29,14 @@
 	Waiting int
 }
 
-// Latest returns until when a request may wait that came at a time and whose caller has gone
+// WaitDeadline returns until when a request may wait that came at a time and whose caller has gone
 // at a deadline.
-func Latest(came, deadline time.Time) time.Time {
+func WaitDeadline(came, deadline time.Time) time.Time {
 	return came.Add(time.Duration(float64(deadline.Sub(came)) * waitPart))
 }
 
-// Turn returns when a request has its turn, if it comes now.
-func (o Availability) Turn(now time.Time) time.Time {
+// ExpectedStart returns when a request has its turn, if it comes now.
+func (o Availability) ExpectedStart(now time.Time) time.Time {
 	turn := o.At
 	if turn.IsZero() {
 		turn = now.Add(claimTime)
--- a/core/request/permit/change.go
+++ b/core/request/permit/change.go
@@ -27,8 +27,8 @@
 	Claim Kind = iota
 	// Release gives one back.
 	Release
-	// Lift tells the others that a target names no limit any more.
-	Lift
+	// Clear tells the others that a target names no limit any more.
+	Clear
 )
 
 // String returns the name that log lines have.
@@ -79,14 +79,14 @@
 		if p.Holder != tr.self || p.Lease != tr.lease {
 			continue
 		}
-		if t.untold && p.Born == t.born {
+		if t.untold && p.StartedAt == t.born {
 			r := p.Record
-			r.Lifted = true
-			return change(Lift, r, p.revision), true
+			r.Cleared = true
+			return change(Clear, r, p.revision), true
 		}
-		stands := p.Lifted && now.Sub(t.liftedAt) < liftedFor
+		stands := p.Cleared && now.Sub(t.liftedAt) < liftedFor
 		idle := t.limited && now.Sub(t.last) > idleFor+spacing(t.limit, 1)
-		if !stands && (!t.limited || p.Born != t.born || p.Lifted || p.Index >= Count(t.limit) || idle) {
+		if !stands && (!t.limited || p.StartedAt != t.born || p.Cleared || p.Index >= Count(t.limit) || idle) {
 			if idle {
 				t.claimAt = now.Add(idleFor)
 			}
@@ -132,7 +132,7 @@
 	t.missed = false
 	t.claimAt = now.Add(time.Duration(least+1) * moreAfter)
 	return change(Claim, Record{
-		Target: id, Service: t.service, Born: t.born, Limit: t.limit,
+		Target: id, Service: t.service, StartedAt: t.born, Limit: t.limit,
 		Index: index, Holder: tr.self, Lease: tr.lease,
 	}, t.permits[index].revision), true
 }
@@ -174,7 +174,7 @@
 			tr.tidy(c.Target)
 		}
 		return
-	case c.Kind == Lift && t != nil:
+	case c.Kind == Clear && t != nil:
 		t.untold = false
 	}
 	tr.put(c.record, revision, now)
--- a/core/request/permit/pacer.go
+++ b/core/request/permit/pacer.go
@@ -27,9 +27,9 @@
 // Paused returns for how long the target wants nothing; 0 if it takes requests.
 func (p *Pacer) Paused(now time.Time) time.Duration { return max(p.paused.Sub(now), 0) }
 
-// Named takes the limit that an answer names, in requests a second, or nil if it names none.
+// SetLimit takes the limit that an answer names, in requests a second, or nil if it names none.
 // It reports whether the limit has changed.
-func (p *Pacer) Named(limit *float64, now time.Time) bool {
+func (p *Pacer) SetLimit(limit *float64, now time.Time) bool {
 	if limit == nil {
 		changed := p.limited
 		p.limited = false
@@ -55,8 +55,8 @@
 	return at
 }
 
-// Use counts a request that the target is sent.
-func (p *Pacer) Use(now time.Time) { p.last = now }
+// RecordSent counts a request that the target is sent.
+func (p *Pacer) RecordSent(now time.Time) { p.last = now }
 
 // ParseLimit decodes a limit in requests a second, a decimal number that is not negative. It
 // returns nil for anything else.
--- a/core/request/permit/record.go
+++ b/core/request/permit/record.go
@@ -14,8 +14,8 @@
 type Record struct {
 	Target  string `json:"target"`
 	Service string `json:"service"`
-	// Born tells the starts of a target under one name apart, in Unix milliseconds.
-	Born int64 `json:"born"`
+	// StartedAt tells the starts of a target under one name apart, in Unix milliseconds.
+	StartedAt int64 `json:"born"`
 	// Limit is what the target takes from all senders, in requests a second.
 	Limit float64 `json:"limit"`
 	// Index numbers the permits of a target from 0.
@@ -23,8 +23,8 @@
 	Holder string `json:"holder"`
 	// Lease is the holder's own: a permit of an earlier lease of the holder is void.
 	Lease int64 `json:"lease"`
-	// Lifted says that the target names no limit any more.
-	Lifted bool `json:"lifted,omitempty"`
+	// Cleared says that the target names no limit any more.
+	Cleared bool `json:"lifted,omitempty"`
 }
 
 // Key returns the key of the permit.
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -87,14 +87,14 @@
 }
 
 func (h *holder) named(limit *float64, sent, now time.Time) {
-	h.Observe(Answer{Target: "t", Service: "s", Born: 1, Limit: limit, Sent: sent}, now)
+	h.Observe(Response{Target: "t", Service: "s", StartedAt: 1, Limit: limit, Sent: sent}, now)
 }
 
 func (h *holder) ready(now time.Time) bool {
 	h.RecordDemand("s", now)
 	return h.Ready("t", now)
 }
-func (h *holder) use(now time.Time) { h.Use("t", now) }
+func (h *holder) use(now time.Time) { h.RecordSent("t", now) }
 
 // replay is senders before a target and a store.
 type replay struct {
--- a/core/request/permit/tracker.go
+++ b/core/request/permit/tracker.go
@@ -96,10 +96,10 @@
 // separator stands between the instance and the start in the name of a holder.
 const separator = "/"
 
-// Answer is what an answer of a target says of its limit.
-type Answer struct {
+// Response is what an answer of a target says of its limit.
+type Response struct {
 	Target, Service string
-	Born            int64
+	StartedAt       int64
 	// Limit is in requests a second; nil if the answer names none.
 	Limit *float64
 	// Sent is when the request was sent that is answered.
@@ -108,21 +108,21 @@
 
 // Observe takes what an answer says of the limit of its target. It reports whether the limit
 // has changed.
-func (tr *Tracker) Observe(a Answer, now time.Time) bool {
+func (tr *Tracker) Observe(a Response, now time.Time) bool {
 	t := tr.targets[a.Target]
-	if t != nil && a.Born < t.born {
+	if t != nil && a.StartedAt < t.born {
 		return false
 	}
 	if a.Limit == nil {
 		// An answer to a request that was sent before the limit was known may be older.
-		return t != nil && t.born == a.Born && a.Sent.After(t.since) && t.lift(now)
+		return t != nil && t.born == a.StartedAt && a.Sent.After(t.since) && t.lift(now)
 	}
 	if t == nil {
-		if t = tr.add(a.Target, a.Born); t == nil {
+		if t = tr.add(a.Target, a.StartedAt); t == nil {
 			return false
 		}
 	}
-	t.restart(a.Born)
+	t.restart(a.StartedAt)
 	changed := t.limit != *a.Limit || !t.limited
 	t.limits(a.Service, *a.Limit, now)
 	t.own, t.untold = true, false
@@ -266,11 +266,11 @@
 // mine reports whether a permit is this sender's, of its lease and of this start of the
 // target.
 func (tr *Tracker) mine(t *target, p storedPermit) bool {
-	return p.Holder == tr.self && p.Lease == tr.lease && p.Born == t.born && !p.Lifted
+	return p.Holder == tr.self && p.Lease == tr.lease && p.StartedAt == t.born && !p.Cleared
 }
 
-// Use counts a request that a target is sent.
-func (tr *Tracker) Use(id string, now time.Time) {
+// RecordSent counts a request that a target is sent.
+func (tr *Tracker) RecordSent(id string, now time.Time) {
 	if t := tr.targets[id]; t != nil {
 		t.last = now
 	}
@@ -322,7 +322,7 @@
 func (tr *Tracker) put(r Record, revision int64, now time.Time) {
 	t := tr.targets[r.Target]
 	if t == nil {
-		if t = tr.add(r.Target, r.Born); t == nil {
+		if t = tr.add(r.Target, r.StartedAt); t == nil {
 			return
 		}
 	}
@@ -332,12 +332,12 @@
 	first := tr.count(t, now) == 0
 	t.permits[r.Index] = storedPermit{r, revision}
 	tr.places[r.Key()] = place{r.Target, r.Index}
-	if r.Born < t.born {
+	if r.StartedAt < t.born {
 		return
 	}
-	t.restart(r.Born)
+	t.restart(r.StartedAt)
 	switch {
-	case r.Lifted:
+	case r.Cleared:
 		t.limited, t.own, t.liftedAt = false, false, now
 		return
 	case r.Holder == tr.self && first:
--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -20,8 +20,8 @@
 }
 
 // answer is one of target t that names a rate.
-func answer(rate float64, sent time.Time) Answer {
-	return Answer{Target: "t", Service: "s", Born: 5, Limit: &rate, Sent: sent}
+func answer(rate float64, sent time.Time) Response {
+	return Response{Target: "t", Service: "s", StartedAt: 5, Limit: &rate, Sent: sent}
 }
 
 // item is a permit of target t as it stands in the store.
@@ -32,7 +32,7 @@
 
 // own is a permit that the sender of newTracker holds.
 func own(index int) Record {
-	return Record{Born: 5, Limit: 1, Index: index, Holder: "front-1/a", Lease: 7}
+	return Record{StartedAt: 5, Limit: 1, Index: index, Holder: "front-1/a", Lease: 7}
 }
 
 // Guards against permits that allow together more than the limit does with what it leaves for
@@ -55,7 +55,7 @@
 func TestOlderAnswerLiftsNothing(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
-	none := Answer{Target: "t", Service: "s", Born: 5, Sent: start.Add(-time.Second)}
+	none := Response{Target: "t", Service: "s", StartedAt: 5, Sent: start.Add(-time.Second)}
 	is.True(!tr.Observe(none, start.Add(time.Second)))
 	is.True(!tr.Ready("t", start.Add(time.Second)))
 	none.Sent = start.Add(time.Second)
@@ -74,7 +74,7 @@
 	tr.Restarted("t", 6)
 	is.True(tr.Ready("t", start)) // the later start has named none
 	later := answer(1, now)
-	later.Born = 6
+	later.StartedAt = 6
 	is.True(tr.Observe(later, now))
 	is.True(!tr.Ready("t", now.Add(time.Hour/2)))
 	is.True(!tr.Observe(answer(2, now), now)) // a late answer of the earlier one
@@ -88,7 +88,7 @@
 		"another's":              func(r *Record) { r.Holder = "front-2/b" },
 		"an earlier start's":     func(r *Record) { r.Holder = "front-1/z" },
 		"of an earlier lease":    func(r *Record) { r.Lease = 6 },
-		"of an earlier target":   func(r *Record) { r.Born = 4 },
+		"of an earlier target":   func(r *Record) { r.StartedAt = 4 },
 		"beyond a lower limit's": func(r *Record) { r.Index = 9 },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -128,9 +128,9 @@
 
 	tr = newTracker(1)
 	tr.Apply([]kv.Item{item(own(0), 3)}, false, start)
-	is.True(tr.Observe(Answer{Target: "t", Service: "s", Born: 5, Sent: now}, now))
+	is.True(tr.Observe(Response{Target: "t", Service: "s", StartedAt: 5, Sent: now}, now))
 	c, wants = tr.NextChange(now)
-	is.True(wants && c.Kind == Lift) // the others are told
+	is.True(wants && c.Kind == Clear) // the others are told
 	tr.Complete(c, 4, true, now)
 	_, wants = tr.NextChange(now.Add(liftedFor / 2))
 	is.True(!wants)
@@ -169,7 +169,7 @@
 // Guards against waiting for a turn that comes when the caller has gone, and against refusing
 // one that is near.
 func TestTurn(t *testing.T) {
-	latest := Latest(start, start.Add(3*time.Second))
+	latest := WaitDeadline(start, start.Add(3*time.Second))
 	for _, c := range []struct {
 		name    string
 		opening Availability
@@ -183,7 +183,7 @@
 		{"not known", Availability{}, claimTime, true},
 		{"late", Availability{At: start.Add(2 * time.Second), Rate: 1}, 2 * time.Second, false},
 	} {
-		turn := c.opening.Turn(start)
+		turn := c.opening.ExpectedStart(start)
 		if turn != start.Add(c.turn) || turn.After(latest) == c.waits {
 			t.Errorf("%s: turn %v, latest %v", c.name, turn.Sub(start), latest.Sub(start))
 		}
@@ -222,7 +222,7 @@
 			tr.SetLease(7, start.Add(time.Hour))
 			for i := range targets {
 				limit := 1.0
-				tr.Observe(Answer{Target: fmt.Sprint(i), Service: "s", Born: 1, Limit: &limit}, start)
+				tr.Observe(Response{Target: fmt.Sprint(i), Service: "s", StartedAt: 1, Limit: &limit}, start)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/core/request/quarantine/print.go
+++ b/core/request/quarantine/print.go
@@ -7,10 +7,10 @@
 	"fmt"
 )
 
-// Print is the fingerprint of a request: the same for two requests with the same content
+// Fingerprint is the fingerprint of a request: the same for two requests with the same content
 // of the same caller, whatever their identifiers. Nothing of the content can be read from
 // it.
-type Print [16]byte
+type Fingerprint [16]byte
 
 // Content is what makes two requests the same.
 type Content struct {
@@ -23,8 +23,8 @@
 	Body      []byte
 }
 
-// Print returns the fingerprint of the content.
-func (c *Content) Print() Print {
+// Fingerprint returns the fingerprint of the content.
+func (c *Content) Fingerprint() Fingerprint {
 	sum := sha256.New()
 	for _, field := range [][]byte{[]byte(c.Method), []byte(c.Host), []byte(c.Target), []byte(c.Workspace), c.Body} {
 		var length [8]byte
@@ -33,37 +33,37 @@
 		sum.Write(length[:])
 		sum.Write(field)
 	}
-	return Print(sum.Sum(nil))
+	return Fingerprint(sum.Sum(nil))
 }
 
-// PrintError says that a text is no fingerprint.
-type PrintError struct {
+// FingerprintError says that a text is no fingerprint.
+type FingerprintError struct {
 	Text string
 }
 
 // Error shows the text.
-func (e *PrintError) Error() string { return fmt.Sprintf("%q is no fingerprint", e.Text) }
+func (e *FingerprintError) Error() string { return fmt.Sprintf("%q is no fingerprint", e.Text) }
 
 // String returns the fingerprint in hexadecimal.
-func (p Print) String() string { return hex.EncodeToString(p[:]) }
+func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
 // shortDigits is how much of a fingerprint lines have: enough to tell apart the requests
 // of a day.
 const shortDigits = 8
 
 // Short returns the beginning of the fingerprint for logs.
-func (p Print) Short() string { return p.String()[:shortDigits] }
+func (p Fingerprint) Short() string { return p.String()[:shortDigits] }
 
 // MarshalText returns the fingerprint in hexadecimal.
-func (p Print) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
+func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
 // UnmarshalText reads a fingerprint in hexadecimal; a *PrintError says that it is none.
-func (p *Print) UnmarshalText(text []byte) error {
+func (p *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(p)) {
-		return &PrintError{string(text)}
+		return &FingerprintError{string(text)}
 	}
 	if _, err := hex.Decode(p[:], text); err != nil {
-		return &PrintError{string(text)}
+		return &FingerprintError{string(text)}
 	}
 	return nil
 }
--- a/core/request/quarantine/print_test.go
+++ b/core/request/quarantine/print_test.go
@@ -26,8 +26,8 @@
 			is := is.New(t)
 			same, other := content(), content()
 			change(&other)
-			is.Equal(same.Print(), (&Content{"POST", "desk.example", "/a/1?q=2", "harbor", []byte("words")}).Print())
-			is.True(same.Print() != other.Print())
+			is.Equal(same.Fingerprint(), (&Content{"POST", "desk.example", "/a/1?q=2", "harbor", []byte("words")}).Fingerprint())
+			is.True(same.Fingerprint() != other.Fingerprint())
 		})
 	}
 }
@@ -35,14 +35,14 @@
 func TestPrintAsText(t *testing.T) {
 	is := is.New(t)
 	c := content()
-	data, err := json.Marshal(c.Print())
+	data, err := json.Marshal(c.Fingerprint())
 	is.NoErr(err)
-	var back Print
+	var back Fingerprint
 	is.NoErr(json.Unmarshal(data, &back))
-	is.Equal(back, c.Print())
+	is.Equal(back, c.Fingerprint())
 	is.Equal(len(back.Short()), shortDigits)
 	for _, text := range []string{"", "ab", "zz" + back.String()[2:], back.String() + "00"} {
-		var bad *PrintError
+		var bad *FingerprintError
 		is.True(errors.As(back.UnmarshalText([]byte(text)), &bad))
 		is.Equal(bad.Text, text)
 	}
@@ -53,6 +53,6 @@
 	c := content()
 	c.Body = make([]byte, 4<<10)
 	for b.Loop() {
-		c.Print()
+		c.Fingerprint()
 	}
 }
--- a/core/request/quarantine/register.go
+++ b/core/request/quarantine/register.go
@@ -44,7 +44,7 @@
 // crash is what all gateways have told of the end of a target.
 type crash struct {
 	life
-	requests []Print
+	requests []Fingerprint
 	heard    time.Time
 }
 
@@ -62,8 +62,8 @@
 	// crashes are the last ones, oldest first; counts says in how many of them each request
 	// was under way.
 	crashes []*crash
-	counts  map[Print]int
-	held    map[Print]*held
+	counts  map[Fingerprint]int
+	held    map[Fingerprint]*held
 	// unjudged says that crashes are known that have not been judged, or not since the last
 	// change of what is known, or whose word has not settled.
 	unjudged bool
@@ -75,19 +75,19 @@
 
 // New returns a Register that holds nothing back.
 func New() *Register {
-	return &Register{counts: map[Print]int{}, held: map[Print]*held{}, reports: map[string]int64{}, holds: map[string]int64{}}
+	return &Register{counts: map[Fingerprint]int{}, held: map[Fingerprint]*held{}, reports: map[string]int64{}, holds: map[string]int64{}}
 }
 
 // Crashes returns in how many crashes that are remembered a request was under way.
-func (g *Register) Crashes(p Print) int { return g.counts[p] }
+func (g *Register) Crashes(p Fingerprint) int { return g.counts[p] }
 
-// Held returns how many requests are held back.
-func (g *Register) Held() int { return len(g.held) }
+// Quarantined returns how many requests are held back.
+func (g *Register) Quarantined() int { return len(g.held) }
 
-// Take takes an item that stands in the store under Prefix, in the order of the revisions.
+// Apply takes an item that stands in the store under Prefix, in the order of the revisions.
 // It returns the requests that targets have answered whole here, and that others may hold
 // for culprits. An *ItemError says that the item is not understood.
-func (g *Register) Take(key string, revision int64, value []byte, now time.Time) (innocent []Print, err error) {
+func (g *Register) Apply(key string, revision int64, value []byte, now time.Time) (innocent []Fingerprint, err error) {
 	if isReport(key) {
 		var r Report
 		if err := decode(key, value, &r); err != nil {
@@ -104,7 +104,7 @@
 	if err := decode(key, value, &h); err != nil {
 		return nil, err
 	}
-	h.Trials = max(h.Trials, 0) // whoever has written it
+	h.Probes = max(h.Probes, 0) // whoever has written it
 	g.holds[key] = revision
 	if old := g.held[p]; old == nil || old.revision < revision {
 		g.held[p] = &held{Hold: h, revision: revision, since: now}
@@ -117,20 +117,20 @@
 // not count any more. It reports whether one was freed that was held back until then: the
 // reports of its crashes still stand in the store, and must not count for whoever reads
 // them next.
-func (g *Register) Remove(key string) (freed Print, ok bool) {
+func (g *Register) Remove(key string) (freed Fingerprint, ok bool) {
 	delete(g.reports, key)
 	delete(g.holds, key)
 	p, err := heldPrint(key)
 	if err != nil || g.held[p] == nil {
-		return Print{}, false
+		return Fingerprint{}, false
 	}
 	g.acquit(p)
 	return p, true
 }
 
-// Keep takes the keys that stand in the store after everything was read: the others have
+// RetainOnly takes the keys that stand in the store after everything was read: the others have
 // been removed.
-func (g *Register) Keep(keys map[string]bool) {
+func (g *Register) RetainOnly(keys map[string]bool) {
 	for key := range g.reports {
 		if !keys[key] {
 			delete(g.reports, key)
@@ -145,7 +145,7 @@
 
 // Report takes what a gateway, this one or another, has seen. It returns the requests that
 // targets have answered whole here, and that others may hold for culprits.
-func (g *Register) Report(r *Report, now time.Time) (innocent []Print) {
+func (g *Register) Report(r *Report, now time.Time) (innocent []Fingerprint) {
 	for _, p := range r.Completed {
 		g.acquit(p)
 	}
@@ -165,7 +165,7 @@
 
 // record adds the requests of a crash to what others have told of it.
 func (g *Register) record(told *Crash, now time.Time) {
-	c := g.crash(life{told.Target, told.Born}, now)
+	c := g.crash(life{told.Target, told.StartedAt}, now)
 	for _, p := range told.Requests {
 		if len(c.requests) < maxRequests && !slices.Contains(c.requests, p) {
 			c.requests = append(c.requests, p)
@@ -193,7 +193,7 @@
 	return c
 }
 
-func (g *Register) uncount(p Print) {
+func (g *Register) uncount(p Fingerprint) {
 	g.unjudged = true
 	if g.counts[p]--; g.counts[p] <= 0 {
 		delete(g.counts, p)
@@ -201,19 +201,19 @@
 }
 
 // clear forgets the crashes in which a request was under way.
-func (g *Register) clear(p Print) {
+func (g *Register) clear(p Fingerprint) {
 	if g.counts[p] == 0 {
 		return
 	}
 	g.unjudged = true
 	delete(g.counts, p)
 	for _, c := range g.crashes {
-		c.requests = slices.DeleteFunc(c.requests, func(q Print) bool { return q == p })
+		c.requests = slices.DeleteFunc(c.requests, func(q Fingerprint) bool { return q == p })
 	}
 }
 
 // acquit frees a request.
-func (g *Register) acquit(p Print) {
+func (g *Register) acquit(p Fingerprint) {
 	g.unjudged = true
 	delete(g.held, p)
 	g.clear(p)
@@ -221,7 +221,7 @@
 
 // Completed takes the word that a target has answered a request of this gateway whole. It
 // reports whether the other gateways should know: they may hold it for a culprit.
-func (g *Register) Completed(p Print) bool {
+func (g *Register) Completed(p Fingerprint) bool {
 	g.done.add(p)
 	_, held := g.held[p]
 	if !held && g.counts[p] < tellFrom {
--- a/core/request/quarantine/register_test.go
+++ b/core/request/quarantine/register_test.go
@@ -13,9 +13,9 @@
 // start is when the tests begin; they add to it.
 var start = time.Unix(1_000_000, 0)
 
-func printOf(n int) Print {
+func printOf(n int) Fingerprint {
 	c := Content{Target: fmt.Sprint(n)}
-	return c.Print()
+	return c.Fingerprint()
 }
 
 // bench is a Register with a clock and the crashes that it is told.
@@ -34,7 +34,7 @@
 // crash tells of a further target that has crashed under requests.
 func (b *bench) crash(requests ...int) {
 	b.ended++
-	c := Crash{Target: fmt.Sprintf("t%d", b.ended), Born: 7}
+	c := Crash{Target: fmt.Sprintf("t%d", b.ended), StartedAt: 7}
 	for _, n := range requests {
 		c.Requests = append(c.Requests, printOf(n))
 	}
@@ -44,14 +44,14 @@
 // held returns which of the requests 0 to 99 are held back once all words have settled.
 func (b *bench) held() []int {
 	b.now = b.now.Add(settle)
-	for p, h := range b.Due(b.now) {
+	for p, h := range b.PendingWrites(b.now) {
 		b.stored++
-		_, err := b.Take(HoldKey(p), b.stored, h.Bytes(), b.now)
+		_, err := b.Apply(HoldKey(p), b.stored, h.Bytes(), b.now)
 		b.NoErr(err)
 	}
 	var held []int
 	for n := range 100 {
-		if b.Judge(printOf(n), b.now).Held {
+		if b.Decide(printOf(n), b.now).Quarantined {
 			held = append(held, n)
 		}
 	}
@@ -62,7 +62,7 @@
 func (b *bench) doubtful() []int {
 	var list []int
 	for n := range 100 {
-		if b.Judge(printOf(n), b.now).Trial {
+		if b.Decide(printOf(n), b.now).Probe {
 			list = append(list, n)
 		}
 	}
@@ -72,7 +72,7 @@
 // store writes a hold into the store, as a gateway does.
 func (b *bench) store(n int, h Hold) {
 	b.stored++
-	_, err := b.Take(HoldKey(printOf(n)), b.stored, h.Bytes(), b.now)
+	_, err := b.Apply(HoldKey(printOf(n)), b.stored, h.Bytes(), b.now)
 	b.NoErr(err)
 }
 
@@ -113,12 +113,12 @@
 func TestCrashToldByMany(t *testing.T) {
 	b := newBench(t)
 	for range 5 {
-		b.Report(&Report{Crashes: []Crash{{Target: "t1", Born: 7, Requests: []Print{printOf(1)}}}}, b.now)
+		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: 7, Requests: []Fingerprint{printOf(1)}}}}, b.now)
 	}
 	b.Equal(b.held(), nil)
 	// The same target in two more lives.
 	for born := range int64(2) {
-		b.Report(&Report{Crashes: []Crash{{Target: "t1", Born: born, Requests: []Print{printOf(1)}}}}, b.now)
+		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: born, Requests: []Fingerprint{printOf(1)}}}}, b.now)
 	}
 	b.Equal(b.held(), []int{1})
 }
@@ -130,9 +130,9 @@
 		b.crash(1)
 	}
 	b.now = b.now.Add(settle - 1)
-	b.Equal(len(b.Due(b.now)), 0)
+	b.Equal(len(b.PendingWrites(b.now)), 0)
 	for ended := range 4 {
-		c := Crash{Target: fmt.Sprintf("t%d", ended+1), Born: 7, Requests: []Print{printOf(2)}}
+		c := Crash{Target: fmt.Sprintf("t%d", ended+1), StartedAt: 7, Requests: []Fingerprint{printOf(2)}}
 		b.Report(&Report{Crashes: []Crash{c}}, b.now)
 	}
 	b.Equal(b.held(), []int{2})
@@ -143,8 +143,8 @@
 	b := newBench(t)
 	b.Equal(b.Completed(printOf(1)), false) // nobody holds it for a culprit
 	b.crash(1)
-	innocent := b.Report(&Report{Crashes: []Crash{{Target: "t9", Requests: []Print{printOf(1)}}}}, b.now)
-	b.Equal(innocent, []Print{printOf(1)})
+	innocent := b.Report(&Report{Crashes: []Crash{{Target: "t9", Requests: []Fingerprint{printOf(1)}}}}, b.now)
+	b.Equal(innocent, []Fingerprint{printOf(1)})
 	b.crash(1)
 	b.Equal(b.held(), nil)
 
@@ -168,23 +168,23 @@
 		b.crash(1)
 	}
 	b.now = b.now.Add(settle)
-	b.Equal(b.Due(b.now), map[Print]Hold{printOf(1): {Crashes: 3}})
-	b.True(b.Judge(printOf(1), b.now).Held) // also while the store is away
+	b.Equal(b.PendingWrites(b.now), map[Fingerprint]Hold{printOf(1): {Crashes: 3}})
+	b.True(b.Decide(printOf(1), b.now).Quarantined) // also while the store is away
 	h := Hold{Crashes: 3}
 	for trial, wait := range trialWaits {
 		b.store(1, h)
-		b.Equal(len(b.Due(b.now)), 0) // it stands in the store
+		b.Equal(len(b.PendingWrites(b.now)), 0) // it stands in the store
 		b.now = b.now.Add(time.Minute)
-		b.Equal(b.Judge(printOf(1), b.now), Verdict{Held: true, Hold: h, Revision: b.stored, Comeback: wait - time.Minute})
+		b.Equal(b.Decide(printOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored, RetryAfter: wait - time.Minute})
 		b.now = b.now.Add(wait - time.Minute)
-		v := b.Judge(printOf(1), b.now)
-		b.True(v.Trial)
-		h = v.Hold.Tried()
-		b.Equal(h, Hold{Crashes: 3, Trials: trial + 1})
+		v := b.Decide(printOf(1), b.now)
+		b.True(v.Probe)
+		h = v.Hold.WithProbe()
+		b.Equal(h, Hold{Crashes: 3, Probes: trial + 1})
 	}
 	b.store(1, h)
 	b.now = b.now.Add(100 * time.Hour)
-	b.Equal(b.Judge(printOf(1), b.now), Verdict{Held: true, Hold: h, Revision: b.stored})
+	b.Equal(b.Decide(printOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored})
 }
 
 // Guards against holding a neighbour back that was in the same crashes.
@@ -194,14 +194,14 @@
 		b.crash(1, 2)
 	}
 	b.now = b.now.Add(settle)
-	b.Equal(len(b.Due(b.now)), 2)
-	b.True(!b.Judge(printOf(1), b.now).Held)
+	b.Equal(len(b.PendingWrites(b.now)), 2)
+	b.True(!b.Decide(printOf(1), b.now).Quarantined)
 	b.Equal(b.held(), []int{1, 2})
 	for n := range 2 {
-		v := b.Judge(printOf(n+1), b.now)
-		b.Equal(v.Hold, Hold{Crashes: 3, Soon: true})
-		b.store(n+1, v.Hold.Tried())
-		b.True(!b.Judge(printOf(n+1), b.now).Trial) // one at a time
+		v := b.Decide(printOf(n+1), b.now)
+		b.Equal(v.Hold, Hold{Crashes: 3, ProbeNow: true})
+		b.store(n+1, v.Hold.WithProbe())
+		b.True(!b.Decide(printOf(n+1), b.now).Probe) // one at a time
 	}
 	b.crash(1)
 	b.True(b.Completed(printOf(2)))
@@ -212,18 +212,18 @@
 // Guards against a neighbour that is held for ever since its trials tell nothing.
 func TestTrialThatTellsNothing(t *testing.T) {
 	b := newBench(t)
-	h := Hold{Crashes: 3, Soon: true}
+	h := Hold{Crashes: 3, ProbeNow: true}
 	for trials := range len(trialWaits) {
 		b.store(1, h)
-		v := b.Judge(printOf(1), b.now)
-		b.True(v.Trial)
-		h = v.Hold.Tried().Untold()
-		b.Equal(h.Trials, trials+1)
+		v := b.Decide(printOf(1), b.now)
+		b.True(v.Probe)
+		h = v.Hold.WithProbe().WithInconclusiveProbe()
+		b.Equal(h.Probes, trials+1)
 	}
 	b.store(1, h)
-	b.Equal(b.Judge(printOf(1), b.now), Verdict{Held: true, Hold: h, Revision: b.stored, Comeback: trialWaits[0]})
+	b.Equal(b.Decide(printOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored, RetryAfter: trialWaits[0]})
 	b.now = b.now.Add(trialWaits[0])
-	b.True(b.Judge(printOf(1), b.now).Trial)
+	b.True(b.Decide(printOf(1), b.now).Probe)
 }
 
 // A trial is answered whole: the request is free, and what was known of it counts no more.
@@ -233,12 +233,12 @@
 		b.crash(1)
 	}
 	b.Equal(b.held(), []int{1})
-	b.store(1, Hold{Crashes: 3, Trials: 1})
+	b.store(1, Hold{Crashes: 3, Probes: 1})
 	b.True(b.Completed(printOf(1)))
 	b.Equal(b.held(), nil)
 
 	other := newBench(t)
-	other.store(1, Hold{Crashes: 3, Trials: 1})
+	other.store(1, Hold{Crashes: 3, Probes: 1})
 	other.Equal(other.held(), []int{1})
 	freed, ok := other.Remove(HoldKey(printOf(1)))
 	other.True(ok)
@@ -251,16 +251,16 @@
 	var items [][2]string
 	put := func(n int, r Report) { items = append(items, [2]string{ReportKey("front-1", n), string(r.Bytes())}) }
 	for n := range 3 {
-		put(n, Report{Crashes: []Crash{{Target: fmt.Sprint(n), Requests: []Print{printOf(1)}}}})
+		put(n, Report{Crashes: []Crash{{Target: fmt.Sprint(n), Requests: []Fingerprint{printOf(1)}}}})
 	}
 	b := newBench(t)
 	b.store(1, Hold{Crashes: 3})
 	freed, ok := b.Remove(HoldKey(printOf(1)))
 	b.True(ok)
-	put(3, Report{Completed: []Print{freed}}) // as a gateway does that has seen it
+	put(3, Report{Completed: []Fingerprint{freed}}) // as a gateway does that has seen it
 	later := newBench(t)
 	for i, it := range items {
-		_, err := later.Take(it[0], int64(i+1), []byte(it[1]), later.now)
+		_, err := later.Apply(it[0], int64(i+1), []byte(it[1]), later.now)
 		later.NoErr(err)
 	}
 	later.Equal(later.held(), nil)
@@ -273,11 +273,11 @@
 	b := newBench(t)
 	b.store(1, Hold{Crashes: 3})
 	b.store(2, Hold{Crashes: 3})
-	report := Report{Crashes: []Crash{{Target: "t1", Requests: []Print{printOf(3)}}}}
-	_, err := b.Take(ReportKey("front-1", 1), 9, report.Bytes(), b.now)
+	report := Report{Crashes: []Crash{{Target: "t1", Requests: []Fingerprint{printOf(3)}}}}
+	_, err := b.Apply(ReportKey("front-1", 1), 9, report.Bytes(), b.now)
 	b.NoErr(err)
 	b.Equal(b.held(), []int{1, 2})
-	b.Keep(map[string]bool{HoldKey(printOf(1)): true})
+	b.RetainOnly(map[string]bool{HoldKey(printOf(1)): true})
 	b.Equal(b.held(), []int{1})
 }
 
@@ -292,15 +292,15 @@
 		reportPrefix + "ab/1":         "\x00",
 		ReportKey("front-1", 2) + "x": `{"crashes":7}`,
 	} {
-		_, err := b.Take(key, 1, []byte(value), b.now)
+		_, err := b.Apply(key, 1, []byte(value), b.now)
 		var bad *ItemError
 		b.True(errors.As(err, &bad))
 		b.Equal(bad.Key, key)
 	}
 	b.Equal(b.held(), nil)
-	_, err := b.Take(HoldKey(printOf(1)), 2, []byte(`{"trials":-5}`), b.now)
+	_, err := b.Apply(HoldKey(printOf(1)), 2, []byte(`{"trials":-5}`), b.now)
 	b.NoErr(err)
-	b.True(b.Judge(printOf(1), b.now).Comeback > 0)
+	b.True(b.Decide(printOf(1), b.now).RetryAfter > 0)
 }
 
 // Targets crash for years, with other requests each time.
@@ -337,7 +337,7 @@
 	b := newBench(t)
 	r := Report{}
 	for n := range maxReports + 2 {
-		_, err := b.Take(ReportKey(fmt.Sprintf("front-%d", n), 0), int64(n+1), r.Bytes(), b.now)
+		_, err := b.Apply(ReportKey(fmt.Sprintf("front-%d", n), 0), int64(n+1), r.Bytes(), b.now)
 		b.NoErr(err)
 	}
 	surplus := b.Surplus()
--- a/core/request/quarantine/replay_test.go
+++ b/core/request/quarantine/replay_test.go
@@ -46,7 +46,7 @@
 	registers []*Register
 	coming    [][]event
 	revision  int64
-	holds     map[Print]int64
+	holds     map[Fingerprint]int64
 	// tries are how often the requests that wait may still be sent.
 	tries map[int]int
 	next  int
@@ -60,7 +60,7 @@
 func newStorm(sh shape, seed uint64) *storm {
 	s := &storm{
 		shape: sh, rng: rand.New(rand.NewPCG(seed, 1)), now: start, coming: make([][]event, sh.gateways),
-		holds: map[Print]int64{}, tries: map[int]int{}, next: 1000, refused: map[int]bool{}, sent: map[int]int{}, crashed: map[int]int{},
+		holds: map[Fingerprint]int64{}, tries: map[int]int{}, next: 1000, refused: map[int]bool{}, sent: map[int]int{}, crashed: map[int]int{},
 	}
 	for range sh.gateways {
 		s.registers = append(s.registers, New())
@@ -80,7 +80,7 @@
 }
 
 // write writes a hold if it has a revision in the store, and reports whether it had.
-func (s *storm) write(from int, p Print, revision int64, h Hold) bool {
+func (s *storm) write(from int, p Fingerprint, revision int64, h Hold) bool {
 	if s.holds[p] != revision {
 		return false
 	}
@@ -88,7 +88,7 @@
 	s.holds[p] = s.revision
 	written, at := s.revision, s.now
 	s.tell(from, func(g *Register) {
-		_, err := g.Take(HoldKey(p), written, h.Bytes(), at)
+		_, err := g.Apply(HoldKey(p), written, h.Bytes(), at)
 		if err != nil {
 			panic(err) // It was built here.
 		}
@@ -98,8 +98,8 @@
 
 // let reports whether a gateway sends a request.
 func (s *storm) let(from, n int) bool {
-	v := s.registers[from].Judge(printOf(n), s.now)
-	return !v.Held || v.Trial && s.write(from, printOf(n), v.Revision, v.Hold.Tried())
+	v := s.registers[from].Decide(printOf(n), s.now)
+	return !v.Quarantined || v.Probe && s.write(from, printOf(n), v.Revision, v.Hold.WithProbe())
 }
 
 // place is a request at a target.
@@ -156,7 +156,7 @@
 // lose crashes a target: each gateway tells of its own requests there.
 func (s *storm) lose(placed []place) {
 	s.ended++
-	by := make([][]Print, s.gateways)
+	by := make([][]Fingerprint, s.gateways)
 	for _, p := range placed {
 		by[p.gateway] = append(by[p.gateway], printOf(p.request))
 	}
@@ -172,7 +172,7 @@
 	for _, placed := range at {
 		for _, p := range placed {
 			delete(s.tries, p.request)
-			key, done := printOf(p.request), Report{Completed: []Print{printOf(p.request)}}
+			key, done := printOf(p.request), Report{Completed: []Fingerprint{printOf(p.request)}}
 			if s.registers[p.gateway].Completed(key) {
 				delete(s.holds, key)
 				s.tell(p.gateway, func(g *Register) {
@@ -197,7 +197,7 @@
 				e.apply(g)
 			}
 			s.coming[i] = later
-			for p, h := range g.Due(s.now) {
+			for p, h := range g.PendingWrites(s.now) {
 				s.write(i, p, 0, h)
 			}
 		}
--- a/core/request/quarantine/report.go
+++ b/core/request/quarantine/report.go
@@ -16,8 +16,8 @@
 	holdPrefix   = Prefix + "held/"
 )
 
-// ReasonHeld is why a request is refused that is held back.
-const ReasonHeld = "held-back"
+// ReasonQuarantined is why a request is refused that is held back.
+const ReasonQuarantined = "held-back"
 
 // reportSlots is how many reports of one gateway stand in the store at a time; a later one
 // takes the place of the oldest.
@@ -29,16 +29,16 @@
 }
 
 // HoldKey returns the key that says that a request is held back.
-func HoldKey(p Print) string { return holdPrefix + p.String() }
+func HoldKey(p Fingerprint) string { return holdPrefix + p.String() }
 
 // Crash is the end of a target with the requests whose answers broke off with it, as one
 // gateway saw it.
 type Crash struct {
 	Target string `json:"target"`
-	// Born is when the target had started, in Unix milliseconds: one with the same
+	// StartedAt is when the target had started, in Unix milliseconds: one with the same
 	// identifier may have started again.
-	Born     int64   `json:"born"`
-	Requests []Print `json:"requests"`
+	StartedAt int64         `json:"born"`
+	Requests  []Fingerprint `json:"requests"`
 }
 
 // Report is what one gateway has seen since its last one.
@@ -46,7 +46,7 @@
 	Crashes []Crash `json:"crashes,omitempty"`
 	// Completed are requests that others may hold for culprits and that a target has
 	// answered whole.
-	Completed []Print `json:"completed,omitempty"`
+	Completed []Fingerprint `json:"completed,omitempty"`
 }
 
 // Empty reports whether there is nothing to tell.
@@ -59,18 +59,20 @@
 type Hold struct {
 	// Crashes is how many targets had crashed under it. It is for operators.
 	Crashes int `json:"crashes"`
-	// Trials is how often it was sent again to find out whether it crashes targets.
-	Trials int `json:"trials"`
-	// Soon says that the next trial needs no wait: another request may be the culprit, or
+	// Probes is how often it was sent again to find out whether it crashes targets.
+	Probes int `json:"trials"`
+	// ProbeNow says that the next trial needs no wait: another request may be the culprit, or
 	// the last trial told nothing.
-	Soon bool `json:"soon"`
+	ProbeNow bool `json:"soon"`
 }
 
-// Tried returns the hold once a further trial has begun.
-func (h Hold) Tried() Hold { return Hold{Crashes: h.Crashes, Trials: h.Trials + 1} }
+// WithProbe returns the hold once a further trial has begun.
+func (h Hold) WithProbe() Hold { return Hold{Crashes: h.Crashes, Probes: h.Probes + 1} }
 
-// Untold returns the hold after a trial that has told nothing.
-func (h Hold) Untold() Hold { return Hold{Crashes: h.Crashes, Trials: h.Trials, Soon: true} }
+// WithInconclusiveProbe returns the hold after a trial that has told nothing.
+func (h Hold) WithInconclusiveProbe() Hold {
+	return Hold{Crashes: h.Crashes, Probes: h.Probes, ProbeNow: true}
+}
 
 // Bytes returns the hold as it stands in the store.
 func (h Hold) Bytes() []byte { return encode(h) }
@@ -95,14 +97,14 @@
 func isReport(key string) bool { return strings.HasPrefix(key, reportPrefix) }
 
 // heldPrint returns the request that a key holds back; an *ItemError says that it is none.
-func heldPrint(key string) (Print, error) {
+func heldPrint(key string) (Fingerprint, error) {
 	text, ok := strings.CutPrefix(key, holdPrefix)
 	if !ok {
-		return Print{}, &ItemError{key, "unknown key"}
+		return Fingerprint{}, &ItemError{key, "unknown key"}
 	}
-	var p Print
+	var p Fingerprint
 	if err := p.UnmarshalText([]byte(text)); err != nil {
-		return Print{}, &ItemError{key, err.Error()}
+		return Fingerprint{}, &ItemError{key, err.Error()}
 	}
 	return p, nil
 }
--- a/core/request/quarantine/verdict.go
+++ b/core/request/quarantine/verdict.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// Verdict is what is decided on a request that is about to be sent.
-type Verdict struct {
-	// Held says that the request is not to be sent.
-	Held bool
+// Decision is what is decided on a request that is about to be sent.
+type Decision struct {
+	// Quarantined says that the request is not to be sent.
+	Quarantined bool
 	// Hold is what is known of it, and Revision that of the store, 0 if the hold does not
 	// stand there yet.
 	Hold     Hold
 	Revision int64
-	// Trial says that the request may be sent once, by the gateway that writes Hold.Tried
+	// Probe says that the request may be sent once, by the gateway that writes Hold.Tried
 	// over Revision.
-	Trial bool
-	// Comeback is how long it is until the next trial; 0 if there will be none.
-	Comeback time.Duration
+	Probe bool
+	// RetryAfter is how long it is until the next trial; 0 if there will be none.
+	RetryAfter time.Duration
 }
 
-// Judge decides on a request that is about to be sent.
-func (g *Register) Judge(p Print, now time.Time) Verdict {
+// Decide decides on a request that is about to be sent.
+func (g *Register) Decide(p Fingerprint, now time.Time) Decision {
 	h := g.held[p]
-	if h == nil || h.Soon && h.revision == 0 {
+	if h == nil || h.ProbeNow && h.revision == 0 {
 		// Where another request may be the culprit, a trial must be possible at once, and
 		// it takes the store.
-		return Verdict{}
+		return Decision{}
 	}
-	v := Verdict{Held: true, Hold: h.Hold, Revision: h.revision}
+	v := Decision{Quarantined: true, Hold: h.Hold, Revision: h.revision}
 	wait, more := h.nextTrial()
 	if !more {
 		return v
 	}
-	v.Comeback = max(wait-now.Sub(h.since), 0)
-	if v.Comeback == 0 {
-		v.Trial, v.Comeback = h.revision > 0, trialTime
+	v.RetryAfter = max(wait-now.Sub(h.since), 0)
+	if v.RetryAfter == 0 {
+		v.Probe, v.RetryAfter = h.revision > 0, trialTime
 	}
 	return v
 }
@@ -44,26 +44,26 @@
 // none.
 func (h Hold) nextTrial() (time.Duration, bool) {
 	switch {
-	case h.Soon && h.Trials < len(trialWaits):
+	case h.ProbeNow && h.Probes < len(trialWaits):
 		return 0, true
-	case h.Soon:
+	case h.ProbeNow:
 		// None of the trials has told anything: a neighbour must not be held for ever.
 		return trialWaits[0], true
-	case h.Trials < len(trialWaits):
-		return trialWaits[h.Trials], true
+	case h.Probes < len(trialWaits):
+		return trialWaits[h.Probes], true
 	}
 	return 0, false
 }
 
-// Due holds back the requests that have been found to crash their targets since the last
+// PendingWrites holds back the requests that have been found to crash their targets since the last
 // call, and returns all holds that are not in the store.
-func (g *Register) Due(now time.Time) map[Print]Hold {
+func (g *Register) PendingWrites(now time.Time) map[Fingerprint]Hold {
 	if g.unjudged && len(g.crashes) >= enough {
 		g.convict(now)
 		newest := g.crashes[len(g.crashes)-1]
 		g.unjudged = now.Sub(newest.heard) < settle
 	}
-	due := map[Print]Hold{}
+	due := map[Fingerprint]Hold{}
 	for p, h := range g.held {
 		if h.revision == 0 {
 			due[p] = h.Hold
@@ -80,7 +80,7 @@
 		}
 		settled, likely, sure := g.evidence(p, now)
 		if settled >= enough && likely > 0 {
-			g.held[p] = &held{Hold: Hold{Crashes: n, Soon: sure < enough}, since: now}
+			g.held[p] = &held{Hold: Hold{Crashes: n, ProbeNow: sure < enough}, since: now}
 		}
 	}
 }
@@ -88,7 +88,7 @@
 // evidence counts the crashes that speak against a request: all of which the word has
 // settled, those of which no other request is more likely the culprit, and those of which
 // no other one is nearly as likely.
-func (g *Register) evidence(p Print, now time.Time) (settled, likely, sure int) {
+func (g *Register) evidence(p Fingerprint, now time.Time) (settled, likely, sure int) {
 	n := g.counts[p]
 	for _, c := range g.crashes {
 		if now.Sub(c.heard) < settle || !slices.Contains(c.requests, p) {
@@ -107,7 +107,7 @@
 }
 
 // mostOf returns the most crashes in which one of the other requests of a crash was.
-func (g *Register) mostOf(c *crash, p Print) int {
+func (g *Register) mostOf(c *crash, p Fingerprint) int {
 	most := 0
 	for _, other := range c.requests {
 		if other != p {
--- a/core/request/route/leaving_test.go
+++ b/core/request/route/leaving_test.go
@@ -29,7 +29,7 @@
 	table.Update([]Target{{Name: "near", Model: "m", Region: "addis"}, {Name: "far", Model: "m", Region: "lakes"}})
 	table.Observe(0, Load{Incarnation: 1, Queued: 10, Rate: 1000}, start)
 	table.Observe(1, Load{Incarnation: 1, Rate: 1000}, start)
-	_, far := table.Expected(0, start), table.Expected(1, start)
+	_, far := table.ExpectedWait(0, start), table.ExpectedWait(1, start)
 	is.True(far >= 80*time.Millisecond)
 	is.Equal(shares(table, &Query{Model: "m"}, start, rand.New(rand.NewPCG(1, 1)), 100)[1], 0.0)
 }
@@ -41,7 +41,7 @@
 	table := New(Options{})
 	table.Update([]Target{{Name: "a", Model: "m"}})
 	table.Observe(0, Load{Incarnation: 2, Rate: 1000}, start)
-	before := table.Expected(0, start)
+	before := table.ExpectedWait(0, start)
 	table.Observe(0, Load{Incarnation: 1, Queued: 1e6, Rate: 1000}, start)
-	is.Equal(table.Expected(0, start), before)
+	is.Equal(table.ExpectedWait(0, start), before)
 }
--- a/core/request/route/pick.go
+++ b/core/request/route/pick.go
@@ -84,8 +84,8 @@
 	}
 	c := &t.crowds[p.crowd]
 	limit := bounds{
-		busy: t.opt.Bound * c.busy / float64(max(c.known, 1)),
-		sent: t.opt.Bound * decayed(c.sent, c.sentAt, at) / float64(max(c.size, 1)),
+		busy: t.opt.LoadBound * c.busy / float64(max(c.known, 1)),
+		sent: t.opt.LoadBound * decayed(c.sent, c.sentAt, at) / float64(max(c.size, 1)),
 	}
 	h := q.Prefix
 	for range affinityTries {
@@ -97,7 +97,7 @@
 		}
 		rate := t.rateOf(s)
 		seconds, busy := t.expect(i, at)
-		if busy <= limit.busy+q.Cost/rate && seconds-q.Saved/rate <= best {
+		if busy <= limit.busy+q.Cost/rate && seconds-q.CacheSavings/rate <= best {
 			return i
 		}
 	}
@@ -166,9 +166,9 @@
 // a rank that is slow should have as little to do as possible.
 func (t *Table) SetAvoided(i int, avoided bool) { t.states[i].avoided = avoided }
 
-// SetHeld keeps all requests away from target i, even if no other may take them: it has asked
+// SetPaused keeps all requests away from target i, even if no other may take them: it has asked
 // for that.
-func (t *Table) SetHeld(i int, held bool) { t.states[i].held = held }
+func (t *Table) SetPaused(i int, held bool) { t.states[i].held = held }
 
 // usable reports whether target i takes new work at all.
 func (t *Table) usable(i int, q *Query) bool {
@@ -226,7 +226,7 @@
 	meanQueued, meanBusy := c.queued/known, c.busy/known
 	fresh := 0.0
 	if s.known {
-		fresh = math.Exp(-float64(at-s.at) / float64(t.opt.Memory))
+		fresh = math.Exp(-float64(at-s.at) / float64(t.opt.LoadDecay))
 	}
 	queued := meanQueued + (s.queued-meanQueued)*fresh + s.own
 	busy = max(0, meanBusy+(s.busy-meanBusy)*fresh)
@@ -237,9 +237,9 @@
 	return wait, busy
 }
 
-// Expected returns the expected time to the first token of a new request at
+// ExpectedWait returns the expected time to the first token of a new request at
 // target i; admission compares it with the deadline.
-func (t *Table) Expected(i int, now time.Time) time.Duration {
+func (t *Table) ExpectedWait(i int, now time.Time) time.Duration {
 	wait, _ := t.expect(i, t.nanos(now))
 	return time.Duration(wait * float64(time.Second))
 }
--- a/core/request/route/route.go
+++ b/core/request/route/route.go
@@ -90,8 +90,8 @@
 	Prefix uint64
 	// Cost is the expected work in tokens.
 	Cost float64
-	// Saved is how many tokens of the cost a cached prefix saves.
-	Saved float64
+	// CacheSavings is how many tokens of the cost a cached prefix saves.
+	CacheSavings float64
 	// Urgent and MayNotRepeat keep a request off half-open targets.
 	Urgent       bool
 	MayNotRepeat bool
@@ -150,12 +150,12 @@
 	// Choices is the d of the power of d choices. Zero lets it follow from
 	// the number of entries that share a target; see Table.
 	Choices int
-	// Bound is the most load a target may have for its prefix affinity to
+	// LoadBound is the most load a target may have for its prefix affinity to
 	// hold, as a multiple of the mean.
-	Bound float64
-	// Memory is the time constant in which a load, as it ages, gives way to
+	LoadBound float64
+	// LoadDecay is the time constant in which a load, as it ages, gives way to
 	// the mean of all targets.
-	Memory time.Duration
+	LoadDecay time.Duration
 	// ZonePenalty and RegionPenalty are added to the expected time of targets
 	// in another zone or region.
 	ZonePenalty   time.Duration
@@ -165,8 +165,8 @@
 // The defaults of Options.
 const (
 	DefaultSubset        = 20
-	DefaultBound         = 1.25
-	DefaultMemory        = 250 * time.Millisecond
+	DefaultLoadBound     = 1.25
+	DefaultLoadDecay     = 250 * time.Millisecond
 	DefaultZonePenalty   = 2 * time.Millisecond
 	DefaultRegionPenalty = 80 * time.Millisecond
 )
@@ -175,11 +175,11 @@
 	if o.Subset <= 0 {
 		o.Subset = DefaultSubset
 	}
-	if o.Bound <= 0 {
-		o.Bound = DefaultBound
+	if o.LoadBound <= 0 {
+		o.LoadBound = DefaultLoadBound
 	}
-	if o.Memory <= 0 {
-		o.Memory = DefaultMemory
+	if o.LoadDecay <= 0 {
+		o.LoadDecay = DefaultLoadDecay
 	}
 	if o.ZonePenalty <= 0 {
 		o.ZonePenalty = DefaultZonePenalty
--- a/core/request/route/route_test.go
+++ b/core/request/route/route_test.go
@@ -119,7 +119,7 @@
 // the next burst there as well.
 func TestReportKeepsWorkSentSince(t *testing.T) {
 	is := is.New(t)
-	table, rng := newTable(2, Options{Choices: 2, Memory: time.Hour})
+	table, rng := newTable(2, Options{Choices: 2, LoadDecay: time.Hour})
 	for i := range 2 {
 		table.Observe(i, Load{Queued: 500, Rate: 1000}, start)
 	}
@@ -141,7 +141,7 @@
 	for i := range 8 {
 		table.Observe(i, Load{Running: 10, Rate: 1000}, start)
 	}
-	q := &Query{Model: "caption", Prefix: 42, Cost: 100, Saved: 80}
+	q := &Query{Model: "caption", Prefix: 42, Cost: 100, CacheSavings: 80}
 	work := make([]float64, 8)
 	for range 800 {
 		i, _ := table.Pick(q, start, rng)
@@ -173,7 +173,7 @@
 	for i := range 8 {
 		table.Observe(i, Load{Running: 10, Rate: 1000}, start)
 	}
-	q := &Query{Model: "caption", Prefix: 42, Cost: 100, Saved: 80}
+	q := &Query{Model: "caption", Prefix: 42, Cost: 100, CacheSavings: 80}
 	table.Start(0, 1, start) // the mean cost is known
 	home, _ := table.Pick(q, start, rng)
 	is.Equal(shares(table, q, start, rng, 100)[home], 1.0)
@@ -184,7 +184,7 @@
 		table.Observe(i, Load{Running: 1000, Rate: 1000}, later)
 	}
 	table.Observe(home, Load{Running: 1800, Rate: 1000}, later)
-	is.Equal(shares(table, &Query{Model: "caption", Prefix: 42, Cost: 1, Saved: 1e6}, later, rng, 100)[home], 0.0)
+	is.Equal(shares(table, &Query{Model: "caption", Prefix: 42, Cost: 1, CacheSavings: 1e6}, later, rng, 100)[home], 0.0)
 }
 
 // Twenty entries hear at the same moments that a target idles, and all send it
@@ -193,7 +193,7 @@
 func TestAffinityBoundsOwnWork(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(8, Options{})
-	q := &Query{Model: "caption", Prefix: 42, Cost: 100, Saved: 80}
+	q := &Query{Model: "caption", Prefix: 42, Cost: 100, CacheSavings: 80}
 	count := make([]int, 8)
 	for range 800 {
 		i, _ := table.Pick(q, start, rng)
--- a/core/request/target/plain.go
+++ b/core/request/target/plain.go
@@ -9,12 +9,12 @@
 	"github.com/go-faster/errors"
 )
 
-// Plain is a client of one plain service, safe for concurrent use.
-type Plain struct{ client }
+// Service is a client of one plain service, safe for concurrent use.
+type Service struct{ client }
 
-// NewPlain returns a client of the service at address, an IP number and port.
-func NewPlain(address string, o Options) *Plain {
-	return &Plain{newClient(address, o)}
+// NewService returns a client of the service at address, an IP number and port.
+func NewService(address string, o Options) *Service {
+	return &Service{newClient(address, o)}
 }
 
 // Call is a call of a plain service.
@@ -29,8 +29,8 @@
 	Body   []byte
 }
 
-// Answer is a service's answer, whatever its status.
-type Answer struct {
+// Response is a service's answer, whatever its status.
+type Response struct {
 	Status       int
 	Header       http.Header
 	Backpressure Backpressure
@@ -42,7 +42,7 @@
 // Do makes a call and returns the service's answer as it stands, redirects
 // and errors of the service included, but for the headers that belong to one
 // connection. Its errors are *NotSentError and *BrokenError.
-func (p *Plain) Do(ctx context.Context, c Call) (*Answer, error) {
+func (p *Service) Do(ctx context.Context, c Call) (*Response, error) {
 	h := c.Header.Clone()
 	if h == nil {
 		h = make(http.Header)
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	RemoveHopByHop(resp.Header)
-	return &Answer{Status: resp.StatusCode, Header: resp.Header, Backpressure: backpressureOf(resp.StatusCode, resp.Header), Body: &answerBody{resp.Body}}, nil
+	return &Response{Status: resp.StatusCode, Header: resp.Header, Backpressure: backpressureOf(resp.StatusCode, resp.Header), Body: &answerBody{resp.Body}}, nil
 }
 
 // entryHeaders are meant for the entry and do not reach the target: the
--- a/core/request/target/target_test.go
+++ b/core/request/target/target_test.go
@@ -42,7 +42,7 @@
 				panic(http.ErrAbortHandler)
 			}))
 			defer s.Close()
-			p := target.NewPlain(address(s), target.Options{})
+			p := target.NewService(address(s), target.Options{})
 			a, err := p.Do(t.Context(), target.Call{Method: http.MethodGet, Path: "/warm"})
 			is.NoErr(err)
 			_, _ = io.Copy(io.Discard, a.Body)
@@ -250,7 +250,7 @@
 	}
 	call := target.Call{Method: "PATCH", Path: "/a%2Fb/%C3%A9?q=1&q=%20", Header: h, Body: []byte("body")}
 	call.RequestID, call.Workspace = "r1", "erie"
-	a, err := target.NewPlain(addr, target.Options{}).Do(t.Context(), call)
+	a, err := target.NewService(addr, target.Options{}).Do(t.Context(), call)
 	is.NoErr(err)
 	got := <-request
 	is.Equal(got.Method, "PATCH")
@@ -270,7 +270,7 @@
 func TestPlainCutBodyIsBroken(t *testing.T) {
 	is := is.New(t)
 	addr, _ := raw(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
-	a, err := target.NewPlain(addr, target.Options{}).Do(t.Context(), target.Call{Method: "GET", Path: "/visitations/1"})
+	a, err := target.NewService(addr, target.Options{}).Do(t.Context(), target.Call{Method: "GET", Path: "/visitations/1"})
 	is.NoErr(err)
 	_, err = io.ReadAll(a.Body)
 	var broken *target.BrokenError
--- a/entry/router.go
+++ b/entry/router.go
@@ -202,7 +202,7 @@
 	}
 	r.log.Info("target requested a pause", "target", target, "ms", d.Milliseconds())
 	r.paused[target] = now.Add(d)
-	r.table.SetHeld(slot, true)
+	r.table.SetPaused(slot, true)
 }
 
 // resume sends again to targets whose pause is over. The caller holds mu.
@@ -213,7 +213,7 @@
 		}
 		delete(r.paused, target)
 		if slot, ok := r.table.Lookup(target); ok {
-			r.table.SetHeld(slot, false)
+			r.table.SetPaused(slot, false)
 		}
 	}
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -76,8 +76,8 @@
 		return false
 	}
 	o.Waiting -= own
-	turn := o.Turn(now)
-	if !turn.After(permit.Latest(c.arrived, c.deadline)) {
+	turn := o.ExpectedStart(now)
+	if !turn.After(permit.WaitDeadline(c.arrived, c.deadline)) {
 		return true
 	}
 	c.comeback = turn.Sub(now)
@@ -171,7 +171,7 @@
 	c.mu.Unlock()
 	for {
 		if refusal := c.heldBack(ctx); refusal != nil {
-			c.giveUp(refusal, quarantine.ReasonHeld)
+			c.giveUp(refusal, quarantine.ReasonQuarantined)
 			return
 		}
 		kind, reason, done := c.attempt(ctx)
--- a/gateway/crash/detector.go
+++ b/gateway/crash/detector.go
@@ -77,7 +77,7 @@
 	target deployment.Target
 	// fresh have broken off since somebody was last seen to listen for the target, before
 	// those that had broken off until then.
-	fresh  []quarantine.Print
+	fresh  []quarantine.Fingerprint
 	before []broken
 	last   time.Time
 	// asking says that its address is being asked.
@@ -86,7 +86,7 @@
 
 // broken is a request whose answer broke off.
 type broken struct {
-	request quarantine.Print
+	request quarantine.Fingerprint
 	at      time.Time
 }
 
@@ -94,7 +94,7 @@
 func (b *breaks) over(now time.Time) bool { return !b.asking && now.Sub(b.last) > memory }
 
 // recent returns the requests that may have been under way when a target started again.
-func (b *breaks) recent(now time.Time) []quarantine.Print {
+func (b *breaks) recent(now time.Time) []quarantine.Fingerprint {
 	list := slices.Clone(b.fresh)
 	for _, r := range b.before {
 		if now.Sub(r.at) <= livingMemory && len(list) < maxRequests && !slices.Contains(list, r.request) {
@@ -110,7 +110,7 @@
 }
 
 // Broke takes the word that a target has broken off the answer to a request.
-func (d *Detector) Broke(t deployment.Target, p quarantine.Print) {
+func (d *Detector) Broke(t deployment.Target, p quarantine.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -240,18 +240,18 @@
 }
 
 // tell hands on the crash of a target, if answers broke off with it.
-func (d *Detector) tell(b *breaks, requests []quarantine.Print, how string) {
+func (d *Detector) tell(b *breaks, requests []quarantine.Fingerprint, how string) {
 	if len(requests) == 0 {
 		return
 	}
 	t := b.target
 	d.log.Warn("target crashed", "target", t.ID, "service", t.Service, "addr", t.Addr.String(), "born", t.Born,
 		"how", how, "broken-off", len(requests), "prints", short(requests), "after-ms", time.Since(b.last).Milliseconds())
-	d.ended(quarantine.Crash{Target: t.ID, Born: t.Born, Requests: requests})
+	d.ended(quarantine.Crash{Target: t.ID, StartedAt: t.Born, Requests: requests})
 }
 
 // short returns the beginnings of some fingerprints for a line.
-func short(prints []quarantine.Print) []string {
+func short(prints []quarantine.Fingerprint) []string {
 	texts := make([]string, 0, maxLogged)
 	for _, p := range prints[:min(len(prints), maxLogged)] {
 		texts = append(texts, p.Short())
--- a/gateway/crash/detector_test.go
+++ b/gateway/crash/detector_test.go
@@ -47,9 +47,9 @@
 	return deployment.Target{ID: "t0", Born: 7, Addr: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
-func printOf(n int) quarantine.Print {
+func printOf(n int) quarantine.Fingerprint {
 	c := quarantine.Content{Target: fmt.Sprint(n)}
-	return c.Print()
+	return c.Fingerprint()
 }
 
 // elapse lets the Detector ask the target's address.
@@ -104,7 +104,7 @@
 				}
 				is.Equal(len(b.crashes), tt.want)
 				for _, c := range b.crashes {
-					is.Equal(c, quarantine.Crash{Target: "t0", Born: 7, Requests: []quarantine.Print{printOf(1)}})
+					is.Equal(c, quarantine.Crash{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{printOf(1)}})
 				}
 			})
 		})
@@ -164,6 +164,6 @@
 		b.answer = syscall.ECONNREFUSED
 		b.Broke(target(), printOf(2))
 		elapse()
-		is.Equal(b.crashes, []quarantine.Crash{{Target: "t0", Born: 7, Requests: []quarantine.Print{printOf(2)}}})
+		is.Equal(b.crashes, []quarantine.Crash{{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{printOf(2)}}})
 	})
 }
--- a/gateway/heldback.go
+++ b/gateway/heldback.go
@@ -11,7 +11,7 @@
 type history struct {
 	// print is the fingerprint of the request, once somebody has asked for it; suspect
 	// says that a target may have crashed under it.
-	print   quarantine.Print
+	print   quarantine.Fingerprint
 	suspect bool
 	// trial says that the request was held back and is sent to find out whether it still
 	// crashes targets; crashes is how many had crashed before.
@@ -20,12 +20,12 @@
 }
 
 // fingerprint returns what the request has in common with others of the same content.
-func (c *call) fingerprint() quarantine.Print {
-	if c.print == (quarantine.Print{}) {
+func (c *call) fingerprint() quarantine.Fingerprint {
+	if c.print == (quarantine.Fingerprint{}) {
 		content := quarantine.Content{
 			Method: c.r.Method, Host: c.r.Host, Target: c.r.RequestURI, Workspace: c.workspaceName(), Body: c.body,
 		}
-		c.print = content.Print()
+		c.print = content.Fingerprint()
 	}
 	return c.print
 }
@@ -37,10 +37,10 @@
 		return false
 	}
 	v := c.isolator.judge(c.fingerprint())
-	if !v.Held || v.Trial {
+	if !v.Quarantined || v.Probe {
 		return false
 	}
-	c.giveUp(c.refusal(v), quarantine.ReasonHeld)
+	c.giveUp(c.refusal(v), quarantine.ReasonQuarantined)
 	return true
 }
 
@@ -53,11 +53,11 @@
 	}
 	v := c.isolator.judge(c.fingerprint())
 	switch {
-	case !v.Held:
+	case !v.Quarantined:
 		return nil
 	case c.trial && c.attempts.Errors == 0:
 		return nil // This is the attempt that was let through.
-	case v.Trial && !c.trial && c.isolator.try(ctx, c.fingerprint(), v):
+	case v.Probe && !c.trial && c.isolator.try(ctx, c.fingerprint(), v):
 		c.trial, c.crashes = true, c.isolator.crashes(c.fingerprint())
 		return nil
 	}
@@ -66,10 +66,10 @@
 
 // refusal says what is known of a request that is held back, and when it will be tried
 // again.
-func (c *call) refusal(v quarantine.Verdict) *outcome.Error {
+func (c *call) refusal(v quarantine.Decision) *outcome.Error {
 	c.suspect = true
 	metricHeldCalls.Add(1)
-	return &outcome.Error{Outcome: c.attempts.Outcome(), Reason: quarantine.ReasonHeld, RetryAfter: v.Comeback}
+	return &outcome.Error{Outcome: c.attempts.Outcome(), Reason: quarantine.ReasonQuarantined, RetryAfter: v.RetryAfter}
 }
 
 // endTrial follows up a trial that has brought no whole answer.
--- a/gateway/heldback_test.go
+++ b/gateway/heldback_test.go
@@ -71,9 +71,9 @@
 }
 
 // print is the fingerprint of the calls of a rig.
-func (r *heldRig) print() quarantine.Print {
+func (r *heldRig) print() quarantine.Fingerprint {
 	c := quarantine.Content{Method: http.MethodPost, Host: rigHost, Target: r.call().Path, Workspace: rigSpace, Body: []byte(rigBody)}
-	return c.Print()
+	return c.Fingerprint()
 }
 
 // hold has the calls of the rig held back.
@@ -174,7 +174,7 @@
 func TestTrialIsServed(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newHeldRig(t, deployment.Unsafe, s)
-	r.hold(quarantine.Hold{Crashes: 3, Soon: true})
+	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	for range 3 {
 		_, answer := r.ask()
 		r.Equal(answer.Status, http.StatusOK)
@@ -189,12 +189,12 @@
 func TestTrialCrashes(t *testing.T) {
 	var r *heldRig
 	script := func(x *scripted.Exchange) {
-		r.gateway.isolator.crashed(quarantine.Crash{Target: x.Expect(), Requests: []quarantine.Print{r.print()}})
+		r.gateway.isolator.crashed(quarantine.Crash{Target: x.Expect(), Requests: []quarantine.Fingerprint{r.print()}})
 		x.Close()
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
 	r = newHeldRig(t, deployment.Safe, s0, s1)
-	r.hold(quarantine.Hold{Crashes: 3, Soon: true})
+	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	_, first := r.ask()
 	r.Equal(first.Status, http.StatusBadGateway)
 	time.Sleep(trialSettles + 100*time.Millisecond)
@@ -214,7 +214,7 @@
 			t.Parallel() // It waits most of its time.
 			s := scripted.Serve(t, script)
 			r := newHeldRig(t, deployment.Safe, s)
-			r.hold(quarantine.Hold{Crashes: 3, Soon: true})
+			r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 			for range 5 {
 				_, answer := r.ask()
 				r.True(answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusBadGateway)
@@ -231,13 +231,13 @@
 	r.shelf.down = true
 	s := r.gateway.isolator
 	for _, target := range []string{"a", "b", "c"} {
-		s.crashed(quarantine.Crash{Target: target, Requests: []quarantine.Print{r.print()}})
+		s.crashed(quarantine.Crash{Target: target, Requests: []quarantine.Fingerprint{r.print()}})
 	}
 	r.True(!s.tell(t.Context()))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go s.run(ctx)
-	for !s.judge(r.print()).Held {
+	for !s.judge(r.print()).Quarantined {
 		time.Sleep(isolatorTick)
 	}
 	_, answer := r.ask()
@@ -256,7 +256,7 @@
 	r := newHeldRig(t, deployment.Safe)
 	for n := range 10 * maxUnwritten {
 		s := r.gateway.isolator
-		s.crashed(quarantine.Crash{Target: string(rune(n + 'a')), Requests: []quarantine.Print{r.print()}})
+		s.crashed(quarantine.Crash{Target: string(rune(n + 'a')), Requests: []quarantine.Fingerprint{r.print()}})
 		s.completed(r.print())
 	}
 	s := r.gateway.isolator
@@ -268,11 +268,11 @@
 // Guards against a trial by each gateway.
 func TestOneGatewayTries(t *testing.T) {
 	r := newHeldRig(t, deployment.Safe)
-	r.hold(quarantine.Hold{Crashes: 3, Soon: true})
+	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	other := newIsolator("front-2", r.shelf, r.gateway.log)
 	other.take(r.shelf.all(), true)
 	v := other.judge(r.print())
-	r.True(v.Trial)
+	r.True(v.Probe)
 	r.True(other.try(t.Context(), r.print(), v))
 	r.True(!r.gateway.isolator.try(t.Context(), r.print(), v))
 }
--- a/gateway/isolator.go
+++ b/gateway/isolator.go
@@ -50,7 +50,7 @@
 	// unwritten is what the other gateways are still to be told, and freed the holds that
 	// are to be removed from the store.
 	unwritten quarantine.Report
-	freed     []quarantine.Print
+	freed     []quarantine.Fingerprint
 	// reports counts those that were written.
 	reports int
 }
@@ -71,14 +71,14 @@
 }
 
 // completed takes the word that a target has answered a request whole.
-func (s *isolator) completed(p quarantine.Print) {
+func (s *isolator) completed(p quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.register.Completed(p) {
 		return
 	}
 	s.log.Info("request cleared", "print", p.Short(), "reason", "answered whole")
-	s.innocent([]quarantine.Print{p})
+	s.innocent([]quarantine.Fingerprint{p})
 	if len(s.freed) < maxUnwritten {
 		s.freed = append(s.freed, p)
 	}
@@ -86,7 +86,7 @@
 
 // innocent has the other gateways told of requests that have been answered whole. It is
 // called with the lock held.
-func (s *isolator) innocent(prints []quarantine.Print) {
+func (s *isolator) innocent(prints []quarantine.Fingerprint) {
 	for _, p := range prints {
 		if len(s.unwritten.Completed) < maxUnwritten {
 			s.unwritten.Completed = append(s.unwritten.Completed, p)
@@ -105,65 +105,65 @@
 		if it.Removed {
 			if p, ok := s.register.Remove(it.Key); ok {
 				s.log.Info("request cleared", "print", p.Short(), "reason", "its hold was removed")
-				s.innocent([]quarantine.Print{p})
+				s.innocent([]quarantine.Fingerprint{p})
 			}
 			continue
 		}
-		innocent, err := s.register.Take(it.Key, it.Revision, it.Value, now)
+		innocent, err := s.register.Apply(it.Key, it.Revision, it.Value, now)
 		if err != nil {
 			s.log.Warn("item not understood", "key", it.Key, "revision", it.Revision, "error", err.Error())
 		}
 		s.innocent(innocent)
 	}
 	if whole {
-		s.register.Keep(keys)
+		s.register.RetainOnly(keys)
 	}
 	s.show()
 }
 
 // show sets the metric of the requests that are held back. It is called with the lock held.
-func (s *isolator) show() { metricHeld.Set(int64(s.register.Held())) }
+func (s *isolator) show() { metricHeld.Set(int64(s.register.Quarantined())) }
 
 // holds reports whether any request is held back.
 func (s *isolator) holds() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.register.Held() > 0
+	return s.register.Quarantined() > 0
 }
 
 // judge decides on a request that is about to be sent.
-func (s *isolator) judge(p quarantine.Print) quarantine.Verdict {
+func (s *isolator) judge(p quarantine.Fingerprint) quarantine.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.register.Judge(p, time.Now())
+	return s.register.Decide(p, time.Now())
 }
 
 // try reports whether this gateway is the one that sends a request that is held back to
 // find out whether it still crashes targets. No other gateway does once the store has
 // taken the word.
-func (s *isolator) try(ctx context.Context, p quarantine.Print, v quarantine.Verdict) bool {
-	if !s.hold(ctx, p, v.Revision, v.Hold.Tried()) {
+func (s *isolator) try(ctx context.Context, p quarantine.Fingerprint, v quarantine.Decision) bool {
+	if !s.hold(ctx, p, v.Revision, v.Hold.WithProbe()) {
 		return false
 	}
-	s.log.Info("request on trial", "print", p.Short(), "trials-before", v.Hold.Trials, "crashes", v.Hold.Crashes)
+	s.log.Info("request on trial", "print", p.Short(), "trials-before", v.Hold.Probes, "crashes", v.Hold.Crashes)
 	return true
 }
 
 // tried waits for the word on the target of a trial without a whole answer. If it has not
 // crashed, the trial has told nothing, and the next one need not wait.
-func (s *isolator) tried(p quarantine.Print, before int) {
+func (s *isolator) tried(p quarantine.Fingerprint, before int) {
 	pause.For(context.Background(), trialSettles)
 	if s.crashes(p) > before {
 		return
 	}
-	if v := s.judge(p); v.Held && v.Revision > 0 {
-		s.log.Info("trial has told nothing", "print", p.Short(), "trials", v.Hold.Trials)
-		s.hold(context.Background(), p, v.Revision, v.Hold.Untold())
+	if v := s.judge(p); v.Quarantined && v.Revision > 0 {
+		s.log.Info("trial has told nothing", "print", p.Short(), "trials", v.Hold.Probes)
+		s.hold(context.Background(), p, v.Revision, v.Hold.WithInconclusiveProbe())
 	}
 }
 
 // crashes returns how many targets have crashed while a request was under way.
-func (s *isolator) crashes(p quarantine.Print) int {
+func (s *isolator) crashes(p quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.register.Crashes(p)
@@ -171,7 +171,7 @@
 
 // hold writes that a request is held back over what stands in the store, and reports whether
 // it did.
-func (s *isolator) hold(ctx context.Context, p quarantine.Print, over int64, h quarantine.Hold) bool {
+func (s *isolator) hold(ctx context.Context, p quarantine.Fingerprint, over int64, h quarantine.Hold) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
 	key := quarantine.HoldKey(p)
@@ -241,7 +241,7 @@
 // holdBack holds back the requests that have been found to crash their targets.
 func (s *isolator) holdBack(ctx context.Context) {
 	s.mu.Lock()
-	due := s.register.Due(time.Now())
+	due := s.register.PendingWrites(time.Now())
 	s.show()
 	s.mu.Unlock()
 	if len(due) == 0 {
@@ -253,7 +253,7 @@
 			continue // Another gateway has written it.
 		}
 		if s.hold(ctx, p, 0, h) {
-			s.log.Warn("request held back", "print", p.Short(), "crashes", h.Crashes, "trial-soon", h.Soon)
+			s.log.Warn("request held back", "print", p.Short(), "crashes", h.Crashes, "trial-soon", h.ProbeNow)
 		}
 	}
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -55,7 +55,7 @@
 
 // named takes what an answer says of the limit of its target, and reports whether that is
 // new.
-func (l *limits) named(a permit.Answer, now time.Time) bool {
+func (l *limits) named(a permit.Response, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.Observe(a, now)
@@ -86,7 +86,7 @@
 func (l *limits) use(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tracker.Use(id, now)
+	l.tracker.RecordSent(id, now)
 }
 
 // open adds a target to an opening that is left alone until a time, or takes a request by its
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -110,7 +110,7 @@
 		defer stop()
 		go l.run(ctx)
 		rate := 2.0
-		l.named(permit.Answer{Target: "t0", Service: "pool", Limit: &rate, Sent: time.Now()}, time.Now())
+		l.named(permit.Response{Target: "t0", Service: "pool", Limit: &rate, Sent: time.Now()}, time.Now())
 		ready := func() bool { return !l.unready("pool", time.Now())["t0"] }
 		is.True(!ready())
 		uses := 0
