--- a/agent/calls.go
+++ b/agent/calls.go
@@ -110,11 +110,11 @@
 // not run.
 func (a *Agent) Settle(ctx context.Context, req *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleResponse], error) {
 	q := booking.Query{Grant: grantOf(req.Msg.Grant), Incarnation: req.Msg.Incarnation, Body: booking.Digest(req.Msg.BodyDigest)}
-	var s booking.Settlement
+	var s booking.Resolution
 	if err := a.register.wait(ctx); err != nil {
 		return nil, err
 	}
-	if err := a.register.do(ctx, func(now time.Duration) { s = a.register.executor.Settle(q, now) }); err != nil {
+	if err := a.register.do(ctx, func(now time.Duration) { s = a.register.executor.Resolve(q, now) }); err != nil {
 		return nil, err
 	}
 	resp := &wire.SettleResponse{RequestId: s.RequestID, Incarnation: a.id.incarnation, State: wire.SettleState_SETTLE_STATE_GONE}
--- a/agent/custody.go
+++ b/agent/custody.go
@@ -87,7 +87,7 @@
 // heard notes the incarnation of an agent that is at work, which makes an
 // older register of it useless.
 func (r *register) heard(ctx context.Context, name string, incarnation uint64) {
-	_ = r.duty.Post(ctx, func() { r.custody.Heard(name, incarnation) })
+	_ = r.duty.Post(ctx, func() { r.custody.Observe(name, incarnation) })
 }
 
 // recall takes the register back from the peer that has the newest one.
@@ -122,7 +122,7 @@
 	var skip []string
 	names := config.TargetNames(x.Config())
 	for len(custodians) < handoverPeers {
-		next := booking.CustodianOf(name, names, skip)
+		next := booking.BackupHolderOf(name, names, skip)
 		t, ok := x.Target(next)
 		if !ok {
 			return custodians
--- a/agent/register.go
+++ b/agent/register.go
@@ -36,7 +36,7 @@
 	duty     *duty.Duty
 	home     booking.Home
 	executor booking.Executor
-	custody  booking.Custody
+	custody  booking.Backups
 	store    *store.Client
 	adopt    adoption
 	started  time.Time
@@ -57,7 +57,7 @@
 		duty:     duty.New(registerRing),
 		home:     booking.Home{Name: cfg.Name, Incarnation: id.incarnation, First: id.first, Limits: lim},
 		executor: booking.Executor{Name: cfg.Name, Incarnation: id.incarnation, First: id.first, Limits: lim},
-		custody:  booking.Custody{Limits: lim},
+		custody:  booking.Backups{Limits: lim},
 		store:    s,
 		started:  time.Now(),
 		dialer:   d,
@@ -168,7 +168,7 @@
 }
 
 func sealAnswer(m *wire.SealResponse) booking.SealAnswer {
-	a := booking.SealAnswer{Incarnation: m.Incarnation, Heard: m.Heard, Age: booking.Forever}
+	a := booking.SealAnswer{Incarnation: m.Incarnation, HighestHomeIncarnation: m.Heard, Age: booking.Forever}
 	if !m.WholeMemory {
 		a.Age = time.Duration(m.SinceMs) * time.Millisecond
 	}
@@ -193,7 +193,7 @@
 	if err != nil {
 		return nil, err
 	}
-	resp := &wire.SealResponse{Incarnation: a.Incarnation, Heard: a.Heard, WholeMemory: a.Age == booking.Forever}
+	resp := &wire.SealResponse{Incarnation: a.Incarnation, Heard: a.HighestHomeIncarnation, WholeMemory: a.Age == booking.Forever}
 	if !resp.WholeMemory {
 		resp.SinceMs = uint64(a.Age.Milliseconds())
 	}
--- a/agent/run.go
+++ b/agent/run.go
@@ -84,7 +84,7 @@
 	}
 	_ = r.agent.register.do(context.WithoutCancel(ctx), func(now time.Duration) {
 		if o == outcome.NotRun {
-			r.agent.register.executor.Unsent(r.key, now)
+			r.agent.register.executor.UndoStart(r.key, now)
 			return
 		}
 		r.agent.register.executor.End(r.key, now)
--- a/bench/routing/routing_policy.go
+++ b/bench/routing/routing_policy.go
@@ -30,7 +30,7 @@
 	table    *route.Table
 	monitor  *health.Monitor
 	budgets  *retry.Budgets
-	returns  retry.Returns
+	returns  retry.ReturnScheduler
 	rng      *rand.Rand
 	reported []float64 // lagging, tokens queued
 	inFlight []int
--- a/bench/routing/routing_trial.go
+++ b/bench/routing/routing_trial.go
@@ -202,7 +202,7 @@
 func (e *entry) send(j *job, a *retry.Attempts) {
 	i, ok := e.pick(j)
 	if !ok {
-		e.giveUp(e.returns.GaveUp(e.time(), e.rng))
+		e.giveUp(e.returns.NextRetryAfter(e.time(), e.rng))
 		return
 	}
 	began := e.time()
--- a/core/request/booking/booking_test.go
+++ b/core/request/booking/booking_test.go
@@ -49,7 +49,7 @@
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
 	is.Equal(home.Claim(claimFor(key, "r1", "a"), 0).Kind, BadExecutor) // one crash would lose both records
 	is.Equal(home.Claim(claimFor(key, "r1", "d"), 0).Kind, BadExecutor) // a rebuild would not ask it
-	is.Equal(home.Claim(Claim{Key: key, Executor: "b", Revision: 2}, 0).Reason, ReasonBehind)
+	is.Equal(home.Claim(Claim{Key: key, Executor: "b", Revision: 2}, 0).Reason, ReasonConfigurationBehind)
 	first := home.Claim(claimFor(key, "r1", "b"), 0)
 	is.Equal(first.Kind, Granted)
 	is.Equal(home.Claim(claimFor(key, "r1", "c"), 0), first) // a repeated claim gets the same grant
@@ -59,7 +59,7 @@
 	other.Body[0] = 1
 	is.Equal(home.Claim(other, 0).Kind, Mismatch)
 
-	settled := b.Settle(Query{Grant: second.Grant, Incarnation: 1}, 0)
+	settled := b.Resolve(Query{Grant: second.Grant, Incarnation: 1}, 0)
 	is.Equal(settled.Kind, NeverRan)
 	is.Equal(b.Accept(submission(first, "r1"), 0).Reason, ReasonSealed)
 	is.True(!home.Release(Proof{key, 1, "c", 1}, 0)) // another executor's word is no proof
@@ -70,11 +70,11 @@
 	is.Equal(b.Accept(submission(again, "r2"), 0).Kind, Run)
 	is.True(b.Start(key, 0))
 	is.Equal(b.Accept(submission(again, "r2"), 0).Kind, Attach)
-	is.Equal(b.Settle(Query{Grant: second.Grant, Incarnation: 1, Body: other.Body}, 0).Kind, OtherBody)
-	is.Equal(b.Settle(Query{Grant: second.Grant, Incarnation: 1}, 0).State, Running)
+	is.Equal(b.Resolve(Query{Grant: second.Grant, Incarnation: 1, Body: other.Body}, 0).Kind, OtherBody)
+	is.Equal(b.Resolve(Query{Grant: second.Grant, Incarnation: 1}, 0).State, Running)
 	crashed := &Executor{Name: "b", Incarnation: 2}
 	is.Equal(crashed.Accept(submission(again, "r2"), 0).Reason, ReasonIncarnation)
-	is.Equal(crashed.Settle(Query{Grant: again.Grant, Incarnation: 1}, 0).Kind, Gone)
+	is.Equal(crashed.Resolve(Query{Grant: again.Grant, Incarnation: 1}, 0).Kind, RecordLost)
 }
 
 // A home is killed and its successor knows nothing. A grant of the dead home
@@ -103,8 +103,8 @@
 	is.Equal(held.Kind, Held)
 	is.Equal(held.RequestID, "r1")
 	is.Equal(held.Executor, "b")
-	is.Equal(b.SealHome(Seal{"a", 1}, after).Heard, uint64(2))
-	home.SealAnswered("c", SealAnswer{Heard: 3}, after)
+	is.Equal(b.SealHome(Seal{"a", 1}, after).HighestHomeIncarnation, uint64(2))
+	home.SealAnswered("c", SealAnswer{HighestHomeIncarnation: 3}, after)
 	is.Equal(home.Claim(claimFor(key, "r2", "c"), after).Reason, ReasonSuperseded)
 }
 
@@ -137,7 +137,7 @@
 	is.Equal(held.Executor, "b")
 	is.Equal(held.Grant.Attempt, uint64(4)) // the next one is above every seal
 	is.Equal(home.Claim(claimFor(key, "r1", "b"), 0).Kind, Granted)
-	home.SealAnswered("c", SealAnswer{Age: Forever, Keys: []SealedKey{{Key: key, Attempt: 4, State: Cut}}}, 0)
+	home.SealAnswered("c", SealAnswer{Age: Forever, Keys: []SealedKey{{Key: key, Attempt: 4, State: AnswerLost}}}, 0)
 	is.Equal(home.Claim(claimFor(key, "r1", "c"), 0).Executor, "b")
 }
 
@@ -168,7 +168,7 @@
 	is.Equal(d.Claim(claimFor(free, "r3", "b"), 0).Executor, "c")
 	back := claimFor(held, "r4", "c")
 	back.Revision = 3
-	is.Equal(a.Claim(back, 0).Reason, ReasonBehind)
+	is.Equal(a.Claim(back, 0).Reason, ReasonConfigurationBehind)
 	d.Configure(Generation{Revision: 3, Names: three.Names}, 0)
 	a.Configure(four, 0)
 	a.Configure(Generation{Revision: 3, Names: three.Names}, 0)
@@ -192,7 +192,7 @@
 	is.True(exec.Start(running, 0))
 	exec.Drain()
 	is.Equal(exec.Accept(Submission{Grant: Grant{Key{1}, "b", 7, 1}, Incarnation: 1}, 0).Reason, ReasonDraining)
-	custody := &Custody{}
+	custody := &Backups{}
 	is.True(custody.Put(Handover{home.Export(0), exec.Export(0)}, 0))
 	is.Equal(home.Claim(claimFor(key, "r2", "c"), 0).Kind, Rebuilding)
 	is.True(!exec.Start(queued, 0))
@@ -206,8 +206,8 @@
 
 	next := &Executor{Name: "a", Incarnation: 2}
 	next.Import(h.Executor, 0)
-	is.Equal(next.Settle(Query{Grant: Grant{queued, "b", 7, 1}, Incarnation: 1}, 0).Kind, NeverRan)
-	is.Equal(next.Settle(Query{Grant: Grant{running, "b", 7, 1}, Incarnation: 1}, 0).State, Cut)
+	is.Equal(next.Resolve(Query{Grant: Grant{queued, "b", 7, 1}, Incarnation: 1}, 0).Kind, NeverRan)
+	is.Equal(next.Resolve(Query{Grant: Grant{running, "b", 7, 1}, Incarnation: 1}, 0).State, AnswerLost)
 	is.Equal(next.Accept(Submission{Grant: Grant{Key{2}, "b", 6, 1}, Incarnation: 2}, 0).Reason, ReasonStaleGrant)
 	is.Equal(next.SealHome(Seal{"c", 1}, 0).Age, Forever)
 
@@ -216,8 +216,8 @@
 		home.Configure(three, 0)
 		home.Import(h.Home, 0)
 		home.Rebuild(0)
-		home.SealAnswered("b", SealAnswer{Heard: heard, Age: Forever}, 0)
-		home.SealAnswered("c", SealAnswer{Heard: 1}, 0) // c restarted: a gap, but for the handover
+		home.SealAnswered("b", SealAnswer{HighestHomeIncarnation: heard, Age: Forever}, 0)
+		home.SealAnswered("c", SealAnswer{HighestHomeIncarnation: 1}, 0) // c restarted: a gap, but for the handover
 		is.Equal(home.Claim(claimFor(key, "r1", "b"), 0).Executor, "b")
 		is.Equal(home.Claim(claimFor(keyOf("a", "a", 1000), "r2", "b"), 0).Kind, kind)
 	}
@@ -239,7 +239,7 @@
 	is.Equal(exec.Accept(submission(first, "r1"), 0).Kind, Run)
 	is.Equal(exec.Accept(Submission{Grant: Grant{Key: Key{2}}, Incarnation: 1}, 0).Reason, ReasonFull)
 	is.True(!exec.Start(Key{1}, DefaultMaxRun)) // it waited for as long as a run may take
-	is.Equal(exec.Settle(Query{Grant: first.Grant, Incarnation: 1}, DefaultMaxRun).Kind, NeverRan)
+	is.Equal(exec.Resolve(Query{Grant: first.Grant, Incarnation: 1}, DefaultMaxRun).Kind, NeverRan)
 	end := limits.Window()
 	is.Equal(home.Claim(claimFor(Key{2}, "r2", "a"), end).Kind, Granted)
 	is.Equal(exec.Accept(Submission{Grant: Grant{Key: Key{2}}, Incarnation: 1}, end+DefaultMaxRun).Kind, Run)
@@ -265,7 +265,7 @@
 		is.True(n > 850 && n < 1150)
 	}
 	is.Equal(testing.AllocsPerRun(100, func() { HomeOf(Key{1}, names) }), 0.0)
-	is.Equal(CustodianOf("a", []string{"a", "b"}, nil), "b")
-	is.Equal(CustodianOf("a", []string{"a", "b"}, []string{"b"}), "")
+	is.Equal(BackupHolderOf("a", []string{"a", "b"}, nil), "b")
+	is.Equal(BackupHolderOf("a", []string{"a", "b"}, []string{"b"}), "")
 	is.True(KeyOf("ab", "c") != KeyOf("a", "bc"))
 }
--- a/core/request/booking/custody.go
+++ b/core/request/booking/custody.go
@@ -14,8 +14,8 @@
 	Executor ExecutorExport
 }
 
-// Custody keeps the registers of other agents between their processes.
-type Custody struct {
+// Backups keeps the registers of other agents between their processes.
+type Backups struct {
 	Limits Limits
 	// Max bounds the registers kept; 0 means DefaultMaxHandovers.
 	Max int
@@ -30,10 +30,10 @@
 	after uint64
 }
 
-// CustodianOf returns the agent that keeps the register of name: the next one
+// BackupHolderOf returns the agent that keeps the register of name: the next one
 // in rendezvous order among the others. Skip holds names that could not be
 // reached or refused; one agent only ever gets a register.
-func CustodianOf(name string, names, skip []string) string {
+func BackupHolderOf(name string, names, skip []string) string {
 	others := make([]string, 0, len(names))
 	for _, other := range names {
 		if other != name && !slices.Contains(skip, other) {
@@ -45,7 +45,7 @@
 
 // Put takes a register. It reports false if there is no place; the agent then
 // tries the next custodian.
-func (c *Custody) Put(h Handover, now time.Duration) bool {
+func (c *Backups) Put(h Handover, now time.Duration) bool {
 	for name, d := range c.items {
 		if d.until <= now {
 			delete(c.items, name)
@@ -65,8 +65,8 @@
 	return true
 }
 
-// Heard notes that a process of a name is at work, from its heartbeat.
-func (c *Custody) Heard(name string, incarnation uint64) {
+// Observe notes that a process of a name is at work, from its heartbeat.
+func (c *Backups) Observe(name string, incarnation uint64) {
 	d, ok := c.items[name]
 	if ok && incarnation > d.handover.Home.Incarnation && d.after == 0 {
 		d.after = incarnation
@@ -76,8 +76,8 @@
 // Take gives a register to the next process of its name, again if the answer
 // was lost. A process that worked without the register has made it old: it may
 // have run keys that the register lacks, so that no later one gets it.
-func (c *Custody) Take(name string, incarnation uint64, now time.Duration) (Handover, bool) {
-	c.Heard(name, incarnation)
+func (c *Backups) Take(name string, incarnation uint64, now time.Duration) (Handover, bool) {
+	c.Observe(name, incarnation)
 	d, ok := c.items[name]
 	if !ok || d.until <= now || d.after != incarnation {
 		return Handover{}, false
@@ -87,7 +87,7 @@
 
 // Drain empties the custody and returns what it held, for the next custodian
 // when this agent is shut down itself.
-func (c *Custody) Drain() []Handover {
+func (c *Backups) Drain() []Handover {
 	var out []Handover
 	for _, d := range c.items {
 		if d.after == 0 {
--- a/core/request/booking/doc.go
+++ b/core/request/booking/doc.go
@@ -25,7 +25,7 @@
 //	case booking.Granted:
 //		// submit answer.Grant to answer.Executor, once
 //	case booking.Held:
-//		// settle the earlier attempt at answer.Executor
+//		// resolve the earlier attempt at answer.Executor
 //	}
 //
 // The agent beside the target checks the grant before it queues the request:
@@ -38,7 +38,7 @@
 //
 // A key whose earlier attempt never ran is set free by the executor's proof:
 //
-//	if s := executor.Settle(query, now); s.Kind == booking.NeverRan {
+//	if s := executor.Resolve(query, now); s.Kind == booking.NeverRan {
 //		home.Release(s.Proof, now)
 //	}
 package booking
--- a/core/request/booking/executor.go
+++ b/core/request/booking/executor.go
@@ -21,8 +21,8 @@
 	Running
 	// Ended keys ran to an end.
 	Ended
-	// Cut keys ran in an earlier process whose answers are gone.
-	Cut
+	// AnswerLost keys ran in an earlier process whose answers are gone.
+	AnswerLost
 )
 
 var runStateNames = [...]string{"none", "sealed", "queued", "running", "ended", "cut"}
@@ -50,7 +50,7 @@
 	ReasonStaleGrant   = "stale-grant"
 	ReasonSealed       = "sealed"
 	ReasonOtherAttempt = "other-attempt"
-	ReasonBody         = "body-mismatch"
+	ReasonBodyMismatch = "body-mismatch"
 	ReasonFull         = "register-full"
 )
 
@@ -137,7 +137,7 @@
 
 func (r run) attach(s Submission) Verdict {
 	if r.body != s.Body {
-		return refuse(ReasonBody)
+		return refuse(ReasonBodyMismatch)
 	}
 	if s.Grant.Attempt < r.attempt {
 		return refuse(ReasonOtherAttempt)
@@ -169,9 +169,9 @@
 	e.keep(key, r, Ended, now+e.Limits.withDefaults().Retention)
 }
 
-// Unsent takes a started key back that surely never reached the target, since
+// UndoStart takes a started key back that surely never reached the target, since
 // no connection to it could be made. It reports false if the key does not run.
-func (e *Executor) Unsent(key Key, now time.Duration) (Proof, bool) {
+func (e *Executor) UndoStart(key Key, now time.Duration) (Proof, bool) {
 	r, ok := e.runs.records[key]
 	if !ok || r.state != Running {
 		return Proof{}, false
--- a/core/request/booking/handover.go
+++ b/core/request/booking/handover.go
@@ -125,7 +125,7 @@
 			e.keep(key, r, Sealed, now+e.Limits.Window())
 			k.State, k.Left = Sealed, e.Limits.Window()
 		case Running:
-			k.State, k.Left = Cut, e.Limits.Window()
+			k.State, k.Left = AnswerLost, e.Limits.Window()
 		}
 		out.Keys = append(out.Keys, k)
 	}
@@ -154,7 +154,7 @@
 		r := run{body: k.Body, requestID: k.RequestID, attempt: k.Attempt, home: e.index(k.Home)}
 		state := k.State
 		if state != Sealed {
-			state = Cut
+			state = AnswerLost
 		}
 		e.keep(k.Key, r, state, now+k.Left)
 	}
--- a/core/request/booking/home.go
+++ b/core/request/booking/home.go
@@ -7,11 +7,11 @@
 
 // The reasons that a home gives with its answers.
 const (
-	ReasonGap         = "records-lost"
-	ReasonUnreachable = "previous-home-unreachable"
-	ReasonSuperseded  = "home-superseded"
-	ReasonBehind      = "configuration-behind"
-	ReasonExported    = "home-draining"
+	ReasonRecordsLost         = "records-lost"
+	ReasonUnreachable         = "previous-home-unreachable"
+	ReasonSuperseded          = "home-superseded"
+	ReasonConfigurationBehind = "configuration-behind"
+	ReasonHomeDraining        = "home-draining"
 )
 
 // Generation is one target list of the configuration.
@@ -85,16 +85,16 @@
 		return
 	}
 	if h.current.Revision > 0 {
-		h.Remember(h.current, now)
+		h.AddPrevious(h.current, now)
 	}
 	h.current = g
 	clear(h.asked)
 }
 
-// Remember adds a list that was in force until now, for a process that started
+// AddPrevious adds a list that was in force until now, for a process that started
 // after the change and learned of it from the configuration or a peer. Older
 // lists come first.
-func (h *Home) Remember(g Generation, now time.Duration) {
+func (h *Home) AddPrevious(g Generation, now time.Duration) {
 	lag := h.Limits.withDefaults().ConfigLag
 	h.previous = append(h.previous, pastGeneration{g, now + h.Limits.Window() + lag})
 }
@@ -125,19 +125,19 @@
 // turnAway answers the claims that this home may not decide.
 func (h *Home) turnAway(c Claim, now time.Duration) (Answer, bool) {
 	if h.exported {
-		return h.wait(Rebuilding, ReasonExported), true
+		return h.wait(Rebuilding, ReasonHomeDraining), true
 	}
 	if h.rebuild.superseded {
 		return Answer{Kind: Moved, Reason: ReasonSuperseded}, true
 	}
 	if c.Revision > h.current.Revision {
-		return h.wait(Rebuilding, ReasonBehind), true
+		return h.wait(Rebuilding, ReasonConfigurationBehind), true
 	}
 	if HomeOf(c.Key, h.current.Names) != h.Name {
 		return Answer{Kind: Moved}, true
 	}
 	if r, ok := h.keys.records[c.Key]; ok && r.movedAt >= h.current.Revision && r.movedAt > 0 {
-		return h.wait(Moved, ReasonBehind), true
+		return h.wait(Moved, ReasonConfigurationBehind), true
 	}
 	// A home that started empty does not know what it granted before. Granting
 	// now would run a key again whose first run is still under way.
@@ -152,7 +152,7 @@
 	// While an executor's record is missing, a key that nobody lists may have
 	// run there: it must not run again, and "not run" would be a guess.
 	if h.gap(now) {
-		return Answer{Kind: Unknown, Reason: ReasonGap}
+		return Answer{Kind: Unknown, Reason: ReasonRecordsLost}
 	}
 	return h.grant(c, 1, now)
 }
@@ -167,7 +167,7 @@
 	// That an inherited attempt never ran says nothing of a later one, granted
 	// by the process before and run where the record is missing.
 	if r.hearsay() && h.gap(now) {
-		return Answer{Kind: Unknown, Reason: ReasonGap}
+		return Answer{Kind: Unknown, Reason: ReasonRecordsLost}
 	}
 	if r.executor == 0 {
 		return h.grant(c, r.attempt+1, now)
--- a/core/request/booking/late_test.go
+++ b/core/request/booking/late_test.go
@@ -34,7 +34,7 @@
 	is.Equal(b.Accept(s, 0).Kind, Run)
 	other, late := s, s
 	other.Body[0], late.Grant.Attempt = 1, 1
-	is.Equal(b.Accept(other, 0).Reason, ReasonBody)
+	is.Equal(b.Accept(other, 0).Reason, ReasonBodyMismatch)
 	is.Equal(b.Accept(late, 0).Reason, ReasonOtherAttempt)
 }
 
@@ -63,7 +63,7 @@
 	b := &Executor{Name: "b", Incarnation: 1, First: true, Limits: Limits{MaxKeys: 8}}
 	last := NeverRan
 	for i := range 10 {
-		last = b.Settle(Query{Grant: Grant{Key: Key{byte(i)}, Home: "a", Attempt: 1}, Incarnation: 1}, 0).Kind
+		last = b.Resolve(Query{Grant: Grant{Key: Key{byte(i)}, Home: "a", Attempt: 1}, Incarnation: 1}, 0).Kind
 	}
 	is.Equal(last, Undecided)
 	is.Equal(b.Len(), 9)
@@ -79,5 +79,5 @@
 	is.Equal(home.Len(), 0)
 	exec := &Executor{Name: "a", Incarnation: 2}
 	exec.Import(ExecutorExport{Name: "a", Incarnation: 1, Keys: []ExecutedKey{{SealedKey{Key: Key{1}, State: Ended}, "b", 9}}}, 0)
-	is.Equal(exec.Settle(Query{Grant: Grant{Key: Key{1}}, Incarnation: 1}, 0).State, Cut)
+	is.Equal(exec.Resolve(Query{Grant: Grant{Key: Key{1}}, Incarnation: 1}, 0).State, AnswerLost)
 }
--- a/core/request/booking/rebuild.go
+++ b/core/request/booking/rebuild.go
@@ -55,11 +55,11 @@
 // SealAnswered takes an executor's answer to the seal. Answers may come late
 // and twice.
 func (h *Home) SealAnswered(executor string, a SealAnswer, now time.Duration) {
-	if a.Heard > h.Incarnation {
+	if a.HighestHomeIncarnation > h.Incarnation {
 		h.rebuild.superseded = true
 		return
 	}
-	h.rebuild.heard = max(h.rebuild.heard, a.Heard)
+	h.rebuild.heard = max(h.rebuild.heard, a.HighestHomeIncarnation)
 	h.rebuild.answered = true
 	for _, k := range a.Keys {
 		h.merge(executor, a.Incarnation, k, now)
@@ -98,9 +98,9 @@
 	return len(h.rebuild.pending) > 0 && now-h.rebuild.since < h.Limits.withDefaults().RebuildTimeout
 }
 
-// Gap reports whether records may be missing, so that new keys are answered
+// RecordsMissing reports whether records may be missing, so that new keys are answered
 // Unknown.
-func (h *Home) Gap(now time.Duration) bool { return h.gap(now) }
+func (h *Home) RecordsMissing(now time.Duration) bool { return h.gap(now) }
 
 func (h *Home) gap(now time.Duration) bool {
 	if h.First {
--- a/core/request/booking/settle.go
+++ b/core/request/booking/settle.go
@@ -12,18 +12,18 @@
 	Body Digest
 }
 
-// SettlementKind is what an executor knows of an earlier attempt.
-type SettlementKind int
+// ResolutionKind is what an executor knows of an earlier attempt.
+type ResolutionKind int
 
 // The answers to a query.
 const (
 	// Known says that RequestID holds the key here, in State.
-	Known SettlementKind = iota + 1
+	Known ResolutionKind = iota + 1
 	// NeverRan says that the attempt did not run and will be refused.
 	NeverRan
-	// Gone says that the process which was asked about is gone with its
+	// RecordLost says that the process which was asked about is gone with its
 	// memory: the attempt may have run.
-	Gone
+	RecordLost
 	// Undecided says that the register is full, so that the attempt can't be
 	// sealed now: it may still run.
 	Undecided
@@ -31,42 +31,42 @@
 	OtherBody
 )
 
-// Settlement is an executor's answer to a query.
-type Settlement struct {
-	Kind      SettlementKind
+// Resolution is an executor's answer to a query.
+type Resolution struct {
+	Kind      ResolutionKind
 	RequestID string
 	State     RunState
 	Proof     Proof
 }
 
-// Settle answers what became of an attempt. If it never came, it is sealed
+// Resolve answers what became of an attempt. If it never came, it is sealed
 // first: a submission that was only late is refused from then on, so that the
 // home may grant the key again.
-func (e *Executor) Settle(q Query, now time.Duration) Settlement {
+func (e *Executor) Resolve(q Query, now time.Duration) Resolution {
 	e.forget(now)
 	r, ok := e.runs.records[q.Grant.Key]
 	if ok && r.state != Sealed && r.body != q.Body {
-		return Settlement{Kind: OtherBody}
+		return Resolution{Kind: OtherBody}
 	}
 	if ok && r.state != Sealed {
-		return Settlement{Kind: Known, RequestID: r.requestID, State: r.state}
+		return Resolution{Kind: Known, RequestID: r.requestID, State: r.state}
 	}
 	// An earlier process may have run the key and crashed; only its register,
 	// if it was handed over, can say that it did not.
 	if q.Incarnation != e.Incarnation && !e.earlier[q.Incarnation] {
-		return Settlement{Kind: Gone}
+		return Resolution{Kind: RecordLost}
 	}
 	// Some places stay in reserve for seals: a full register must still be
 	// able to settle the keys that it refused.
 	limit := e.Limits.withDefaults().MaxKeys
 	if !ok && len(e.runs.records) >= limit+limit/8 {
-		return Settlement{Kind: Undecided}
+		return Resolution{Kind: Undecided}
 	}
 	r.attempt = max(r.attempt, q.Grant.Attempt)
 	r.home = e.index(q.Grant.Home)
 	e.keep(q.Grant.Key, r, Sealed, now+e.Limits.Window())
 	proof := Proof{Key: q.Grant.Key, Attempt: q.Grant.Attempt, Executor: e.Name, Incarnation: q.Incarnation}
-	return Settlement{Kind: NeverRan, Proof: proof}
+	return Resolution{Kind: NeverRan, Proof: proof}
 }
 
 // Seal asks an executor to refuse a home's grants below an incarnation and to
@@ -89,9 +89,9 @@
 type SealAnswer struct {
 	// Incarnation is the executor's own.
 	Incarnation uint64
-	// Heard is the home's highest incarnation before this seal. If it is above
+	// HighestHomeIncarnation is the home's highest incarnation before this seal. If it is above
 	// the sealing one, the seal had no effect and the home is superseded.
-	Heard uint64
+	HighestHomeIncarnation uint64
 	// Age is how long the executor has remembered keys without a hole; Forever
 	// if there was no process of its name before.
 	Age  time.Duration
@@ -102,8 +102,8 @@
 // lists what the executor holds for that home.
 func (e *Executor) SealHome(s Seal, now time.Duration) SealAnswer {
 	e.forget(now)
-	answer := SealAnswer{Incarnation: e.Incarnation, Heard: e.floors[s.Home], Age: e.memory(now)}
-	if answer.Heard > s.Incarnation {
+	answer := SealAnswer{Incarnation: e.Incarnation, HighestHomeIncarnation: e.floors[s.Home], Age: e.memory(now)}
+	if answer.HighestHomeIncarnation > s.Incarnation {
 		return answer
 	}
 	e.raise(s.Home, s.Incarnation)
--- a/core/request/booking/world_test.go
+++ b/core/request/booking/world_test.go
@@ -33,7 +33,7 @@
 	started time.Duration
 	home    *Home
 	exec    *Executor
-	custody *Custody
+	custody *Backups
 	revised int
 	seals   []string
 }
@@ -109,7 +109,7 @@
 
 func (w *world) boot(n *node, first bool) {
 	w.next++
-	n.inc, n.up, n.started, n.custody = w.next, true, w.now, &Custody{Limits: w.limits}
+	n.inc, n.up, n.started, n.custody = w.next, true, w.now, &Backups{Limits: w.limits}
 	n.home = &Home{Name: n.name, Incarnation: n.inc, First: first, Limits: w.limits}
 	n.exec = &Executor{Name: n.name, Incarnation: n.inc, First: first, Limits: w.limits}
 	n.revised = 0
@@ -260,10 +260,10 @@
 		w.finish(y, outcome.Unknown, "executor-down")
 		return
 	}
-	s := n.exec.Settle(Query{y.held.Grant, y.held.ExecutorIncarnation, y.body}, w.clock(n))
+	s := n.exec.Resolve(Query{y.held.Grant, y.held.ExecutorIncarnation, y.body}, w.clock(n))
 	w.t.Logf("%v settle %x %s at %s/%d: %d %s", w.now, y.key[0], y.id, n.name, n.inc, s.Kind, s.State)
 	switch {
-	case s.Kind == Known && s.State != Cut:
+	case s.Kind == Known && s.State != AnswerLost:
 		if w.bodies[s.RequestID] != y.body {
 			w.t.Fatalf("%s was attached to %s, which has another body", y.id, s.RequestID)
 		}
--- a/core/request/relay/event.go
+++ b/core/request/relay/event.go
@@ -67,12 +67,12 @@
 	Free
 	// Ended says that the answer came to an explicit end.
 	Ended
-	// Broke says that the connection ended without one.
-	Broke
+	// Disconnected says that the connection ended without one.
+	Disconnected
 	// NotSeen says that the executor never saw the request.
 	NotSeen
-	// Gone says that the executor has lost its memory of the request.
-	Gone
+	// RecordLost says that the executor has lost its memory of the request.
+	RecordLost
 	// Sealed says that the attempt never ran and never will.
 	Sealed
 	// Seen says that the executor has the attempt after all.
--- a/core/request/relay/relay.go
+++ b/core/request/relay/relay.go
@@ -26,14 +26,14 @@
 
 // Reasons that the machine gives for an end. Callers see them.
 const (
-	ReasonNoTarget     = "no-target"
-	ReasonRegister     = "register-unavailable"
-	ReasonKeyReused    = "key-reused-with-other-body"
-	ReasonEarlierTry   = "earlier-attempt-unknown"
-	ReasonInterrupted  = "interrupted"
-	ReasonAnswerGone   = "answer-no-longer-kept"
-	ReasonCallerGone   = "caller-gone"
-	ReasonOverDeadline = "deadline-exceeded"
+	ReasonNoTarget       = "no-target"
+	ReasonRegister       = "register-unavailable"
+	ReasonKeyReused      = "key-reused-with-other-body"
+	ReasonEarlierAttempt = "earlier-attempt-unknown"
+	ReasonInterrupted    = "interrupted"
+	ReasonAnswerGone     = "answer-no-longer-kept"
+	ReasonCallerGone     = "caller-gone"
+	ReasonOverDeadline   = "deadline-exceeded"
 )
 
 // maxLooks is how often an earlier attempt is looked for before it is sealed.
@@ -148,7 +148,7 @@
 		a.Err.Status = http.StatusUnprocessableEntity
 		return a
 	case Uncertain:
-		return finish(outcome.Unknown, ReasonEarlierTry, e.RetryAfter)
+		return finish(outcome.Unknown, ReasonEarlierAttempt, e.RetryAfter)
 	case ClaimFailed:
 		return r.claimFailed(e)
 	case Free:
@@ -156,11 +156,11 @@
 		return r.noTarget(e)
 	case Ended:
 		return r.ended(e)
-	case Broke:
+	case Disconnected:
 		return r.broke(e)
 	case NotSeen:
 		return r.notSeen()
-	case Gone:
+	case RecordLost:
 		return r.gone()
 	case Sealed:
 		return r.sealed()
--- a/core/request/relay/relay_test.go
+++ b/core/request/relay/relay_test.go
@@ -38,10 +38,10 @@
 func TestBrokenOnceIsNeverSubmittedAgain(t *testing.T) {
 	is := is.New(t)
 	r := relay.New(relay.Request{CallerKey: true}, limits)
-	a := play(r, relay.Event{Kind: relay.Picked}, relay.Event{Kind: relay.Granted}, relay.Event{Kind: relay.Broke})
+	a := play(r, relay.Event{Kind: relay.Picked}, relay.Event{Kind: relay.Granted}, relay.Event{Kind: relay.Disconnected})
 	for range limits.Attaches {
 		is.Equal(a.Kind, relay.Attach)
-		a = r.Next(relay.Event{Kind: relay.Broke})
+		a = r.Next(relay.Event{Kind: relay.Disconnected})
 	}
 	is.Equal(a.Kind, relay.Finish)
 	is.Equal(a.Err.Outcome, outcome.Unknown)
@@ -52,7 +52,7 @@
 func TestSealedAttemptIsReleasedAndTriedElsewhere(t *testing.T) {
 	is := is.New(t)
 	r := relay.New(relay.Request{CallerKey: true}, limits)
-	a := play(r, relay.Event{Kind: relay.Picked}, relay.Event{Kind: relay.Granted}, relay.Event{Kind: relay.Broke}, relay.Event{Kind: relay.NotSeen})
+	a := play(r, relay.Event{Kind: relay.Picked}, relay.Event{Kind: relay.Granted}, relay.Event{Kind: relay.Disconnected}, relay.Event{Kind: relay.NotSeen})
 	is.Equal(a.Kind, relay.Seal)
 	is.Equal(r.Next(relay.Event{Kind: relay.Sealed}).Kind, relay.Release)
 	is.Equal(r.Next(relay.Event{Kind: relay.Released}).Kind, relay.Pick)
@@ -94,11 +94,11 @@
 	a := play(r, relay.Event{Kind: relay.Picked})
 	for range limits.Submits - 1 {
 		is.Equal(a.Kind, relay.Submit)
-		is.Equal(r.Next(relay.Event{Kind: relay.Broke, Progress: true}).Kind, relay.Pick)
+		is.Equal(r.Next(relay.Event{Kind: relay.Disconnected, Progress: true}).Kind, relay.Pick)
 		a = r.Next(relay.Event{Kind: relay.Picked})
 		is.True(a.Resume)
 	}
-	a = r.Next(relay.Event{Kind: relay.Broke, Progress: true})
+	a = r.Next(relay.Event{Kind: relay.Disconnected, Progress: true})
 	is.Equal(a.Kind, relay.Finish)
 	is.Equal(a.Err.Outcome, outcome.Failed)
 }
@@ -170,7 +170,7 @@
 	case relay.Attach:
 		return w.answer(t, pick)
 	case relay.Seal:
-		events := []relay.Event{{Kind: relay.Seen}, {Kind: relay.Gone}, {Kind: relay.Broke}}
+		events := []relay.Event{{Kind: relay.Seen}, {Kind: relay.RecordLost}, {Kind: relay.Disconnected}}
 		if !w.earlier {
 			events = append(events, relay.Event{Kind: relay.Sealed})
 		}
@@ -204,10 +204,10 @@
 		{Kind: relay.Ended, Outcome: outcome.Failed, Reason: "target-error"},
 		{Kind: relay.Ended, Outcome: outcome.Unknown, Reason: "target-broken"},
 		{Kind: relay.Ended, Outcome: outcome.Unknown, Handover: true},
-		{Kind: relay.Broke},
-		{Kind: relay.Broke, NotSent: true},
+		{Kind: relay.Disconnected},
+		{Kind: relay.Disconnected, NotSent: true},
 		{Kind: relay.NotSeen},
-		{Kind: relay.Gone},
+		{Kind: relay.RecordLost},
 	}
 	if !w.earlier {
 		events = append(events, relay.Event{Kind: relay.Ended, Outcome: outcome.NotRun, Reason: "queue-full"})
--- a/core/request/retry/losses.go
+++ b/core/request/retry/losses.go
@@ -13,19 +13,19 @@
 	lossEvery = 10 * time.Second
 )
 
-// Losses tells the attempts that broke because their target died. All that was
+// TargetCrashes tells the attempts that broke because their target died. All that was
 // in flight there breaks at once, which is more than a budget of retries has
 // saved up, and each of these requests would end as unknown though other
 // targets are well. To send them elsewhere adds no more than what the dead
 // target had in flight, once in lossEvery. The zero value is ready. It is not
 // safe for concurrent use.
-type Losses struct {
+type TargetCrashes struct {
 	first map[string]time.Time
 }
 
-// Lost records that an attempt at a target broke which had begun at started,
+// AttemptBroke records that an attempt at a target broke which had begun at started,
 // and reports whether its retry is free of the budget.
-func (l *Losses) Lost(target string, started, now time.Time) bool {
+func (l *TargetCrashes) AttemptBroke(target string, started, now time.Time) bool {
 	first, known := l.first[target]
 	if !known || now.Sub(first) >= lossEvery {
 		l.forget(now)
@@ -36,7 +36,7 @@
 }
 
 // forget drops the losses that no longer matter.
-func (l *Losses) forget(now time.Time) {
+func (l *TargetCrashes) forget(now time.Time) {
 	if l.first == nil {
 		l.first = make(map[string]time.Time)
 	}
--- a/core/request/retry/patience.go
+++ b/core/request/retry/patience.go
@@ -8,13 +8,13 @@
 // quarter of its patience and more.
 const firstPart = 0.84
 
-// Patience tells callers that come back from those at their first try by the time
+// ReturnDetector tells callers that come back from those at their first try by the time
 // that they are still ready to wait. Nothing else does: each try has an identifier
 // of its own, and mostly another entry. The zero value has seen nobody.
 //
 // The load pattern it answers is overload, when both kinds wait together: a second
 // refusal is mostly the last, and an answer to who comes back is late in any case.
-type Patience struct {
+type ReturnDetector struct {
 	longest time.Duration
 	seen    int
 }
@@ -32,7 +32,7 @@
 // Returning reports whether a caller that is ready to wait so long has been here
 // before. A caller that does not say counts as one at its first try. Bound is the longest
 // time that the operator lets such a caller wait, 0 if there is none.
-func (p *Patience) Returning(patience, bound time.Duration) bool {
+func (p *ReturnDetector) Returning(patience, bound time.Duration) bool {
 	if patience <= 0 {
 		return false
 	}
--- a/core/request/retry/patience_test.go
+++ b/core/request/retry/patience_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var p Patience
+			var p ReturnDetector
 			got := false
 			for _, d := range tt.patience {
 				got = p.Returning(d, 0)
@@ -40,13 +40,13 @@
 func TestTimeoutTellsBeforeCallersDo(t *testing.T) {
 	const bound = 8 * time.Second
 	is := is.New(t)
-	var p Patience
+	var p ReturnDetector
 	is.True(p.Returning(6200*time.Millisecond, bound))
 	is.True(!p.Returning(6900*time.Millisecond, bound))
 	for range enoughSeen {
 		p.Returning(6900*time.Millisecond, bound)
 	}
 	is.True(!p.Returning(6200*time.Millisecond, bound)) // they only wait as long here
-	var brief Patience
+	var brief ReturnDetector
 	is.True(!brief.Returning(2*time.Second, bound)) // the timeout says nothing of them
 }
--- a/core/request/retry/retry.go
+++ b/core/request/retry/retry.go
@@ -92,7 +92,7 @@
 
 // Decide records an error of the request and decides what follows. A zero
 // deadline means none.
-func Decide(a *Attempts, kind Kind, budget *Budget, returns *Returns, deadline, now time.Time, rng *rand.Rand) Decision {
+func Decide(a *Attempts, kind Kind, budget *Budget, returns *ReturnScheduler, deadline, now time.Time, rng *rand.Rand) Decision {
 	a.Errors++
 	switch kind {
 	case Broken:
@@ -132,8 +132,8 @@
 // giveUp returns the final word. It is about all attempts, not the last: a
 // request that was refused after an attempt that broke may still have run, and
 // a caller who heard "not-run" would send it a second time.
-func giveUp(a *Attempts, reason string, returns *Returns, now time.Time, rng *rand.Rand) *outcome.Error {
-	return &outcome.Error{Outcome: a.Outcome(), Reason: reason, RetryAfter: returns.GaveUp(now, rng)}
+func giveUp(a *Attempts, reason string, returns *ReturnScheduler, now time.Time, rng *rand.Rand) *outcome.Error {
+	return &outcome.Error{Outcome: a.Outcome(), Reason: reason, RetryAfter: returns.NextRetryAfter(now, rng)}
 }
 
 // Outcome returns what is known of the request if nothing more is done for it.
--- a/core/request/retry/retry_test.go
+++ b/core/request/retry/retry_test.go
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			rng := rand.New(rand.NewPCG(1, 1))
-			budget, returns := rich(Key{"erie", "target"}), &Returns{}
+			budget, returns := rich(Key{"erie", "target"}), &ReturnScheduler{}
 			var d Decision
 			for _, kind := range tt.kinds {
 				d = Decide(&tt.state, kind, budget, returns, tt.deadline, start, rng)
@@ -68,7 +68,7 @@
 func TestRetriesDoNotMultiplyLoad(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	budgets, returns := NewBudgets(Limits{}), &Returns{}
+	budgets, returns := NewBudgets(Limits{}), &ReturnScheduler{}
 	requests, calls := 0, 0
 	for n := range 60_000 {
 		now := start.Add(time.Duration(n) * time.Millisecond)
@@ -116,21 +116,21 @@
 func TestReturnIsNoSecondWave(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
-	r := &Returns{}
+	r := &ReturnScheduler{}
 	for n := range 2000 {
 		r.Completed(start.Add(time.Duration(n) * 10 * time.Millisecond))
 	}
 	back := map[int]int{}
 	for n := range 1000 {
 		now := start.Add(20*time.Second + time.Duration(n)*time.Millisecond)
-		at := now.Add(r.GaveUp(now, rng)).Sub(start)
+		at := now.Add(r.NextRetryAfter(now, rng)).Sub(start)
 		back[int(at.Seconds())]++
 	}
 	for _, n := range back {
 		is.True(n <= 35) // callers in one second; 1000 were refused in one
 	}
-	idle := &Returns{} // nothing completes: a minute, evenly
-	is.True(idle.GaveUp(start, rng) != idle.GaveUp(start, rng))
+	idle := &ReturnScheduler{} // nothing completes: a minute, evenly
+	is.True(idle.NextRetryAfter(start, rng) != idle.NextRetryAfter(start, rng))
 }
 
 // Guards against hedging that doubles the load on slow targets.
@@ -155,9 +155,9 @@
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Now()
-	var r Returns
+	var r ReturnScheduler
 	for i := range 3 {
-		wait := r.GaveUp(now, rng)
+		wait := r.NextRetryAfter(now, rng)
 		is.True(wait <= time.Duration(float64(i+1)*1.2*float64(time.Second)))
 	}
 }
--- a/core/request/retry/returns.go
+++ b/core/request/retry/returns.go
@@ -24,13 +24,13 @@
 	jitter = 0.2
 )
 
-// Returns spreads the return of callers whose requests were given up. Each is
+// ReturnScheduler spreads the return of callers whose requests were given up. Each is
 // given a place in a virtual queue that empties at the headroom of the recent
 // rate of completions, so that however many were refused at once, they come
 // back at a rate which the targets can take. A window drawn at random for each
 // caller does not do this: the first callers draw from narrow windows, and the
 // later ones fall on top of them. The zero value is ready.
-type Returns struct {
+type ReturnScheduler struct {
 	completed float64 // requests completed, decaying
 	at        time.Time
 	began     time.Time
@@ -39,15 +39,15 @@
 }
 
 // Completed records a request that got its whole answer.
-func (r *Returns) Completed(now time.Time) {
+func (r *ReturnScheduler) Completed(now time.Time) {
 	r.decay(now)
 	r.completed++
 }
 
-// GaveUp records a request that was given up, and returns the time after which
+// NextRetryAfter records a request that was given up, and returns the time after which
 // its caller may come back, between one second and a minute. If the queue is
 // longer than that, callers are spread over a minute.
-func (r *Returns) GaveUp(now time.Time, rng *rand.Rand) time.Duration {
+func (r *ReturnScheduler) NextRetryAfter(now time.Time, rng *rand.Rand) time.Duration {
 	r.decay(now)
 	first := now.Add(minReturn)
 	if r.free.Before(first) {
@@ -66,14 +66,14 @@
 }
 
 // rate returns how many callers a second may come back.
-func (r *Returns) rate(now time.Time) float64 {
+func (r *ReturnScheduler) rate(now time.Time) float64 {
 	// Since the start less than the memory may have passed.
 	memory := rateMemory.Seconds()
 	span := memory * (1 - math.Exp(-now.Sub(r.began).Seconds()/memory))
 	return headroom * r.completed / max(span, minReturn.Seconds())
 }
 
-func (r *Returns) decay(now time.Time) {
+func (r *ReturnScheduler) decay(now time.Time) {
 	if r.at.IsZero() {
 		r.at, r.began = now, now
 	}
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -120,7 +120,7 @@
 // lost reports whether an attempt broke because its target died, or its agent
 // did, with all that was in flight there.
 func (f *flow) lost(ev relay.Event) bool {
-	broke := ev.Kind == relay.Broke && !ev.NotSent
+	broke := ev.Kind == relay.Disconnected && !ev.NotSent
 	died := ev.Kind == relay.Ended && ev.Outcome == outcome.Unknown && !ev.Handover
 	if !broke && !died || f.req.MayNotRepeat || f.picked.target == nil {
 		return false
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -47,10 +47,10 @@
 	}
 	done, ev := f.frame(data(5, "e"))
 	is.True(done)
-	is.Equal(ev.Kind, relay.Broke)
+	is.Equal(ev.Kind, relay.Disconnected)
 	is.Equal(s.text, "abc")
 	end := &wire.Frame{Kind: wire.FrameKind_FRAME_KIND_END, Outcome: wire.Outcome_OUTCOME_COMPLETE, Sequence: 5}
-	is.Equal(endEvent(end, 3).Kind, relay.Broke)
+	is.Equal(endEvent(end, 3).Kind, relay.Disconnected)
 	end.Sequence = 4
 	is.Equal(endEvent(end, 3).Kind, relay.Ended)
 }
--- a/entry/frames.go
+++ b/entry/frames.go
@@ -19,7 +19,7 @@
 	ctx, span := f.entry.tracer.Start(ctx, "agent.submit", trace.WithAttributes(attribute.String("target", f.picked.target.Name)))
 	defer span.End()
 	if f.expired() {
-		return relay.Event{Kind: relay.Broke, NotSent: true}
+		return relay.Event{Kind: relay.Disconnected, NotSent: true}
 	}
 	f.attempt++
 	f.reading = f.id
@@ -88,7 +88,7 @@
 
 func (f *flow) attach(ctx context.Context) relay.Event {
 	if f.readingAt == nil {
-		return relay.Event{Kind: relay.Gone}
+		return relay.Event{Kind: relay.RecordLost}
 	}
 	stream, err := f.entry.dialer.Attach(ctx, f.readingAt.Agent, &wire.AttachRequest{
 		RequestId:  f.reading,
@@ -138,7 +138,7 @@
 		})
 		return true, ev
 	default:
-		return true, relay.Event{Kind: relay.Broke}
+		return true, relay.Event{Kind: relay.Disconnected}
 	}
 }
 
@@ -156,7 +156,7 @@
 		return false, relay.Event{}
 	}
 	if m.Sequence != f.log.delivered+1 {
-		return true, relay.Event{Kind: relay.Broke}
+		return true, relay.Event{Kind: relay.Disconnected}
 	}
 	if f.firstFrame.IsZero() {
 		f.firstFrame = time.Now()
@@ -174,13 +174,13 @@
 func endEvent(m *wire.Frame, delivered uint64) relay.Event {
 	o := peer.FromWire(m.Outcome)
 	if o == outcome.Complete && m.Sequence != delivered+1 {
-		return relay.Event{Kind: relay.Broke}
+		return relay.Event{Kind: relay.Disconnected}
 	}
 	if m.Reason == peer.ReasonNotSeen {
 		return relay.Event{Kind: relay.NotSeen}
 	}
 	if m.Reason == peer.ReasonGone {
-		return relay.Event{Kind: relay.Gone}
+		return relay.Event{Kind: relay.RecordLost}
 	}
 	return relay.Event{
 		Kind: relay.Ended, Outcome: o, Reason: m.Reason, Handover: m.Handover,
@@ -200,5 +200,5 @@
 func (f *flow) broken(err error) relay.Event {
 	unsent := peer.NotSent(err)
 	f.leave(result{failed: !errors.Is(err, context.Canceled), unsent: unsent})
-	return relay.Event{Kind: relay.Broke, NotSent: unsent}
+	return relay.Event{Kind: relay.Disconnected, NotSent: unsent}
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -141,7 +141,7 @@
 		Grant: f.grant, RequestId: f.reading, Incarnation: f.picked.incarnation, BodyDigest: f.digest[:],
 	}))
 	if err != nil {
-		return relay.Event{Kind: relay.Broke}
+		return relay.Event{Kind: relay.Disconnected}
 	}
 	switch resp.Msg.State {
 	case wire.SettleState_SETTLE_STATE_NEVER_RAN:
@@ -151,7 +151,7 @@
 	case wire.SettleState_SETTLE_STATE_OTHER_BODY:
 		return relay.Event{Kind: relay.Mismatch}
 	default:
-		return relay.Event{Kind: relay.Gone}
+		return relay.Event{Kind: relay.RecordLost}
 	}
 }
 
--- a/entry/returns.go
+++ b/entry/returns.go
@@ -23,8 +23,8 @@
 type returns struct {
 	mu      sync.Mutex
 	budgets *retry.Budgets
-	returns retry.Returns
-	losses  retry.Losses
+	returns retry.ReturnScheduler
+	losses  retry.TargetCrashes
 	rng     *rand.Rand
 	swept   time.Time
 }
@@ -58,7 +58,7 @@
 func (r *returns) lost(target string, started time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.losses.Lost(target, started, time.Now())
+	return r.losses.AttemptBroke(target, started, time.Now())
 }
 
 // end notes how a request ended, and spreads the return of a caller whose
@@ -72,6 +72,6 @@
 		return
 	}
 	if err.Outcome == outcome.NotRun && err.Status == 0 {
-		err.RetryAfter = max(err.RetryAfter, r.returns.GaveUp(now, r.rng))
+		err.RetryAfter = max(err.RetryAfter, r.returns.NextRetryAfter(now, r.rng))
 	}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -46,14 +46,14 @@
 	// rng is not the fleet's, which another lock guards.
 	rng     *rand.Rand
 	budgets *retry.Budgets
-	returns retry.Returns
+	returns retry.ReturnScheduler
 	digests *digests
 	// isolator keeps requests that crash their targets from being sent.
 	isolator *isolator
 	// doubts are told to the other gateways.
 	doubts *doubts
 	// patience tells by route which callers have been here before.
-	patience map[string]*retry.Patience
+	patience map[string]*retry.ReturnDetector
 	// admitters are those of services with engines, by name.
 	admitters map[string]*admitter
 }
@@ -68,7 +68,7 @@
 		isolator:  newIsolator(boot.Instance, store, log),
 		doubts:    newDoubts(boot.Instance, store, log),
 		admitters: map[string]*admitter{},
-		patience:  map[string]*retry.Patience{},
+		patience:  map[string]*retry.ReturnDetector{},
 	}
 	g.doubts.report = g.fleet.doubted
 	g.fleet.tellDoubt = g.doubts.tell
@@ -199,7 +199,7 @@
 	defer g.mu.Unlock()
 	p := g.patience[r.Name]
 	if p == nil {
-		p = &retry.Patience{}
+		p = &retry.ReturnDetector{}
 		g.patience[r.Name] = p
 	}
 	return p.Returning(patience, r.Timeout)
