--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -81,7 +81,7 @@
 
 	// The duty alone uses these.
 	member  *group.Member
-	steward group.Duty
+	steward group.Role
 	holder  *lease.Holder
 	habit   lease.Habit
 	local   []group.Message
@@ -193,15 +193,15 @@
 
 // acting returns the steward while the lease is valid. It is asked right before
 // each use.
-func (g *Part) acting(now time.Duration) *group.Steward {
-	return g.steward.Steward(now, g.stewardConfig(), g.holder)
+func (g *Part) acting(now time.Duration) *group.Coordinator {
+	return g.steward.Coordinator(now, g.stewardConfig(), g.holder)
 }
 
-func (g *Part) stewardConfig() group.StewardConfig {
+func (g *Part) stewardConfig() group.CoordinatorConfig {
 	s := g.shape.Load()
-	return group.StewardConfig{
+	return group.CoordinatorConfig{
 		Members: s.members, MinRanks: s.minRanks(g.cfg.LostRanks), Initial: s.initialVersion(),
-		Beat: g.cfg.Beat, DeadAfter: g.cfg.DeadAfter,
+		ProbeInterval: g.cfg.Beat, DeadAfter: g.cfg.DeadAfter,
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 	if st := g.acting(now); st != nil {
 		st.SetMembers(now, g.shape.Load().members)
-		st.Want(g.wanted())
+		st.SetDesired(g.wanted())
 		g.act(st.Tick(now))
 	}
 	g.act(g.member.Tick(now))
@@ -239,7 +239,7 @@
 // else only after a long silence. The agents ask in turn, so that a free duty
 // costs the store a few calls and not one from each.
 func (g *Part) due(now time.Duration) bool {
-	shape, heard := g.shape.Load(), g.member.Heard()
+	shape, heard := g.shape.Load(), g.member.LastReceived()
 	t := lease.Takeover{Silence: g.cfg.Silence, Stagger: dutyStagger}
 	still := g.member.Orphaned(now)
 	if still && now-heard < stillSilence {
--- a/agent/steering/plan.go
+++ b/agent/steering/plan.go
@@ -44,7 +44,7 @@
 // standing is the group as the steward knows it when a plan is made.
 type standing struct {
 	fence uint64
-	view  group.View
+	view  group.Snapshot
 	// version is the map that all ranks have in force; 0 if they are not settled.
 	version group.Version
 }
@@ -70,8 +70,8 @@
 	answer := make(chan standing, 1)
 	err := g.duty.Do(ctx, func() {
 		now := g.now()
-		if st := g.acting(now); st != nil && !st.Deposed() {
-			answer <- standing{fence: g.holder.Fence(), view: st.View(now)}
+		if st := g.acting(now); st != nil && !st.Superseded() {
+			answer <- standing{fence: g.holder.Fence(), view: st.Snapshot(now)}
 		}
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 }
 
 // commonVersion returns the map of all members in the epoch, or 0.
-func commonVersion(v group.View) group.Version {
+func commonVersion(v group.Snapshot) group.Version {
 	found := group.Version(0)
 	for _, m := range v.Members {
 		switch {
--- a/agent/steering/round.go
+++ b/agent/steering/round.go
@@ -19,7 +19,7 @@
 }
 
 // partOf returns the part of a group that is in the epoch of a view.
-func partOf(s *Shape, v group.View) part {
+func partOf(s *Shape, v group.Snapshot) part {
 	p := part{shape: s.expert}
 	p.shape.Ranks = nil
 	for _, m := range v.Members {
--- a/agent/steering/status.go
+++ b/agent/steering/status.go
@@ -74,7 +74,7 @@
 	return data
 }
 
-func stateOf(v group.View) string {
+func stateOf(v group.Snapshot) string {
 	state := stateSteady
 	if !v.Settled {
 		state = stateSwitching
--- a/bench/groups/switch.go
+++ b/bench/groups/switch.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g.steward.Want(2)
+	g.steward.SetDesired(2)
 	if err := finishSwitch(p, g, "no faults", 2); err != nil {
 		return nil, err
 	}
@@ -102,7 +102,7 @@
 		}
 		return 0, false
 	}
-	g.steward.Want(2)
+	g.steward.SetDesired(2)
 	return g, nil
 }
 
@@ -165,7 +165,7 @@
 		}
 		return 0, false
 	}
-	g.steward.Want(2)
+	g.steward.SetDesired(2)
 	if err := finishSwitch(p, g, "one arm a second late", 2); err != nil {
 		return nil, err
 	}
--- a/bench/groups/switch_world.go
+++ b/bench/groups/switch_world.go
@@ -52,7 +52,7 @@
 	members  []*group.Member
 	starts   []uint64
 	stagger  time.Duration
-	steward  *group.Steward
+	steward  *group.Coordinator
 	stopped  time.Duration // time for which the group stood still
 	messages int
 	bytes    int
@@ -76,7 +76,7 @@
 		g.startAgent(i)
 		g.every(switchTick+time.Duration(i%10)*time.Millisecond/10, func() { g.tickMember(i) })
 	}
-	g.steward = group.NewSteward(group.StewardConfig{Members: g.names, Initial: 1}, 1, g.now)
+	g.steward = group.NewCoordinator(group.CoordinatorConfig{Members: g.names, Initial: 1}, 1, g.now)
 	g.every(switchTick, g.tickSteward)
 	g.after(switchStep, g.step)
 	if !g.until(time.Minute, func() bool { return g.steward.Settled() && g.all(1) }) {
--- a/core/experts/group/codec.go
+++ b/core/experts/group/codec.go
@@ -40,7 +40,7 @@
 		kind = kindPrepare
 	case Arm:
 		kind = kindArm
-	case Ballot:
+	case VoteResponse:
 		kind = kindBallot
 	case Outcome:
 		kind = kindOutcome
@@ -71,7 +71,7 @@
 	case kindArm:
 		return decode[Arm](data)
 	case kindBallot:
-		return decode[Ballot](data)
+		return decode[VoteResponse](data)
 	case kindOutcome:
 		return decode[Outcome](data)
 	case kindForm:
--- a/core/experts/group/codec_test.go
+++ b/core/experts/group/codec_test.go
@@ -14,7 +14,7 @@
 		Report{Sequence: 1<<32 + 1, Fence: 3, Health: Held, Rank: formedRank().State, StepTime: 5},
 		Prepare{Number: num(3, 4), Version: 9},
 		Arm{Switch: sw},
-		Ballot{Number: sw.Number, Vote: Refused},
+		VoteResponse{Number: sw.Number, Vote: Refused},
 		Outcome{Number: sw.Number, Epoch: sw.Epoch, Commit: true},
 		Form{Number: num(3, 12), Members: []string{"a", "b"}, Version: 9, Step: 5, Incarnation: 2},
 		Handover{Fence: 3},
--- a/core/experts/group/duty.go
+++ b/core/experts/group/duty.go
@@ -9,26 +9,26 @@
 	Fence() uint64
 }
 
-// Duty makes the steward of an agent that may hold the duty of a group, and
+// Role makes the steward of an agent that may hold the duty of a group, and
 // keeps it for as long as the fencing number is the same.
 //
 // A lease can cease to be valid and be renewed after all, because its deadline
 // at the holder comes before that at the store. A second steward under the same
 // fence would give out the first one's numbers again, for other orders.
-type Duty struct {
-	steward *Steward
+type Role struct {
+	steward *Coordinator
 	fence   uint64
 }
 
-// Steward returns the steward to act as, or nil while the lease is not valid.
+// Coordinator returns the steward to act as, or nil while the lease is not valid.
 // It has to be asked right before each use.
-func (d *Duty) Steward(now time.Duration, cfg StewardConfig, h holder) *Steward {
+func (d *Role) Coordinator(now time.Duration, cfg CoordinatorConfig, h holder) *Coordinator {
 	if !h.Valid(now) {
 		return nil
 	}
 	if d.steward == nil || d.fence != h.Fence() {
 		d.fence = h.Fence()
-		d.steward = NewSteward(cfg, d.fence, now)
+		d.steward = NewCoordinator(cfg, d.fence, now)
 	}
 	return d.steward
 }
@@ -36,7 +36,7 @@
 // Resign gives up the duty, when the agent drains, and tells the agent that
 // should take it over. The steward does nothing more; Wanted is false until the
 // lease has been released.
-func (d *Duty) Resign(to string) []Action {
+func (d *Role) Resign(to string) []Action {
 	if d.steward == nil || d.steward.deposed {
 		return nil
 	}
@@ -47,9 +47,9 @@
 // Wanted reports whether the agent should have the duty: it goes on with a lease
 // until a member knows of a newer one, and asks for one when due says that
 // nobody else seems to hold it.
-func (d *Duty) Wanted(h holder, due bool) bool {
+func (d *Role) Wanted(h holder, due bool) bool {
 	if h.Fence() == 0 {
 		return due
 	}
-	return d.steward == nil || d.fence != h.Fence() || !d.steward.Deposed()
+	return d.steward == nil || d.fence != h.Fence() || !d.steward.Superseded()
 }
--- a/core/experts/group/end_test.go
+++ b/core/experts/group/end_test.go
@@ -57,7 +57,7 @@
 		return false
 	})
 	w.store.down = true
-	st.duty = &Duty{} // its process goes on; its steward and its lease are gone
+	st.duty = &Role{} // its process goes on; its steward and its lease are gone
 	st.holder = lease.NewHolder(lease.Config{Duty: simDuty, Owner: "again"})
 	epoch := st.rank.State.Epoch
 	w.rounds(t, "no rank waits", func() bool {
--- a/core/experts/group/explorer_test.go
+++ b/core/experts/group/explorer_test.go
@@ -82,7 +82,7 @@
 	starts                uint64
 	member                *Member
 	holder                *lease.Holder
-	duty                  *Duty
+	duty                  *Role
 	// out holds what the agent has decided and not yet sent: a pause between
 	// the check and the send leaves it there.
 	out []any
@@ -163,11 +163,11 @@
 func (w *world) startAgent(i int) {
 	n := w.nodes[i]
 	n.starts++
-	n.up, n.paused, n.out, n.back, n.duty = true, false, nil, nil, &Duty{}
+	n.up, n.paused, n.out, n.back, n.duty = true, false, nil, nil, &Role{}
 	n.member = NewMember(MemberConfig{
 		Name: w.names[i], Habit: n.rank.Habit, Lifetime: w.lifetime, Timeout: 90 * time.Millisecond,
-		Poll: 20 * time.Millisecond, Patience: 60 * time.Millisecond, Stagger: 20 * time.Millisecond,
-		StallAfter: 200 * time.Millisecond, DeadAfter: 400 * time.Millisecond, Orphan: 300 * time.Millisecond,
+		PollInterval: 20 * time.Millisecond, OutcomeTimeout: 60 * time.Millisecond, Stagger: 20 * time.Millisecond,
+		StallAfter: 200 * time.Millisecond, DeadAfter: 400 * time.Millisecond, OrphanTimeout: 300 * time.Millisecond,
 	}, n.starts, w.now)
 	n.member.off = w.off
 	n.holder = lease.NewHolder(lease.Config{
@@ -195,21 +195,21 @@
 		return
 	}
 	take := lease.Takeover{Silence: 800 * time.Millisecond, Stagger: 100 * time.Millisecond}
-	due := take.Due(w.now, n.member.Heard(), simDuty, w.names[i], w.names) || n.member.Orphaned(w.now)
+	due := take.Due(w.now, n.member.LastReceived(), simDuty, w.names[i], w.names) || n.member.Orphaned(w.now)
 	n.holder.Want(n.duty.Wanted(n.holder, due))
 	for _, c := range n.holder.Tick(w.now / n.slow) {
 		n.out = append(n.out, c)
 	}
 	if st := w.steward(n); st != nil {
-		st.Want(w.want)
+		st.SetDesired(w.want)
 		n.take(w, st.Tick(w.now))
 	}
 	n.take(w, n.member.Tick(w.now))
 }
 
 // steward returns the steward that the node's agent may act as, if any.
-func (w *world) steward(n *node) *Steward {
-	return n.duty.Steward(w.now, w.stewardConfig(), slowHolder{n})
+func (w *world) steward(n *node) *Coordinator {
+	return n.duty.Coordinator(w.now, w.stewardConfig(), slowHolder{n})
 }
 
 // slowHolder is the lease of a node by the node's own clock.
@@ -218,10 +218,10 @@
 func (h slowHolder) Valid(now time.Duration) bool { return h.n.holder.Valid(now / h.n.slow) }
 func (h slowHolder) Fence() uint64                { return h.n.holder.Fence() }
 
-func (w *world) stewardConfig() StewardConfig {
-	return StewardConfig{
+func (w *world) stewardConfig() CoordinatorConfig {
+	return CoordinatorConfig{
 		Members: w.names, MinRanks: max(1, len(w.names)-1), Initial: 1, Lead: 5,
-		Beat: 500 * time.Millisecond, FastBeat: 50 * time.Millisecond,
+		ProbeInterval: 500 * time.Millisecond, FastProbeInterval: 50 * time.Millisecond,
 		DeadAfter: 400 * time.Millisecond, RejoinAfter: 300 * time.Millisecond, StallLimit: w.stallLimit,
 	}
 }
--- a/core/experts/group/member.go
+++ b/core/experts/group/member.go
@@ -15,22 +15,22 @@
 	Lifetime time.Duration
 	// Timeout is how long to wait for the rank's answer.
 	Timeout time.Duration
-	// Poll is the interval between readings of the rank, when nothing is going
+	// PollInterval is the interval between readings of the rank, when nothing is going
 	// on; during a switch the reading follows each order.
-	Poll time.Duration
-	// Patience is how long a held rank waits for the steward before its agent
+	PollInterval time.Duration
+	// OutcomeTimeout is how long a held rank waits for the steward before its agent
 	// counts the votes itself; Stagger is added for each place in the group, so
 	// that usually one agent counts.
-	Patience time.Duration
-	Stagger  time.Duration
+	OutcomeTimeout time.Duration
+	Stagger        time.Duration
 	// StallAfter is how long a rank may stay at a step before it is stalled.
 	StallAfter time.Duration
 	// DeadAfter is how long an engine may leave readings without an answer. One
 	// that refuses the connection is dead at once.
 	DeadAfter time.Duration
-	// Orphan is how long a stalled or held rank waits to hear from a steward
+	// OrphanTimeout is how long a stalled or held rank waits to hear from a steward
 	// before its agent should take over the duty.
-	Orphan time.Duration
+	OrphanTimeout time.Duration
 }
 
 // The defaults of MemberConfig, for steps of a few milliseconds.
@@ -52,12 +52,12 @@
 	}{
 		{&c.Lifetime, defaultLifetime},
 		{&c.Timeout, defaultTimeout},
-		{&c.Poll, defaultPoll},
-		{&c.Patience, defaultPatience},
+		{&c.PollInterval, defaultPoll},
+		{&c.OutcomeTimeout, defaultPatience},
 		{&c.Stagger, defaultStagger},
 		{&c.StallAfter, defaultStallAfter},
 		{&c.DeadAfter, defaultDeadAfter},
-		{&c.Orphan, defaultOrphan},
+		{&c.OrphanTimeout, defaultOrphan},
 	} {
 		if *f.field <= 0 {
 			*f.field = f.def
@@ -93,7 +93,7 @@
 
 	heldSince time.Duration
 	held      bool
-	count     *Tally
+	count     *VoteCount
 	askAt     time.Duration
 	askPause  time.Duration
 
@@ -136,8 +136,8 @@
 	return m.guard.Fence()
 }
 
-// Heard returns when a steward was last heard.
-func (m *Member) Heard() time.Duration {
+// LastReceived returns when a steward was last heard.
+func (m *Member) LastReceived() time.Duration {
 	return m.heard
 }
 
@@ -148,7 +148,7 @@
 	if m.vacant {
 		return true
 	}
-	if now-m.heard < m.cfg.Orphan {
+	if now-m.heard < m.cfg.OrphanTimeout {
 		return false
 	}
 	switch m.Health(now) {
@@ -171,7 +171,7 @@
 		acts = m.voteOn(now, from, msg.Switch)
 	case Form:
 		acts = m.formed(now, from, msg)
-	case Ballot:
+	case VoteResponse:
 		acts = m.voted(from, msg)
 	case Outcome:
 		m.learned(msg)
@@ -230,7 +230,7 @@
 			m.heldSince = now
 		}
 		if v := m.rank.Vote(sw); v != Open {
-			return []Action{Send{To: from, Message: Ballot{Number: sw.Number, Vote: v}}}
+			return []Action{Send{To: from, Message: VoteResponse{Number: sw.Number, Vote: v}}}
 		}
 		if sw.Epoch != m.rank.Epoch {
 			return m.report(now, from, false)
--- a/core/experts/group/member_count.go
+++ b/core/experts/group/member_count.go
@@ -18,7 +18,7 @@
 	m.ballot = nil
 	var acts []Action
 	for _, to := range b.askers {
-		acts = append(acts, Send{To: to, Message: Ballot{Number: b.sw.Number, Vote: v}})
+		acts = append(acts, Send{To: to, Message: VoteResponse{Number: b.sw.Number, Vote: v}})
 	}
 	return acts
 }
@@ -43,14 +43,14 @@
 // without any of its ranks in any case.
 func (m *Member) countVotes(now time.Duration) []Action {
 	place := slices.Index(m.rank.Members, m.cfg.Name)
-	wait := m.cfg.Patience + time.Duration(max(place, 0))*m.cfg.Stagger
+	wait := m.cfg.OutcomeTimeout + time.Duration(max(place, 0))*m.cfg.Stagger
 	if !m.held || !m.rank.Undecided() || now-m.heldSince < wait {
 		return nil
 	}
 	if m.count == nil || m.count.Switch != m.rank.Armed {
-		m.count = NewTally(m.rank.Armed)
+		m.count = NewVoteCount(m.rank.Armed)
 		m.count.Add(m.cfg.Name, Armed)
-		m.askAt, m.askPause = now, m.cfg.Patience
+		m.askAt, m.askPause = now, m.cfg.OutcomeTimeout
 	}
 	if now < m.askAt {
 		return nil
@@ -68,7 +68,7 @@
 
 // voted counts a vote that the member has asked for, and tells everyone the
 // outcome when it is fixed.
-func (m *Member) voted(from string, b Ballot) []Action {
+func (m *Member) voted(from string, b VoteResponse) []Action {
 	if m.count == nil || b.Number != m.count.Switch.Number || m.rank.Epoch != m.count.Switch.Epoch {
 		return nil
 	}
--- a/core/experts/group/member_link.go
+++ b/core/experts/group/member_link.go
@@ -115,9 +115,9 @@
 func (m *Member) poll() time.Duration {
 	const armedDivisor = 5
 	if m.rank.Undecided() {
-		return m.cfg.Poll / armedDivisor
+		return m.cfg.PollInterval / armedDivisor
 	}
-	return m.cfg.Poll
+	return m.cfg.PollInterval
 }
 
 // begin asks the guard. A stale order is not sent; what it was for has been
--- a/core/experts/group/member_test.go
+++ b/core/experts/group/member_test.go
@@ -130,7 +130,7 @@
 			read := acts[0].(Read) // it says nothing before it has read the rank
 			is.Equal(len(acts), 1)
 			acts = m.Observed(time.Second, read.ID, r.State, true)
-			is.Equal(acts[0], Send{To: "b", Message: Ballot{Number: sw.Number, Vote: tt.want}})
+			is.Equal(acts[0], Send{To: "b", Message: VoteResponse{Number: sw.Number, Vote: tt.want}})
 		})
 	}
 }
@@ -148,9 +148,9 @@
 	is.Equal(len(acts), 1)
 	report := acts[0].(Send).Message.(Report)
 
-	old := NewSteward(StewardConfig{Members: []string{"a", "b"}}, 2, time.Second)
+	old := NewCoordinator(CoordinatorConfig{Members: []string{"a", "b"}}, 2, time.Second)
 	old.Receive(time.Second, "a", report)
-	is.True(old.Deposed())
+	is.True(old.Superseded())
 	is.Equal(len(old.Tick(time.Minute)), 0)
 }
 
@@ -174,7 +174,7 @@
 func TestReplacedMemberIsTakenIn(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
-	s := NewSteward(StewardConfig{Members: []string{"a", "c"}}, 5, now)
+	s := NewCoordinator(CoordinatorConfig{Members: []string{"a", "c"}}, 5, now)
 	s.Tick(now)
 	report := Report{Sequence: 1, Health: Stepping, Rank: formedRank().State} // of the epoch of a and b
 	s.Receive(now, "a", report)
@@ -211,12 +211,12 @@
 // start, and two different epochs would have one number.
 func TestOneStewardForEachFence(t *testing.T) {
 	is := is.New(t)
-	var d Duty
-	cfg := StewardConfig{Members: []string{"a"}}
-	first := d.Steward(1, cfg, leaseAt{true, 4})
-	is.True(d.Steward(2, cfg, leaseAt{false, 4}) == nil)
-	is.True(d.Steward(3, cfg, leaseAt{true, 4}) == first)
-	is.True(d.Steward(4, cfg, leaseAt{true, 5}) != first)
+	var d Role
+	cfg := CoordinatorConfig{Members: []string{"a"}}
+	first := d.Coordinator(1, cfg, leaseAt{true, 4})
+	is.True(d.Coordinator(2, cfg, leaseAt{false, 4}) == nil)
+	is.True(d.Coordinator(3, cfg, leaseAt{true, 4}) == first)
+	is.True(d.Coordinator(4, cfg, leaseAt{true, 5}) != first)
 }
 
 // One rank is slow, another's engine is gone. Forming the group again costs
--- a/core/experts/group/message.go
+++ b/core/experts/group/message.go
@@ -45,8 +45,8 @@
 	Switch Switch `json:"switch,omitzero"`
 }
 
-// Ballot is a member's vote. Armed and Refused never change once said.
-type Ballot struct {
+// VoteResponse is a member's vote. Armed and Refused never change once said.
+type VoteResponse struct {
 	Number lease.Number `json:"number,omitzero"`
 	Vote   Vote         `json:"vote,omitzero"`
 }
@@ -86,14 +86,14 @@
 	return r.Sequence < o.Sequence
 }
 
-func (Probe) message()    {}
-func (Report) message()   {}
-func (Prepare) message()  {}
-func (Arm) message()      {}
-func (Ballot) message()   {}
-func (Outcome) message()  {}
-func (Form) message()     {}
-func (Handover) message() {}
+func (Probe) message()        {}
+func (Report) message()       {}
+func (Prepare) message()      {}
+func (Arm) message()          {}
+func (VoteResponse) message() {}
+func (Outcome) message()      {}
+func (Form) message()         {}
+func (Handover) message()     {}
 
 // Action is something that the adapter has to do.
 type Action interface{ action() }
@@ -167,32 +167,32 @@
 	}
 }
 
-// Tally counts the votes on one switch.
-type Tally struct {
+// VoteCount counts the votes on one switch.
+type VoteCount struct {
 	Switch Switch
 	votes  map[string]Vote
 }
 
-// NewTally returns a tally without votes.
-func NewTally(sw Switch) *Tally {
-	return &Tally{Switch: sw, votes: make(map[string]Vote)}
+// NewVoteCount returns a tally without votes.
+func NewVoteCount(sw Switch) *VoteCount {
+	return &VoteCount{Switch: sw, votes: make(map[string]Vote)}
 }
 
 // Add counts a vote; only the first Armed or Refused of a member counts.
-func (t *Tally) Add(member string, v Vote) {
+func (t *VoteCount) Add(member string, v Vote) {
 	if (v == Armed || v == Refused) && t.votes[member] == Open {
 		t.votes[member] = v
 	}
 }
 
 // Missing reports whether a member's vote is still wanted.
-func (t *Tally) Missing(member string) bool {
+func (t *VoteCount) Missing(member string) bool {
 	return t.votes[member] == Open
 }
 
 // Outcome returns the outcome once the votes fix it: abort as soon as one
 // member has refused, commit when every member of the epoch is armed.
-func (t *Tally) Outcome(members []string) (commit, known bool) {
+func (t *VoteCount) Outcome(members []string) (commit, known bool) {
 	all := len(members) > 0
 	for _, m := range members {
 		switch t.votes[m] {
--- a/core/experts/group/refusal_test.go
+++ b/core/experts/group/refusal_test.go
@@ -70,7 +70,7 @@
 // who count the same votes would tell different outcomes.
 func TestFirstVoteCounts(t *testing.T) {
 	is := is.New(t)
-	tally := NewTally(Switch{})
+	tally := NewVoteCount(Switch{})
 	tally.Add("a", Refused)
 	tally.Add("a", Armed)
 	commit, known := tally.Outcome([]string{"a"})
@@ -82,7 +82,7 @@
 // the group at any of these would break every request in it for nothing.
 func TestStewardBidesItsTime(t *testing.T) {
 	is := is.New(t)
-	s := NewSteward(StewardConfig{Members: []string{"a", "b"}, MinRanks: 1}, 5, 0)
+	s := NewCoordinator(CoordinatorConfig{Members: []string{"a", "b"}, MinRanks: 1}, 5, 0)
 	is.Equal(len(sends[Form](s.Receive(0, "a", Report{Sequence: 1, Health: Empty}))), 0)
 	s.Receive(0, "b", Report{Sequence: 2, Health: Stalled, Rank: formedRank().State})
 	s.Receive(0, "b", Report{Sequence: 1, Health: Dead})
--- a/core/experts/group/steward.go
+++ b/core/experts/group/steward.go
@@ -35,14 +35,14 @@
 	stalledSince time.Duration
 }
 
-// Steward drives a group's switches and formings while its agent holds the
+// Coordinator drives a group's switches and formings while its agent holds the
 // duty. It is made anew for every lease and holds nothing that must last: what
 // it needs is in the reports. Its adapter drops it when the lease is no longer
 // valid, and asks lease.Holder.Valid right before each Tick and send.
-type Steward struct {
+type Coordinator struct {
 	// given is the setting without its defaults.
-	given StewardConfig
-	cfg   StewardConfig
+	given CoordinatorConfig
+	cfg   CoordinatorConfig
 	fence uint64
 	// sequence is the last base number given out.
 	sequence uint64
@@ -53,7 +53,7 @@
 	issued   bool
 	announce bool
 	prepare  *Prepare
-	tally    *Tally
+	tally    *VoteCount
 	// decided is the outcome of the last switch.
 	decided  Outcome
 	began    time.Duration
@@ -68,9 +68,9 @@
 	deposed  bool
 }
 
-// NewSteward returns the steward of a lease that was given under fence.
-func NewSteward(cfg StewardConfig, fence uint64, now time.Duration) *Steward {
-	s := &Steward{given: cfg, cfg: cfg.withDefaults(), fence: fence, seats: make(map[string]*seat)}
+// NewCoordinator returns the steward of a lease that was given under fence.
+func NewCoordinator(cfg CoordinatorConfig, fence uint64, now time.Duration) *Coordinator {
+	s := &Coordinator{given: cfg, cfg: cfg.withDefaults(), fence: fence, seats: make(map[string]*seat)}
 	s.lead = s.cfg.Lead
 	for _, m := range cfg.Members {
 		s.seat(m, now)
@@ -81,15 +81,15 @@
 }
 
 // seat makes sure that a member has a seat.
-func (s *Steward) seat(member string, now time.Duration) {
+func (s *Coordinator) seat(member string, now time.Duration) {
 	if s.seats[member] == nil {
-		s.seats[member] = &seat{probed: now - s.cfg.Beat}
+		s.seats[member] = &seat{probed: now - s.cfg.ProbeInterval}
 	}
 }
 
 // SetMembers changes the configured ranks, as when an instance is replaced by
 // one of another name. The group is formed again once enough of them answer.
-func (s *Steward) SetMembers(now time.Duration, members []string) {
+func (s *Coordinator) SetMembers(now time.Duration, members []string) {
 	if slices.Equal(members, s.cfg.Members) {
 		return
 	}
@@ -100,24 +100,24 @@
 	}
 }
 
-// Want sets the map that the group should use; the zero Version means the one it
+// SetDesired sets the map that the group should use; the zero Version means the one it
 // uses. A change before ranks are armed drops the switch that was prepared.
-func (s *Steward) Want(v Version) {
+func (s *Coordinator) SetDesired(v Version) {
 	if v == s.want {
 		return
 	}
 	s.want, s.prepare = v, nil
 }
 
-// Deposed reports whether a member knows of a newer lease. The adapter gives up
+// Superseded reports whether a member knows of a newer lease. The adapter gives up
 // the duty then.
-func (s *Steward) Deposed() bool {
+func (s *Coordinator) Superseded() bool {
 	return s.deposed
 }
 
 // Settled reports whether every member is in one epoch, no switch is under way
 // and the wanted map is in force.
-func (s *Steward) Settled() bool {
+func (s *Coordinator) Settled() bool {
 	if s.form == nil || s.announce || s.tally != nil {
 		return false
 	}
@@ -134,7 +134,7 @@
 }
 
 // Receive takes a message from a member's agent.
-func (s *Steward) Receive(now time.Duration, from string, msg Message) []Action {
+func (s *Coordinator) Receive(now time.Duration, from string, msg Message) []Action {
 	if s.seats[from] == nil || s.deposed {
 		return nil
 	}
@@ -142,7 +142,7 @@
 	case Report:
 		s.reported(now, from, msg)
 		return s.work(now)
-	case Ballot:
+	case VoteResponse:
 		if s.tally != nil && s.tally.Switch.Number == msg.Number {
 			s.tally.Add(from, msg.Vote)
 			return s.finish(now)
@@ -151,7 +151,7 @@
 	return nil
 }
 
-func (s *Steward) reported(now time.Duration, from string, r Report) {
+func (s *Coordinator) reported(now time.Duration, from string, r Report) {
 	if r.Fence > s.fence {
 		s.deposed = true
 		return
@@ -182,15 +182,15 @@
 // sweep has every member probed at the next tick. Members tell when their ranks
 // stop, and in a lock-step group all ranks stop when one does, so that even an
 // instance that died with its agent is missed at once between rare probes.
-func (s *Steward) sweep(now time.Duration) {
+func (s *Coordinator) sweep(now time.Duration) {
 	s.swept = now
 	for _, st := range s.seats {
-		st.probed = now - s.cfg.Beat
+		st.probed = now - s.cfg.ProbeInterval
 	}
 }
 
 // Tick lets time pass: it probes, and repeats what has not been answered.
-func (s *Steward) Tick(now time.Duration) []Action {
+func (s *Coordinator) Tick(now time.Duration) []Action {
 	if s.deposed {
 		return nil
 	}
@@ -199,25 +199,25 @@
 		return acts
 	}
 	s.repeatAt = now + s.pause
-	s.pause = min(2*s.pause, s.cfg.Beat)
+	s.pause = min(2*s.pause, s.cfg.ProbeInterval)
 	return append(acts, s.repeat()...)
 }
 
 // hurry makes repeats frequent again, at the start of something new.
-func (s *Steward) hurry(now time.Duration) {
-	s.pause = s.cfg.FastBeat
+func (s *Coordinator) hurry(now time.Duration) {
+	s.pause = s.cfg.FastProbeInterval
 	s.repeatAt = now + s.pause
 }
 
 // probe asks for reports: each member now and then, and those that owe an
 // answer often.
-func (s *Steward) probe(now time.Duration) []Action {
+func (s *Coordinator) probe(now time.Duration) []Action {
 	var acts []Action
 	for _, m := range s.cfg.Members {
 		st := s.seats[m]
-		pause := s.cfg.Beat
+		pause := s.cfg.ProbeInterval
 		if st.owing {
-			pause = s.cfg.FastBeat
+			pause = s.cfg.FastProbeInterval
 		}
 		if now-st.probed < pause {
 			continue
@@ -232,7 +232,7 @@
 }
 
 // knownEpoch returns the epoch whose members the member need not list again.
-func (s *Steward) knownEpoch(st *seat) lease.Number {
+func (s *Coordinator) knownEpoch(st *seat) lease.Number {
 	if s.form == nil && len(st.report.Rank.Members) == 0 {
 		return lease.Number{}
 	}
@@ -240,14 +240,14 @@
 }
 
 // next returns a fresh base number.
-func (s *Steward) next() lease.Number {
+func (s *Coordinator) next() lease.Number {
 	s.sequence += places
 	return lease.Number{Fence: s.fence, Sequence: s.sequence}
 }
 
 // work does what the reports call for. It is safe to call at any time: nothing
 // depends on which message came last.
-func (s *Steward) work(now time.Duration) []Action {
+func (s *Coordinator) work(now time.Duration) []Action {
 	if s.deposed {
 		return nil
 	}
@@ -265,7 +265,7 @@
 }
 
 // repeat sends again what a member has not yet answered.
-func (s *Steward) repeat() []Action {
+func (s *Coordinator) repeat() []Action {
 	switch {
 	case s.form == nil:
 		return nil
--- a/core/experts/group/steward_config.go
+++ b/core/experts/group/steward_config.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// StewardConfig is the setting of a Steward. Zero values take the defaults.
-type StewardConfig struct {
+// CoordinatorConfig is the setting of a Steward. Zero values take the defaults.
+type CoordinatorConfig struct {
 	// Members are the ranks configured for the group, by the names of their
 	// targets.
 	Members []string
@@ -18,10 +18,10 @@
 	// short, up to MaxLead.
 	Lead    uint64
 	MaxLead uint64
-	// Beat is the interval of probes while all is well; FastBeat while
+	// ProbeInterval is the interval of probes while all is well; FastBeat while
 	// something is under way or a rank is not stepping.
-	Beat     time.Duration
-	FastBeat time.Duration
+	ProbeInterval     time.Duration
+	FastProbeInterval time.Duration
 	// DeadAfter is how long an agent may leave fast probes without an answer.
 	DeadAfter time.Duration
 	// StallLimit is how long a rank may stall before the group is formed
@@ -32,12 +32,12 @@
 	RejoinAfter time.Duration
 }
 
-func (c StewardConfig) withDefaults() StewardConfig {
+func (c CoordinatorConfig) withDefaults() CoordinatorConfig {
 	c.MinRanks = orElse(c.MinRanks, len(c.Members))
 	c.Lead = orElse(c.Lead, defaultLead)
 	c.MaxLead = orElse(c.MaxLead, defaultMaxLead)
-	c.Beat = orElse(c.Beat, defaultBeat)
-	c.FastBeat = orElse(c.FastBeat, defaultFastBeat)
+	c.ProbeInterval = orElse(c.ProbeInterval, defaultBeat)
+	c.FastProbeInterval = orElse(c.FastProbeInterval, defaultFastBeat)
 	c.DeadAfter = orElse(c.DeadAfter, defaultSilentAfter)
 	c.RejoinAfter = orElse(c.RejoinAfter, defaultRejoinAfter)
 	return c
--- a/core/experts/group/steward_form.go
+++ b/core/experts/group/steward_form.go
@@ -10,7 +10,7 @@
 // silent reports whether an agent has left probes without an answer for too
 // long. Silence counts from the first unanswered probe, not from the last
 // report: probes are rare while all is well.
-func (s *Steward) silent(now time.Duration, st *seat) bool {
+func (s *Coordinator) silent(now time.Duration, st *seat) bool {
 	return st.owing && now-st.asked >= s.cfg.DeadAfter
 }
 
@@ -19,7 +19,7 @@
 // limit. A rank that merely stalls is kept; forming a group costs every request
 // in it more than a short wait does. A rank left out for a stall is taken back
 // once it has done its part of the step, or its engine has started again.
-func (s *Steward) lost(now time.Duration, st *seat) bool {
+func (s *Coordinator) lost(now time.Duration, st *seat) bool {
 	if s.silent(now, st) || st.known && st.report.Health == Dead {
 		return true
 	}
@@ -29,7 +29,7 @@
 
 // usable returns the members whose ranks can be in a new epoch; an engine that
 // has come back empty is one of them.
-func (s *Steward) usable(now time.Duration) []string {
+func (s *Coordinator) usable(now time.Duration) []string {
 	var names []string
 	for _, m := range s.cfg.Members {
 		if st := s.seats[m]; st.known && !s.lost(now, st) {
@@ -41,7 +41,7 @@
 
 // workForm sees to it that the usable ranks are in one epoch. Busy says that
 // this has to be done first.
-func (s *Steward) workForm(now time.Duration) (acts []Action, busy bool) {
+func (s *Coordinator) workForm(now time.Duration) (acts []Action, busy bool) {
 	if s.form == nil && !s.heardAll(now) {
 		return nil, true
 	}
@@ -65,7 +65,7 @@
 
 // heardAll reports whether every member has reported to this steward or is
 // silent. Before that, an undecided switch or a newer epoch may be unseen.
-func (s *Steward) heardAll(now time.Duration) bool {
+func (s *Coordinator) heardAll(now time.Duration) bool {
 	for _, m := range s.cfg.Members {
 		st := s.seats[m]
 		if !st.known && !s.silent(now, st) {
@@ -77,7 +77,7 @@
 
 // adoptEpoch takes over the epoch that all usable members are in. Wait says that
 // none of them has listed its members yet.
-func (s *Steward) adoptEpoch(now time.Duration) (wait bool) {
+func (s *Coordinator) adoptEpoch(now time.Duration) (wait bool) {
 	var found *Form
 	for _, m := range s.usable(now) {
 		r := s.seats[m].report.Rank
@@ -106,7 +106,7 @@
 
 // mustForm reports whether the epoch cannot go on: a member is lost or has left
 // it, or a returned rank has been well for long enough to be taken in.
-func (s *Steward) mustForm(now time.Duration) bool {
+func (s *Coordinator) mustForm(now time.Duration) bool {
 	usable := s.usable(now)
 	if len(usable) < s.cfg.MinRanks {
 		return false
@@ -129,7 +129,7 @@
 // left reports whether a member's rank is in another epoch and cannot be
 // brought into this one: it has been in it and lost its memory, or has applied
 // a later order.
-func (s *Steward) left(st *seat) bool {
+func (s *Coordinator) left(st *seat) bool {
 	r := st.report.Rank
 	if r.Epoch == s.form.Number {
 		return false
@@ -145,7 +145,7 @@
 // it, and an armed rank has loaded it, so that the survivors of the last epoch
 // need not load anything. Any single map would be safe, because no step of the
 // new epoch has been run.
-func (s *Steward) formAnew(now time.Duration) []Action {
+func (s *Coordinator) formAnew(now time.Duration) []Action {
 	members := s.usable(now)
 	if len(members) < s.cfg.MinRanks || len(members) == 0 {
 		return nil
@@ -169,7 +169,7 @@
 	return s.sendForm()
 }
 
-func (s *Steward) sendForm() []Action {
+func (s *Coordinator) sendForm() []Action {
 	var acts []Action
 	for _, m := range s.form.Members {
 		if s.seats[m].report.Rank.Epoch != s.form.Number {
--- a/core/experts/group/steward_switch.go
+++ b/core/experts/group/steward_switch.go
@@ -3,7 +3,7 @@
 import "time"
 
 // adoptSwitch finds a switch that a former steward left undecided.
-func (s *Steward) adoptSwitch(now time.Duration) []Action {
+func (s *Coordinator) adoptSwitch(now time.Duration) []Action {
 	for _, m := range s.form.Members {
 		r := s.seats[m].report.Rank
 		if r.Undecided() && r.Armed.Epoch == s.form.Number && r.Armed.Number != s.decided.Number {
@@ -15,14 +15,14 @@
 }
 
 // ask begins the count of the votes on a switch.
-func (s *Steward) ask(now time.Duration, sw Switch) []Action {
-	s.tally = NewTally(sw)
+func (s *Coordinator) ask(now time.Duration, sw Switch) []Action {
+	s.tally = NewVoteCount(sw)
 	s.hurry(now)
 	return s.sendArm()
 }
 
 // workSwitch has the wanted map loaded everywhere, then arms the ranks.
-func (s *Steward) workSwitch(now time.Duration) []Action {
+func (s *Coordinator) workSwitch(now time.Duration) []Action {
 	if s.want == 0 || s.inForce(s.want) {
 		s.prepare = nil
 		return nil
@@ -33,7 +33,7 @@
 		}
 		s.prepare = &Prepare{Number: s.next(), Version: s.want}
 		// Loading takes long, and members tell when it is done.
-		s.pause, s.repeatAt = s.cfg.Beat, now+s.cfg.Beat
+		s.pause, s.repeatAt = s.cfg.ProbeInterval, now+s.cfg.ProbeInterval
 		return s.sendPrepare()
 	}
 	for _, m := range s.form.Members {
@@ -45,7 +45,7 @@
 	return s.arm(now)
 }
 
-func (s *Steward) inForce(v Version) bool {
+func (s *Coordinator) inForce(v Version) bool {
 	for _, m := range s.form.Members {
 		if s.seats[m].report.Rank.Version != v {
 			return false
@@ -56,7 +56,7 @@
 
 // prepareOvertaken reports whether a rank has since applied an order with a
 // higher number, and would refuse the load.
-func (s *Steward) prepareOvertaken() bool {
+func (s *Coordinator) prepareOvertaken() bool {
 	for _, m := range s.form.Members {
 		r := s.seats[m].report.Rank
 		if !r.Has(s.want) && r.Loading != s.want && s.prepare.Number.Less(r.Last) {
@@ -66,7 +66,7 @@
 	return false
 }
 
-func (s *Steward) sendPrepare() []Action {
+func (s *Coordinator) sendPrepare() []Action {
 	var acts []Action
 	for _, m := range s.form.Members {
 		if !s.seats[m].report.Rank.Has(s.want) {
@@ -79,7 +79,7 @@
 // arm picks the step and asks for the votes. The step is an estimate: reports
 // are old by the time the order arrives. A rank that is past it refuses, and
 // the switch is tried again with twice the lead.
-func (s *Steward) arm(now time.Duration) []Action {
+func (s *Coordinator) arm(now time.Duration) []Action {
 	var step uint64
 	for _, m := range s.form.Members {
 		step = max(step, s.seats[m].estimate(now, s.cfg.MaxLead))
@@ -98,7 +98,7 @@
 	return next
 }
 
-func (s *Steward) sendArm() []Action {
+func (s *Coordinator) sendArm() []Action {
 	var acts []Action
 	for _, m := range s.form.Members {
 		if s.tally.Missing(m) {
@@ -109,7 +109,7 @@
 }
 
 // finish tells the outcome once the votes fix it.
-func (s *Steward) finish(now time.Duration) []Action {
+func (s *Coordinator) finish(now time.Duration) []Action {
 	if s.tally == nil || s.form == nil {
 		return nil
 	}
@@ -138,7 +138,7 @@
 }
 
 // sendOutcome tells those that still report to be armed.
-func (s *Steward) sendOutcome() []Action {
+func (s *Coordinator) sendOutcome() []Action {
 	var acts []Action
 	for _, m := range s.form.Members {
 		r := s.seats[m].report.Rank
--- a/core/experts/lockstep/abandon.go
+++ b/core/experts/lockstep/abandon.go
@@ -26,7 +26,7 @@
 // all the others, and nobody else has armed for this hold; see ownHold. The agents
 // beside the others take no orders from that steward any more. So those that are
 // armed are taken back. Then all prepare another map, and the hold is released.
-func (s *Steward) abandon(ranks []Rank, now time.Time) []Command {
+func (s *Coordinator) abandon(ranks []Rank, now time.Time) []Command {
 	step := lowestHeld(ranks)
 	if step == 0 || !s.ownHold(ranks) || allArmed(ranks) {
 		s.standing = time.Time{}
@@ -53,7 +53,7 @@
 // steward's own that nobody will ever arm. An order to arm the old map that is
 // carried out late, perhaps just before the release, finds its map replaced;
 // otherwise one rank would switch alone.
-func (s *Steward) bar(ranks []Rank) []Command {
+func (s *Coordinator) bar(ranks []Rank) []Command {
 	if s.Stopgap == nil {
 		return nil
 	}
@@ -85,12 +85,12 @@
 
 // barred reports whether no rank that is known, and is not armed yet, can be armed any
 // more.
-func (s *Steward) barred(ranks []Rank) bool {
+func (s *Coordinator) barred(ranks []Rank) bool {
 	return s.barring && allKnown(ranks, func(st *engine.State) bool { return st.Prepared == s.version || st.ArmedMap != 0 })
 }
 
 // endBar forgets the stopgap: it is not to become the map in force.
-func (s *Steward) endBar() {
+func (s *Coordinator) endBar() {
 	if s.barring {
 		s.barring, s.version, s.content = false, 0, nil
 	}
@@ -106,7 +106,7 @@
 // the map, the hold is where it places its holds, and this steward has not armed
 // anything. If another steward had a hand in it, the missing rank may be armed.
 // What is prepared says nothing any more once this steward has begun to replace it.
-func (s *Steward) ownHold(ranks []Rank) bool {
+func (s *Coordinator) ownHold(ranks []Rank) bool {
 	missing := s.onlyMissing(ranks)
 	if s.before == nil || missing < 0 || missing != s.before.Rank {
 		return false
@@ -125,13 +125,13 @@
 }
 
 // madeBefore reports whether a number of a map is one of the steward before.
-func (s *Steward) madeBefore(version int64) bool {
+func (s *Coordinator) madeBefore(version int64) bool {
 	return version%saltRange == int64(s.before.Salt%saltRange)
 }
 
 // onlyMissing returns the one rank that is not known in an otherwise whole
 // group, or -1.
-func (s *Steward) onlyMissing(ranks []Rank) int {
+func (s *Coordinator) onlyMissing(ranks []Rank) int {
 	missing, first := -1, -1
 	for i := range ranks {
 		st := &ranks[i].State
--- a/core/experts/lockstep/candidate.go
+++ b/core/experts/lockstep/candidate.go
@@ -38,9 +38,9 @@
 // NewCandidate returns a candidate that starts to listen now.
 func NewCandidate(now time.Time) *Candidate { return &Candidate{heard: now} }
 
-// Heard records a word of the steward. Held says that the group is held, or is
+// Observe records a word of the steward. Held says that the group is held, or is
 // about to be.
-func (c *Candidate) Heard(now time.Time, held bool) { c.heard, c.held = now, held }
+func (c *Candidate) Observe(now time.Time, held bool) { c.heard, c.held = now, held }
 
 // Due reports whether an agent should try to take over: the one whose turn it is, from
 // 0, first.
@@ -52,5 +52,5 @@
 	return now.Sub(c.heard) >= limit && now.Sub(c.tried) >= again
 }
 
-// Tried records that the agent has tried to.
-func (c *Candidate) Tried(now time.Time) { c.tried = now }
+// Attempted records that the agent has tried to.
+func (c *Candidate) Attempted(now time.Time) { c.tried = now }
--- a/core/experts/lockstep/explorer_test.go
+++ b/core/experts/lockstep/explorer_test.go
@@ -145,13 +145,13 @@
 type letter struct {
 	at    int
 	rank  int
-	word  Word
+	word  Announcement
 	order engine.Order
 }
 
 // driver is a steward with the process around it.
 type driver struct {
-	s    *Steward
+	s    *Coordinator
 	name string
 	term int64
 	at   int // its rank
@@ -176,7 +176,7 @@
 	// cut are ranks that can't be reached until a tick, with the agent there.
 	cut []int
 	// listeners are those of the agents beside the ranks.
-	listeners []Listener
+	listeners []Follower
 	letters   []letter
 	// neighbour is the group that the ranks of this one have belonged to before: its
 	// epochs are numbers of the same size, and its stewards don't know that it is no more.
@@ -213,7 +213,7 @@
 		before = nil
 	}
 	w.last = &Predecessor{Rank: at, Salt: salt}
-	d := &driver{s: NewSteward(at, before, salt), name: fmt.Sprint("s", w.term), term: w.term, at: at, epoch: w.epoch}
+	d := &driver{s: NewCoordinator(at, before, salt), name: fmt.Sprint("s", w.term), term: w.term, at: at, epoch: w.epoch}
 	d.s.Stopgap = Map{{{-1}, {at}}}
 	w.drivers = append(w.drivers, d)
 }
@@ -225,27 +225,27 @@
 }
 
 // word is what a driver says of itself.
-func (d *driver) word(salt int64) Word {
-	return Word{Group: engine.GroupID{Name: "g", Epoch: d.epoch}, Term: d.term, From: d.name, Rank: d.at, Salt: uint64(salt)}
+func (d *driver) word(salt int64) Announcement {
+	return Announcement{Group: engine.GroupID{Name: "g", Epoch: d.epoch}, Term: d.term, From: d.name, Rank: d.at, Salt: uint64(salt)}
 }
 
 // hears has the agent beside a rank judge a word, once it has read its rank.
-func (w *world) hears(i int, word Word) Refusal {
+func (w *world) hears(i int, word Announcement) Refusal {
 	l := &w.listeners[i]
-	if seat := SeatOf(&w.ranks[i].state); !l.Seat().Same(seat) || l.Seat().Group != seat.Group {
-		l.Sit(seat)
+	if seat := MembershipOf(&w.ranks[i].state); !l.Membership().Same(seat) || l.Membership().Group != seat.Group {
+		l.SetMembership(seat)
 	}
 	if w.anyGroup {
 		word.Group.Name = "g"
 	}
-	return l.Hear(word)
+	return l.Accept(word)
 }
 
 // listens reports whether the agent beside a rank heeds a driver, and takes what the
 // driver learns from a refusal.
 func (w *world) listens(d *driver, i int) bool {
 	switch w.hears(i, d.word(d.s.salt)) {
-	case NewerSteward:
+	case NewerCoordinator:
 		d.done = true
 		return false
 	case OlderEpoch:
@@ -338,7 +338,7 @@
 		switch {
 		case l.at > w.tickNo:
 			kept = append(kept, l)
-		case w.cut[l.rank] <= w.tickNo && w.hears(l.rank, l.word) == Heeded:
+		case w.cut[l.rank] <= w.tickNo && w.hears(l.rank, l.word) == Accepted:
 			w.apply(l.rank, l.order, w.tickNo)
 		}
 	}
@@ -356,9 +356,9 @@
 	if age := w.tickNo - n.started; age > 6 {
 		o = engine.Order{Kind: engine.ArmMap, Epoch: w.epoch, Version: n.version, Step: max(n.step, w.step+2)}
 	}
-	word := Word{Group: engine.GroupID{Name: groupH, Epoch: w.epoch}, Term: w.term + 1, From: "h1"}
+	word := Announcement{Group: engine.GroupID{Name: groupH, Epoch: w.epoch}, Term: w.term + 1, From: "h1"}
 	i := w.rng.IntN(len(w.ranks))
-	if w.hears(i, word) == Heeded {
+	if w.hears(i, word) == Accepted {
 		w.apply(i, o, w.tickNo)
 	}
 }
@@ -465,7 +465,7 @@
 func newWorld(seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	n := 2 + rng.IntN(4)
-	w := &world{model: newModel(n, rng), cut: make([]int, n), listeners: make([]Listener, n), faults: true}
+	w := &world{model: newModel(n, rng), cut: make([]int, n), listeners: make([]Follower, n), faults: true}
 	w.takeOver()
 	return w
 }
--- a/core/experts/lockstep/lockstep.go
+++ b/core/experts/lockstep/lockstep.go
@@ -71,9 +71,9 @@
 	Direct bool
 }
 
-// Steward decides the orders for one group. Use NewSteward to make one. It is
+// Coordinator decides the orders for one group. Use NewSteward to make one. It is
 // not safe for concurrent use.
-type Steward struct {
+type Coordinator struct {
 	// Fence is put into each order.
 	Fence int64
 	// Stopgap is a map that the ranks which are known can prepare without loading
@@ -118,27 +118,27 @@
 // saltRange is the range of the steward's own part of the numbers of maps.
 const saltRange = 1 << 20
 
-// NewSteward returns the steward at the rank self. Before is the steward that
+// NewCoordinator returns the steward at the rank self. Before is the steward that
 // was heard last, or nil if none was. The salt is drawn anew for each steward; it
 // is taken modulo 1<<20.
-func NewSteward(self int, before *Predecessor, salt uint64) *Steward {
-	return &Steward{self: self, before: before, salt: int64(salt % saltRange)}
+func NewCoordinator(self int, before *Predecessor, salt uint64) *Coordinator {
+	return &Coordinator{self: self, before: before, salt: int64(salt % saltRange)}
 }
 
 // number returns the next number of a map: higher than all that were seen, and
 // the steward's own.
-func (s *Steward) number() int64 {
+func (s *Coordinator) number() int64 {
 	s.highest = (s.highest/saltRange+1)*saltRange + s.salt
 	return s.highest
 }
 
 // Idle reports whether no change is under way: a new map may be proposed.
-func (s *Steward) Idle(ranks []Rank) bool {
+func (s *Coordinator) Idle(ranks []Rank) bool {
 	return s.version == 0 && whole(ranks) && !engaged(ranks)
 }
 
 // Propose begins a change to a map.
-func (s *Steward) Propose(ranks []Rank, m Map) {
+func (s *Coordinator) Propose(ranks []Rank, m Map) {
 	s.see(ranks)
 	s.version, s.content, s.holdAt = s.number(), m, 0
 	s.base, s.epoch = ranks[0].State.Map, ranks[0].State.Epoch
@@ -146,7 +146,7 @@
 
 // Stuck reports whether the group is held with no change under way that would
 // let it go on: then a map must be proposed, if only the one in force.
-func (s *Steward) Stuck(ranks []Rank) bool {
+func (s *Coordinator) Stuck(ranks []Rank) bool {
 	if !whole(ranks) || s.version != 0 || lowestHeld(ranks) == 0 {
 		return false
 	}
@@ -155,14 +155,14 @@
 }
 
 // Changing reports whether this steward has a change under way.
-func (s *Steward) Changing() bool { return s.version != 0 }
+func (s *Coordinator) Changing() bool { return s.version != 0 }
 
 // PassTime returns how long the last passes took, or 0 before it is known.
-func (s *Steward) PassTime() time.Duration { return s.pass.took }
+func (s *Coordinator) PassTime() time.Duration { return s.pass.took }
 
 // Unanswered tells that a rank has not answered an order: it is given again at
 // once.
-func (s *Steward) Unanswered(c Command) {
+func (s *Coordinator) Unanswered(c Command) {
 	if c.Order.Kind == engine.PrepareMap && c.Rank < len(s.asked) {
 		s.asked[c.Rank] = time.Time{}
 	}
@@ -170,7 +170,7 @@
 
 // Refused tells that a rank refused an order for another reason than its number
 // of orders: then the number of the map may have been used before.
-func (s *Steward) Refused(o engine.Order) {
+func (s *Coordinator) Refused(o engine.Order) {
 	if o.Kind == engine.PrepareMap && o.Version == s.version {
 		s.version = s.number()
 	}
@@ -182,13 +182,13 @@
 // Malformed tells that a rank does not understand the map of an order: no repeat
 // will change that. The change is given up, so that the next one can be planned;
 // the group would keep a bad map for good otherwise.
-func (s *Steward) Malformed(o engine.Order) {
+func (s *Coordinator) Malformed(o engine.Order) {
 	if o.Kind == engine.PrepareMap && o.Version == s.version {
 		s.version, s.content, s.holdAt = 0, nil, 0
 	}
 }
 
-func (s *Steward) see(ranks []Rank) {
+func (s *Coordinator) see(ranks []Rank) {
 	for i := range ranks {
 		st := &ranks[i].State
 		s.highest = max(s.highest, st.Map, st.Prepared, st.ArmedMap)
@@ -197,7 +197,7 @@
 
 // Next returns the orders that take the change one move on. It returns none
 // while a rank is not known, or the group is being formed again.
-func (s *Steward) Next(ranks []Rank, now time.Time) []Command {
+func (s *Coordinator) Next(ranks []Rank, now time.Time) []Command {
 	if !whole(ranks) {
 		// Passes go on without a rank that does not answer, and their length
 		// decides how many requests are let in.
@@ -226,7 +226,7 @@
 }
 
 // enter forgets what was begun in an earlier epoch.
-func (s *Steward) enter(epoch int64) {
+func (s *Coordinator) enter(epoch int64) {
 	if epoch != s.epoch {
 		s.epoch, s.version, s.content, s.holdAt, s.highest = epoch, 0, nil, 0, 0
 		s.asked = nil
--- a/core/experts/lockstep/lockstep_test.go
+++ b/core/experts/lockstep/lockstep_test.go
@@ -42,8 +42,8 @@
 var stopgap = Map{{{0}, {1}, {2}}}
 
 // heir returns the steward that follows the one that has placed the hold of held.
-func heir(self int) *Steward {
-	s := NewSteward(self, &Predecessor{Rank: 0, Salt: oldSalt}, 9)
+func heir(self int) *Coordinator {
+	s := NewCoordinator(self, &Predecessor{Rank: 0, Salt: oldSalt}, 9)
 	s.Stopgap = stopgap
 	return s
 }
@@ -105,14 +105,14 @@
 		is := is.New(t)
 		ranks := held()
 		ranks[0].Known = false
-		s := NewSteward(2, &Predecessor{Rank: 0, Salt: oldSalt + 1}, 9)
+		s := NewCoordinator(2, &Predecessor{Rank: 0, Salt: oldSalt + 1}, 9)
 		stays(is, s, ranks)
 	})
 	t.Run("another rank is missing", func(t *testing.T) {
 		is := is.New(t)
 		ranks := held()
 		ranks[2].Known = false
-		s := NewSteward(1, &Predecessor{Rank: 0, Salt: oldSalt}, 9)
+		s := NewCoordinator(1, &Predecessor{Rank: 0, Salt: oldSalt}, 9)
 		stays(is, s, ranks)
 	})
 	t.Run("all others are armed", func(t *testing.T) {
@@ -144,7 +144,7 @@
 }
 
 // stays checks that a steward gives no order, now or a minute later.
-func stays(is *is.I, s *Steward, ranks []Rank) {
+func stays(is *is.I, s *Coordinator, ranks []Rank) {
 	is.Helper()
 	is.Equal(len(s.Next(ranks, start)), 0)
 	is.Equal(len(s.Next(ranks, start.Add(time.Minute))), 0)
@@ -190,7 +190,7 @@
 	ranks := held()
 	ranks[2].State.ArmedMap, ranks[2].State.ArmedStep = oldMap, holdAt
 	ranks[1].State.Prepared = oldMap + saltRange
-	for _, s := range []*Steward{NewSteward(1, nil, 9), heir(1), heir(2)} {
+	for _, s := range []*Coordinator{NewCoordinator(1, nil, 9), heir(1), heir(2)} {
 		for _, c := range s.Next(ranks, start) {
 			is.Equal(c.Order.Kind, engine.DisarmMap)
 			is.Equal(c.Rank, 2)
@@ -202,7 +202,7 @@
 func TestArmsUnderItsOwnHold(t *testing.T) {
 	is := is.New(t)
 	ranks := held()
-	s := NewSteward(0, nil, 9)
+	s := NewCoordinator(0, nil, 9)
 	cmds := s.Next(ranks, start)
 	is.Equal(len(cmds), 1)
 	is.Equal(cmds[0].Order.Kind, engine.HoldPass)
@@ -224,7 +224,7 @@
 	for i := range ranks {
 		ranks[i].State.Size = len(ranks)
 	}
-	s := NewSteward(0, nil, 9)
+	s := NewCoordinator(0, nil, 9)
 	s.Next(ranks, start)
 	ranks[s.holder].State.Held = holdAt
 	var turns [][]int
@@ -251,7 +251,7 @@
 		}
 		return ranks
 	}
-	s := NewSteward(0, nil, 5)
+	s := NewCoordinator(0, nil, 5)
 	is.True(s.Idle(read()))
 	s.Propose(read(), Map{{{1}, {2}, {3}}})
 	var moves []engine.OrderKind
@@ -282,7 +282,7 @@
 	for i := range ranks {
 		ranks[i].State.Held, ranks[i].State.Prepared = 0, 0
 	}
-	s := NewSteward(0, nil, 5)
+	s := NewCoordinator(0, nil, 5)
 	s.Next(ranks, start) // it learns the epoch
 	s.Propose(ranks, Map{{{1}, {2}, {3}}})
 	cmds := s.Next(ranks, start)
@@ -298,7 +298,7 @@
 func TestHoldIsAsFarAheadAsChangesTake(t *testing.T) {
 	is := is.New(t)
 	const pass, arming = 50 * time.Millisecond, 200 * time.Millisecond
-	s := NewSteward(0, nil, 5)
+	s := NewCoordinator(0, nil, 5)
 	s.pass.took, s.pass.windows = pass, maxLead // it has been at work for a while
 	ranks := held()
 	s.epoch, s.version = 1, oldMap
@@ -328,10 +328,10 @@
 	is.True(c.Due(0, start.Add(silence)))
 	is.True(!c.Due(3, start.Add(silence)))
 	is.True(c.Due(3, start.Add(silence+3*stagger)))
-	c.Tried(start.Add(silence))
+	c.Attempted(start.Add(silence))
 	is.True(!c.Due(0, start.Add(silence+again-1)))
 	is.True(c.Due(0, start.Add(silence+again)))
-	c.Heard(start.Add(time.Minute), false)
+	c.Observe(start.Add(time.Minute), false)
 	is.True(!c.Due(0, start.Add(time.Minute)))
 	is.True(c.Due(1000, start.Add(time.Minute+silence+maxStagger)))
 }
@@ -340,12 +340,12 @@
 func TestHeldGroupWaitsLessForANewSteward(t *testing.T) {
 	is := is.New(t)
 	knows, other := NewCandidate(start), NewCandidate(start)
-	knows.Heard(start, true)
-	other.Heard(start, false)
+	knows.Observe(start, true)
+	other.Observe(start, false)
 	is.True(!knows.Due(5, start.Add(heldSilence+5*heldStagger-1)))
 	is.True(knows.Due(5, start.Add(heldSilence+5*heldStagger)))
 	is.True(!other.Due(5, start.Add(silence+5*stagger-1)))
-	knows.Heard(start, false) // the hold is over
+	knows.Observe(start, false) // the hold is over
 	is.True(!knows.Due(5, start.Add(silence)))
 	is.True(knows.Due(1000, start.Add(silence+maxStagger)))
 }
@@ -377,7 +377,7 @@
 	const pass = 100 * time.Millisecond
 	ranks := held()
 	ranks[0].Known, ranks[1].State.Held = false, 0
-	s := NewSteward(2, nil, 9)
+	s := NewCoordinator(2, nil, 9)
 	for i := range 10 {
 		ranks[1].State.Step, ranks[2].State.Step = int64(i), int64(i)
 		is.Equal(len(s.Next(ranks, start.Add(time.Duration(i)*pass))), 0)
--- a/core/experts/lockstep/moves.go
+++ b/core/experts/lockstep/moves.go
@@ -7,7 +7,7 @@
 )
 
 // finishArmed goes on with a change for which a rank is armed.
-func (s *Steward) finishArmed(ranks []Rank) ([]Command, bool) {
+func (s *Coordinator) finishArmed(ranks []Rank) ([]Command, bool) {
 	version, step := armed(ranks)
 	if version == 0 {
 		return nil, false
@@ -25,7 +25,7 @@
 // is armed last, the next one before it, each when all before are. So a steward
 // that is lost just after its orders to the many leaves one that is not armed,
 // which shows that its own is not; see abandon.
-func (s *Steward) armInTurn(ranks []Rank, version, step int64) (cmds []Command, done bool) {
+func (s *Coordinator) armInTurn(ranks []Rank, version, step int64) (cmds []Command, done bool) {
 	missing := 0
 	for _, i := range s.inTurn(ranks) {
 		st := &ranks[i].State
@@ -50,19 +50,19 @@
 }
 
 // release lets the group begin a pass that is held.
-func (s *Steward) release(ranks []Rank, step int64) []Command {
+func (s *Coordinator) release(ranks []Rank, step int64) []Command {
 	return s.order(ranks, engine.Order{Kind: engine.ReleasePass, Step: step},
 		func(st *engine.State) bool { return st.Held == step })
 }
 
 // disarm takes back what is armed for a map.
-func (s *Steward) disarm(ranks []Rank, version int64) []Command {
+func (s *Coordinator) disarm(ranks []Rank, version int64) []Command {
 	return s.order(ranks, engine.Order{Kind: engine.DisarmMap, Version: version},
 		func(st *engine.State) bool { return st.ArmedMap == version })
 }
 
 // order gives an order to the ranks whose state asks for it.
-func (s *Steward) order(ranks []Rank, o engine.Order, due func(*engine.State) bool) []Command {
+func (s *Coordinator) order(ranks []Rank, o engine.Order, due func(*engine.State) bool) []Command {
 	var cmds []Command
 	for i := range ranks {
 		if due(&ranks[i].State) {
@@ -75,7 +75,7 @@
 // underHold goes on while the group is held and no rank is armed. The way out
 // is always a change: what is released without one could still be armed by a
 // late order.
-func (s *Steward) underHold(ranks []Rank, step int64) []Command {
+func (s *Coordinator) underHold(ranks []Rank, step int64) []Command {
 	if prepared(ranks) {
 		if i := s.freeRank(ranks); i >= 0 && !s.holdsAt(ranks, step) {
 			return s.holdRank(ranks, i, step)
@@ -87,7 +87,7 @@
 }
 
 // hold stops the group at a pass that it has not reached.
-func (s *Steward) hold(ranks []Rank) []Command {
+func (s *Coordinator) hold(ranks []Rank) []Command {
 	last := lastStep(ranks)
 	if s.holdAt <= last {
 		s.holdAt = last + s.pass.lead(max(leadTime, s.took))
@@ -97,7 +97,7 @@
 }
 
 // holdRank has one rank hold the group at a pass.
-func (s *Steward) holdRank(ranks []Rank, i int, step int64) []Command {
+func (s *Coordinator) holdRank(ranks []Rank, i int, step int64) []Command {
 	s.holdAt, s.holder = step, i
 	cmd := s.command(ranks, i, engine.Order{Kind: engine.HoldPass, Step: step})
 	cmd.Direct = i != s.self
@@ -107,12 +107,12 @@
 // holdsAt reports whether a hold of this steward stands at a pass. Under a hold of
 // another one nothing may be armed: if a third has given that hold up, its order to
 // release it may still be under way.
-func (s *Steward) holdsAt(ranks []Rank, step int64) bool {
+func (s *Coordinator) holdsAt(ranks []Rank, step int64) bool {
 	return s.holdAt == step && s.holder < len(ranks) && ranks[s.holder].State.Held == step
 }
 
 // freeRank returns a rank that holds nothing, the steward's own last, or -1.
-func (s *Steward) freeRank(ranks []Rank) int {
+func (s *Coordinator) freeRank(ranks []Rank) int {
 	for k := 1; k <= len(ranks); k++ {
 		i := (s.self + k) % len(ranks)
 		if ranks[i].State.Held == 0 {
@@ -127,7 +127,7 @@
 const prepareAgain = 150 * time.Millisecond
 
 // prepare gives the map to the ranks that do not have it.
-func (s *Steward) prepare(ranks []Rank) []Command {
+func (s *Coordinator) prepare(ranks []Rank) []Command {
 	if s.version == 0 {
 		return nil
 	}
@@ -147,17 +147,17 @@
 
 // forgetDone ends a change that is in force, or that was made for a map that is
 // not in force any more: what it would load was counted from that map.
-func (s *Steward) forgetDone(ranks []Rank) {
+func (s *Coordinator) forgetDone(ranks []Rank) {
 	if s.version != 0 && all(ranks, func(st *engine.State) bool { return st.Map != s.base }) {
 		s.version, s.content, s.holdAt = 0, nil, 0
 	}
 }
 
 // nextRank returns the rank after the steward's own.
-func (s *Steward) nextRank(ranks []Rank) int { return (s.self + 1) % len(ranks) }
+func (s *Coordinator) nextRank(ranks []Rank) int { return (s.self + 1) % len(ranks) }
 
 // inTurn returns the ranks in the order in which they are armed.
-func (s *Steward) inTurn(ranks []Rank) []int {
+func (s *Coordinator) inTurn(ranks []Rank) []int {
 	turn := make([]int, 0, len(ranks))
 	for k := 2; k <= len(ranks)+1; k++ {
 		turn = append(turn, (s.self+k)%len(ranks))
@@ -168,7 +168,7 @@
 	return turn
 }
 
-func (s *Steward) command(ranks []Rank, i int, o engine.Order) Command {
+func (s *Coordinator) command(ranks []Rank, i int, o engine.Order) Command {
 	if o.Kind == engine.ArmMap {
 		s.before = nil
 	}
--- a/core/experts/lockstep/pass.go
+++ b/core/experts/lockstep/pass.go
@@ -20,7 +20,7 @@
 
 // measure records how long the change has taken from its hold. A hold that is
 // placed as far ahead as that makes nobody wait.
-func (s *Steward) measure() {
+func (s *Coordinator) measure() {
 	if s.heldAt.IsZero() {
 		return
 	}
--- a/core/experts/lockstep/rank.go
+++ b/core/experts/lockstep/rank.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// Whole reports whether every rank of one epoch of an open group is known.
-func Whole(ranks []Rank) bool { return whole(ranks) }
+// Complete reports whether every rank of one epoch of an open group is known.
+func Complete(ranks []Rank) bool { return whole(ranks) }
 
 // whole reports whether every rank of one epoch of an open group is known.
 func whole(ranks []Rank) bool {
--- a/core/experts/rankpeer/branch.go
+++ b/core/experts/rankpeer/branch.go
@@ -83,7 +83,7 @@
 }
 
 // PackTells makes the answer of a relay from those of its members.
-func PackTells(word lockstep.Word, tells []Tell) *BranchTell {
+func PackTells(word lockstep.Announcement, tells []Tell) *BranchTell {
 	out := &BranchTell{Tells: make([]Tell, len(tells))}
 	var states []engine.State
 	var samples []*Sample
@@ -110,7 +110,7 @@
 
 // Unpack returns the answers of count members, or false if the answer does not fit the
 // ask. The sum of the samples stays with the branch.
-func (b *BranchTell) Unpack(word lockstep.Word, count int) ([]Tell, bool) {
+func (b *BranchTell) Unpack(word lockstep.Announcement, count int) ([]Tell, bool) {
 	known := 0
 	for i := range b.Tells {
 		if b.Tells[i].Known {
@@ -123,7 +123,7 @@
 	}
 	out := make([]Tell, 0, count)
 	for _, t := range b.Tells {
-		if t.Answered && t.Group.Name == "" && t.Refused != lockstep.NoSeat {
+		if t.Answered && t.Group.Name == "" && t.Refused != lockstep.NoMembership {
 			t.Group = word.Group
 		}
 		if t.Answered && t.Term == 0 {
--- a/core/experts/rankpeer/branch_test.go
+++ b/core/experts/rankpeer/branch_test.go
@@ -72,14 +72,14 @@
 func TestTellsOfABranch(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 1))
-	word := lockstep.Word{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
+	word := lockstep.Announcement{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
 	one, two := randomState(rng, 5), randomState(rng, 7)
 	tells := []Tell{
 		{Group: word.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
 		{},
 		{Group: engine.GroupID{Name: "g", Epoch: 4}, Term: 40, Answered: true, Refused: lockstep.OlderEpoch},
-		{Answered: true, Refused: lockstep.NoSeat},
-		{Group: word.Group, Term: 41, Answered: true, Refused: lockstep.NewerSteward},
+		{Answered: true, Refused: lockstep.NoMembership},
+		{Group: word.Group, Term: 41, Answered: true, Refused: lockstep.NewerCoordinator},
 		{Group: word.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
 	}
 	packed := PackTells(word, tells)
@@ -88,7 +88,7 @@
 	for i := range tells {
 		want := tells[i]
 		want.Sample = nil
-		if want.Refused == lockstep.NoSeat {
+		if want.Refused == lockstep.NoMembership {
 			want.Term = 40
 		}
 		is.Equal(got[i], want)
--- a/core/experts/rankpeer/rankpeer.go
+++ b/core/experts/rankpeer/rankpeer.go
@@ -33,7 +33,7 @@
 	Gap     time.Duration
 	// Word says for which group a steward asks, and which steward it is. Of an ask for
 	// a digest only the group's name counts.
-	Word lockstep.Word
+	Word lockstep.Announcement
 	// Held says that the group is held, or that the steward is about to hold it.
 	Held bool
 	// Counts and Placement ask for more than the state of the rank.
--- a/core/experts/rankpeer/rankpeer_test.go
+++ b/core/experts/rankpeer/rankpeer_test.go
@@ -157,7 +157,7 @@
 	}()
 	c := newConn(a)
 	for term := range int64(5) {
-		tell, err := c.Ask(Ask{Word: lockstep.Word{Term: term}}, time.Second)
+		tell, err := c.Ask(Ask{Word: lockstep.Announcement{Term: term}}, time.Second)
 		is.NoErr(err)
 		is.Equal(tell.Term, term+1)
 	}
--- a/gateway/digests.go
+++ b/gateway/digests.go
@@ -226,6 +226,6 @@
 	if err := client.Connect(ctx, digestWait); err != nil {
 		return rankpeer.Tell{}, err
 	}
-	ask := rankpeer.Ask{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Word{Group: engine.GroupID{Name: group}}}
+	ask := rankpeer.Ask{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Announcement{Group: engine.GroupID{Name: group}}}
 	return client.Ask(ask, digestWait)
 }
--- a/sidecar/agent.go
+++ b/sidecar/agent.go
@@ -38,7 +38,7 @@
 
 // beliefs are what an agent knows of its rank's group.
 type beliefs struct {
-	listener  lockstep.Listener
+	listener  lockstep.Follower
 	candidate *lockstep.Candidate
 	// turn is the agent's place among those who take over, plus 1, as the last steward
 	// told it; 0 if none has.
@@ -71,12 +71,12 @@
 		boot: env.Boot, log: env.Log, plan: !env.NoPlan,
 		rank:    platform.NewRankClient(env.Boot.Target),
 		store:   platform.NewStore(env.Boot.Store.Addr),
-		beliefs: newBeliefs(lockstep.Listener{}, time.Now()),
+		beliefs: newBeliefs(lockstep.Follower{}, time.Now()),
 	}
 }
 
 // newBeliefs returns what is known at the start of a seat: nothing but the seat.
-func newBeliefs(l lockstep.Listener, now time.Time) beliefs {
+func newBeliefs(l lockstep.Follower, now time.Time) beliefs {
 	return beliefs{listener: l, candidate: lockstep.NewCandidate(now), maps: &mapStore{}}
 }
 
@@ -93,20 +93,20 @@
 		return
 	}
 	a.satAt = asked
-	before := a.listener.Seat()
-	if !a.listener.Sit(lockstep.SeatOf(st)) {
+	before := a.listener.Membership()
+	if !a.listener.SetMembership(lockstep.MembershipOf(st)) {
 		return
 	}
 	a.beliefs = newBeliefs(a.listener, time.Now())
 	a.log.Info("rank", "group", st.Group, "rank", st.Rank, "size", st.Size, "epoch", st.Epoch, "born", st.Born,
-		"group-before", before.Group.Name, "rank-before", before.Rank, "born-before", before.Born)
+		"group-before", before.Group.Name, "rank-before", before.Rank, "born-before", before.StartedAt)
 }
 
 // seat returns the rank's seat as it was last told.
-func (a *agent) seat() lockstep.Seat {
+func (a *agent) seat() lockstep.Membership {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.listener.Seat()
+	return a.listener.Membership()
 }
 
 // seatFresh is how old the word of the rank on its seat may be when an order is given:
@@ -133,10 +133,10 @@
 func (a *agent) hear(ask rankpeer.Ask) lockstep.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	before := a.listener.Heard()
-	if refusal := a.listener.Hear(ask.Word); refusal != lockstep.Heeded {
-		if refusal != lockstep.NewerSteward {
-			seat := a.listener.Seat()
+	before := a.listener.Latest()
+	if refusal := a.listener.Accept(ask.Word); refusal != lockstep.Accepted {
+		if refusal != lockstep.NewerCoordinator {
+			seat := a.listener.Membership()
 			a.log.Info("steward not heeded", "reason", string(refusal), "steward", ask.Word.From, "term", ask.Word.Term,
 				"group", ask.Word.Group.Name, "epoch", ask.Word.Group.Epoch, "own-group", seat.Group.Name, "own-epoch", seat.Group.Epoch)
 		}
@@ -146,7 +146,7 @@
 		a.log.Info("steward", "group", ask.Word.Group.Name, "epoch", ask.Word.Group.Epoch, "steward", ask.Word.From, "term", ask.Word.Term,
 			"before", before.From, "term-before", before.Term)
 	}
-	a.candidate.Heard(time.Now(), ask.Held)
+	a.candidate.Observe(time.Now(), ask.Held)
 	if ask.Turn > 0 {
 		a.turn = ask.Turn
 	}
@@ -154,7 +154,7 @@
 	if ask.Roster != nil && ask.Roster.Group.Name == ask.Word.Group.Name {
 		a.roster = ask.Roster
 	}
-	return lockstep.Heeded
+	return lockstep.Accepted
 }
 
 // lastRoster returns the last roster that was told, or nil.
@@ -175,7 +175,7 @@
 func (a *agent) highestTerm() int64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.listener.Heard().Term
+	return a.listener.Latest().Term
 }
 
 // stewardBefore returns the steward that was heard last, or nil if none was or
@@ -183,7 +183,7 @@
 func (a *agent) stewardBefore(self int) *lockstep.Predecessor {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	heard := a.listener.Heard()
+	heard := a.listener.Latest()
 	if heard.From == "" || heard.Rank == self {
 		return nil
 	}
@@ -201,7 +201,7 @@
 	if !a.candidate.Due(rank, now) {
 		return false
 	}
-	a.candidate.Tried(now)
+	a.candidate.Attempted(now)
 	return true
 }
 
@@ -240,7 +240,7 @@
 // seat.
 func (a *agent) watch(ctx context.Context, st engine.State) {
 	for pause.For(ctx, watchEvery) {
-		if !a.seat().Same(lockstep.SeatOf(&st)) {
+		if !a.seat().Same(lockstep.MembershipOf(&st)) {
 			return
 		}
 		if !a.due(st.Rank) {
@@ -250,7 +250,7 @@
 		if now, err := a.readRank(ctx); err == nil {
 			st.Epoch = now.Epoch
 		}
-		if a.seat().Same(lockstep.SeatOf(&st)) {
+		if a.seat().Same(lockstep.MembershipOf(&st)) {
 			a.lead(ctx, st)
 		}
 	}
--- a/sidecar/ask.go
+++ b/sidecar/ask.go
@@ -99,7 +99,7 @@
 // hearBranch takes in what a relay has told of its branch. It reports false when a
 // newer steward has been heard.
 func (s *steward) hearBranch(b *branch, asked []int, t *branchTell) bool {
-	if t.refused == lockstep.NewerSteward && t.term > s.term {
+	if t.refused == lockstep.NewerCoordinator && t.term > s.term {
 		s.log.Info("a newer steward is at work", "target", b.id(), "newer-term", t.term)
 		return false
 	}
@@ -117,7 +117,7 @@
 			tell = t.tells[i]
 		}
 		id := b.members[k].ID
-		if tell.Refused == lockstep.NewerSteward && tell.Term > s.term {
+		if tell.Refused == lockstep.NewerCoordinator && tell.Term > s.term {
 			s.log.Info("a newer steward is at work", "target", id, "newer-term", tell.Term)
 			return false
 		}
@@ -186,8 +186,8 @@
 }
 
 // word is what the steward says of itself.
-func (s *steward) word() lockstep.Word {
-	return lockstep.Word{Group: s.group, Term: s.term, From: s.boot.Instance, Rank: s.rankOf, Salt: s.salt}
+func (s *steward) word() lockstep.Announcement {
+	return lockstep.Announcement{Group: s.group, Term: s.term, From: s.boot.Instance, Rank: s.rankOf, Salt: s.salt}
 }
 
 // startCounting decides whether this round asks for counts. While a change is under
--- a/sidecar/branch.go
+++ b/sidecar/branch.go
@@ -252,7 +252,7 @@
 	}
 	if tell.Branch == nil {
 		// It has refused to pass the ask on, or is of a version that has no relays.
-		if out.failed = tell.Refused == lockstep.Heeded; out.failed {
+		if out.failed = tell.Refused == lockstep.Accepted; out.failed {
 			s.log.Error("answer of a relay not understood", "target", b.id(), "reason", "it answers for itself alone")
 		}
 		return out
--- a/sidecar/claim.go
+++ b/sidecar/claim.go
@@ -54,7 +54,7 @@
 func (a *agent) unheard(revision int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	heard := a.listener.Heard().Term
+	heard := a.listener.Latest().Term
 	opens := a.opening && heard == 0
 	fresh := revision > heard && revision != a.seenClaim && !opens
 	a.seenClaim = revision
--- a/sidecar/claim_test.go
+++ b/sidecar/claim_test.go
@@ -38,7 +38,7 @@
 func seatAndHear(a *agent, term int64) {
 	a.sit(&engine.State{Group: groupG.Name, Epoch: groupG.Epoch, Rank: 1}, time.Now())
 	if term > 0 {
-		a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: term, From: "side-9"}})
+		a.hear(rankpeer.Ask{Word: lockstep.Announcement{Group: groupG, Term: term, From: "side-9"}})
 	}
 }
 
@@ -66,7 +66,7 @@
 	is.True(d.acting)
 	is.Equal(d.term, int64(25))
 	is.True(d.claiming != nil) // the claim goes on
-	s := &steward{agent: a, group: groupG, duty: d, core: lockstep.NewSteward(0, nil, 1), log: a.log}
+	s := &steward{agent: a, group: groupG, duty: d, core: lockstep.NewCoordinator(0, nil, 1), log: a.log}
 	for range 40 { // the store has been written to before
 		store.Put("servers/x", nil)
 	}
@@ -87,7 +87,7 @@
 	go func() {
 		defer close(heard)
 		time.Sleep(claimPatience / 4)
-		a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: 25, From: "side-0"}})
+		a.hear(rankpeer.Ask{Word: lockstep.Announcement{Group: groupG, Term: 25, From: "side-0"}})
 	}()
 	_, ok := a.takeOver(t.Context(), groupG)
 	<-heard
@@ -122,7 +122,7 @@
 	first.open(true)
 	d, ok := first.takeOver(t.Context(), groupG)
 	is.True(ok)
-	next := &agent{boot: first.boot, log: first.log, store: first.store, beliefs: newBeliefs(lockstep.Listener{}, time.Now())}
+	next := &agent{boot: first.boot, log: first.log, store: first.store, beliefs: newBeliefs(lockstep.Follower{}, time.Now())}
 	seatAndHear(next, 0)
 	_, ok = next.takeOver(t.Context(), groupG)
 	is.True(!ok)
@@ -165,6 +165,6 @@
 	_, err = a.store.Put(ctx, kv.Condition{Key: key, Revision: it.Revision}, nil)
 	is.True(err != nil) // the condition of the slower one fails
 	lost <- claimed{lost: true}
-	s := &steward{agent: a, group: groupG, duty: duty{acting: true, term: 3, claiming: lost}, core: lockstep.NewSteward(0, nil, 1), log: a.log}
+	s := &steward{agent: a, group: groupG, duty: duty{acting: true, term: 3, claiming: lost}, core: lockstep.NewCoordinator(0, nil, 1), log: a.log}
 	is.True(!s.renewDuty(ctx, time.Now()))
 }
--- a/sidecar/link.go
+++ b/sidecar/link.go
@@ -97,7 +97,7 @@
 		l.told.Store(nil)
 	case tell.NeedMap && ask.Order != nil:
 		l.lacks.Store(ask.Order.Version)
-	case ask.Roster != nil && tell.Refused == lockstep.Heeded:
+	case ask.Roster != nil && tell.Refused == lockstep.Accepted:
 		l.told.Store(ask.Roster)
 	}
 	return tell, err
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -166,5 +166,5 @@
 // whose rank has joined another one, or has started anew, has no say in this one.
 func (s *steward) seated() bool {
 	seat := s.seat()
-	return seat.Same(lockstep.Seat{Group: s.group, Rank: s.rankOf, Born: s.born})
+	return seat.Same(lockstep.Membership{Group: s.group, Rank: s.rankOf, StartedAt: s.born})
 }
--- a/sidecar/members_test.go
+++ b/sidecar/members_test.go
@@ -31,7 +31,7 @@
 	seatAndHear(a, 0)
 	a.boot.Service = "pool"
 	return &steward{
-		agent: a, group: groupG, rankOf: 1, log: a.log, core: lockstep.NewSteward(1, nil, 1), tells: map[string]rankpeer.Tell{},
+		agent: a, group: groupG, rankOf: 1, log: a.log, core: lockstep.NewCoordinator(1, nil, 1), tells: map[string]rankpeer.Tell{},
 		members: members{peers: map[string]*peer{}, elsewhere: map[string]engine.GroupID{}},
 	}
 }
@@ -147,7 +147,7 @@
 	is := is.New(t)
 	a, _ := testAgent(t)
 	seatAndHear(a, 24)
-	tell := a.answer(rankpeer.Ask{Word: lockstep.Word{Group: in("h"), Term: 90, From: "side-7"}, Order: &engine.Order{Kind: engine.HoldPass, Epoch: 1}})
+	tell := a.answer(rankpeer.Ask{Word: lockstep.Announcement{Group: in("h"), Term: 90, From: "side-7"}, Order: &engine.Order{Kind: engine.HoldPass, Epoch: 1}})
 	is.Equal(tell.Refused, lockstep.OtherGroup)
 	is.Equal(tell.Group, groupG)
 	is.Equal(tell.Status, 0)
--- a/sidecar/needs_test.go
+++ b/sidecar/needs_test.go
@@ -48,8 +48,8 @@
 	}
 	round()
 	_, i := s.numberOfRelay()
-	one := rankpeer.Ask{Digest: true, Gateway: "front-1", Event: 55, Word: lockstep.Word{Group: groupG}}
-	other := rankpeer.Ask{Digest: true, Gateway: "front-2", Word: lockstep.Word{Group: groupG}}
+	one := rankpeer.Ask{Digest: true, Gateway: "front-1", Event: 55, Word: lockstep.Announcement{Group: groupG}}
+	other := rankpeer.Ask{Digest: true, Gateway: "front-2", Word: lockstep.Announcement{Group: groupG}}
 	s.Equal(s.agents[0].answer(other).Digest.Event, int64(0))
 	s.agents[i].answer(one)
 	round()
@@ -77,7 +77,7 @@
 					at = a
 				}
 			}
-			if at.answer(rankpeer.Ask{Digest: true, Gateway: fmt.Sprintf("front-%02d", g), Word: lockstep.Word{Group: groupG}}).ShortWatch {
+			if at.answer(rankpeer.Ask{Digest: true, Gateway: fmt.Sprintf("front-%02d", g), Word: lockstep.Announcement{Group: groupG}}).ShortWatch {
 				n++
 			}
 		}
--- a/sidecar/planner_test.go
+++ b/sidecar/planner_test.go
@@ -35,7 +35,7 @@
 // Guards against a new steward that sends whole maps, or starts from one of an earlier epoch.
 func TestNewStewardKnowsTheMap(t *testing.T) {
 	is := is.New(t)
-	a := &agent{beliefs: newBeliefs(lockstep.Listener{}, time.Time{})}
+	a := &agent{beliefs: newBeliefs(lockstep.Follower{}, time.Time{})}
 	m := rankpeer.Pack([][][]int{{{0, 1}, {2, 3}}}, 2)
 	is.Equal(a.maps.make(3, 77, &rankpeer.Change{Full: m}), m)
 	ranks := []lockstep.Rank{{}, {Known: true, State: engine.State{Epoch: 3, Map: 77}}}
@@ -52,7 +52,7 @@
 // Guards against a change that waits for the counts of all ranks.
 func TestCountsWaitForAChange(t *testing.T) {
 	is := is.New(t)
-	s := &steward{core: lockstep.NewSteward(0, nil, 1)}
+	s := &steward{core: lockstep.NewCoordinator(0, nil, 1)}
 	ranks := []lockstep.Rank{{Known: true, State: engine.State{Open: true, Size: 1, Epoch: 1}}}
 	now := time.Unix(1000, 0)
 	counts := func(after time.Duration) bool {
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -151,4 +151,4 @@
 
 // forwards reports whether an ask for a branch is passed on: a word that is older than
 // one that was heard here is refused by all agents that have heard that one too.
-func forwards(refusal lockstep.Refusal) bool { return refusal != lockstep.NewerSteward }
+func forwards(refusal lockstep.Refusal) bool { return refusal != lockstep.NewerCoordinator }
--- a/sidecar/steward.go
+++ b/sidecar/steward.go
@@ -45,7 +45,7 @@
 	complete bool
 	// byRank are the targets of the group's ranks.
 	byRank  []string
-	core    *lockstep.Steward
+	core    *lockstep.Coordinator
 	planner planner
 	// pending are the orders that go out with the next asks, by target; tells
 	// are the last answers.
@@ -102,7 +102,7 @@
 		agent: a, salt: salt, group: group, rankOf: st.Rank, born: st.Born, duty: d,
 		targets: mirror.NewTargetFollower(a.store, platform.Formats(), a.log),
 		members: members{peers: map[string]*peer{}, elsewhere: map[string]engine.GroupID{}, strayAt: time.Now()},
-		core:    lockstep.NewSteward(st.Rank, a.stewardBefore(st.Rank), salt), pending: map[string]lockstep.Command{},
+		core:    lockstep.NewCoordinator(st.Rank, a.stewardBefore(st.Rank), salt), pending: map[string]lockstep.Command{},
 		log: a.log.With("group", group.Name, "service", a.boot.Service, "steward-from", d.term),
 	}
 	s.core.Fence = d.term
@@ -194,7 +194,7 @@
 		return false, false
 	}
 	ranks := s.arrange()
-	s.complete = lockstep.Whole(ranks)
+	s.complete = lockstep.Complete(ranks)
 	s.roundTook = time.Since(now)
 	metricRound.Record(s.roundTook.Milliseconds())
 	s.planner.take(now, s.byRank, s.tells, s.samples)
--- a/sidecar/talk.go
+++ b/sidecar/talk.go
@@ -61,7 +61,7 @@
 	}
 	if ask.View != nil {
 		tell := rankpeer.Tell{Refused: a.hear(ask), Group: a.seat().Group, Term: a.highestTerm()}
-		if tell.Refused == lockstep.Heeded {
+		if tell.Refused == lockstep.Accepted {
 			tell.List = a.takeView(ask.View)
 		}
 		return tell
@@ -86,7 +86,7 @@
 	tell := rankpeer.Tell{Group: a.seat().Group, Refused: refusal, Term: a.highestTerm()}
 	// A rank that has just not answered would take its time again, and all other ranks of
 	// the branch with it.
-	if refusal == lockstep.Heeded && reads {
+	if refusal == lockstep.Accepted && reads {
 		a.consult(ask, &tell)
 	}
 	return tell
