--- a/agent/groups.go
+++ b/agent/groups.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n, err := g.Fetch(ctx, rank.Weights{
+	n, err := g.Fetch(ctx, rank.WeightsRequest{
 		Layer: int(m.Layer), Expert: int32(m.Expert), Offset: int64(m.Offset), Length: int64(m.Length),
 	})
 	if err != nil {
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -93,7 +93,7 @@
 	if err != nil {
 		return
 	}
-	g.guard.Learn(time.Since(g.began), lease.Number{Fence: last.Fence, Sequence: last.Sequence})
+	g.guard.SetApplied(time.Since(g.began), lease.Number{Fence: last.Fence, Sequence: last.Sequence})
 }
 
 func (g *orderGuard) send(ctx context.Context, e *target.Engine, o target.Order) *wire.OrderResponse {
--- a/agent/steering/fleet_test.go
+++ b/agent/steering/fleet_test.go
@@ -150,7 +150,7 @@
 	return l, 0, err
 }
 
-func (f *fleet) Fetch(ctx context.Context, to string, w rank.Weights) (int64, error) {
+func (f *fleet) Fetch(ctx context.Context, to string, w rank.WeightsRequest) (int64, error) {
 	return f.ranks[to].Fetch(ctx, w)
 }
 
@@ -280,7 +280,9 @@
 	return l, nil
 }
 
-func (r *fakeRank) Fetch(_ context.Context, w rank.Weights) (int64, error) { return w.Length, nil }
+func (r *fakeRank) Fetch(_ context.Context, w rank.WeightsRequest) (int64, error) {
+	return w.Length, nil
+}
 
 // states returns the ranks' states in the order of the maps.
 func (f *fleet) states() []group.RankState {
--- a/agent/steering/lease.go
+++ b/agent/steering/lease.go
@@ -50,7 +50,7 @@
 
 // read looks who holds the duty.
 func (d *DutyStore) read(ctx context.Context, c lease.Call) lease.Answer {
-	kv, err := d.store.Get(ctx, c.Duty)
+	kv, err := d.store.Get(ctx, c.Role)
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
@@ -95,7 +95,7 @@
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
-	version, err := d.store.CompareAndSwap(ctx, c.Duty, 0, value, l.ID)
+	version, err := d.store.CompareAndSwap(ctx, c.Role, 0, value, l.ID)
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
--- a/agent/steering/lease_test.go
+++ b/agent/steering/lease_test.go
@@ -93,7 +93,7 @@
 }
 
 func dutyCall(kind lease.CallKind, owner string, fence uint64) lease.Call {
-	return lease.Call{Kind: kind, Duty: "duty", Owner: owner, Fence: fence, TTL: 10 * time.Second}
+	return lease.Call{Kind: kind, Role: "duty", Owner: owner, Fence: fence, TTL: 10 * time.Second}
 }
 
 func TestDutyStore(t *testing.T) {
--- a/agent/steering/load.go
+++ b/agent/steering/load.go
@@ -91,7 +91,7 @@
 func (g *Part) fetch(ctx context.Context, shape *Shape, f loading.Fetch, done chan<- fetched) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	n, err := g.peers.Fetch(ctx, shape.members[f.Rank], rank.Weights{
+	n, err := g.peers.Fetch(ctx, shape.members[f.Rank], rank.WeightsRequest{
 		Layer: f.Layer, Expert: f.Expert, Offset: f.Offset, Length: f.Length,
 	})
 	if err != nil {
--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -41,7 +41,7 @@
 	Apply(ctx context.Context, o rank.Order) error
 	Map(ctx context.Context, v group.Version) (rank.Placement, error)
 	Loads(ctx context.Context) (rank.Loads, error)
-	Fetch(ctx context.Context, w rank.Weights) (int64, error)
+	Fetch(ctx context.Context, w rank.WeightsRequest) (int64, error)
 }
 
 // groupPeers are the agents of the other ranks, by their names.
@@ -49,7 +49,7 @@
 	Send(ctx context.Context, to string, m group.Message) error
 	Map(ctx context.Context, to string, v group.Version) (rank.Placement, error)
 	Loads(ctx context.Context, to string) (rank.Loads, int, error)
-	Fetch(ctx context.Context, to string, w rank.Weights) (int64, error)
+	Fetch(ctx context.Context, to string, w rank.WeightsRequest) (int64, error)
 }
 
 // leaseCaller makes the calls of a lease.Holder.
@@ -83,7 +83,7 @@
 	member  *group.Member
 	steward group.Duty
 	holder  *lease.Holder
-	habit   lease.Habit
+	habit   lease.FencingSupport
 	local   []group.Message
 	leaving bool
 	ticked  time.Duration
@@ -118,7 +118,7 @@
 		contents: newContents(),
 		member:   group.NewMember(group.MemberConfig{Name: d.Self, Habit: shape.habit}, d.Incarnation, 0),
 		holder: lease.NewHolder(lease.Config{
-			Duty: "duties/group/" + shape.name, Owner: d.Owner, TTL: d.Settings.LeaseTTL,
+			Role: "duties/group/" + shape.name, Owner: d.Owner, TTL: d.Settings.LeaseTTL,
 		}),
 	}
 	g.ctx, g.stop = context.WithCancel(ctx)
@@ -154,7 +154,9 @@
 func (g *Part) Loads(ctx context.Context) (rank.Loads, error) { return g.rank.Loads(ctx) }
 
 // Fetch has the agent's own rank read a part of an expert's weights.
-func (g *Part) Fetch(ctx context.Context, w rank.Weights) (int64, error) { return g.rank.Fetch(ctx, w) }
+func (g *Part) Fetch(ctx context.Context, w rank.WeightsRequest) (int64, error) {
+	return g.rank.Fetch(ctx, w)
+}
 
 // Reshape takes in a changed configuration of the same group.
 func (g *Part) Reshape(s *Shape) {
@@ -240,13 +242,13 @@
 // costs the store a few calls and not one from each.
 func (g *Part) due(now time.Duration) bool {
 	shape, heard := g.shape.Load(), g.member.Heard()
-	t := lease.Takeover{Silence: g.cfg.Silence, Stagger: dutyStagger}
+	t := lease.Takeover{HolderTimeout: g.cfg.Silence, Stagger: dutyStagger}
 	still := g.member.Orphaned(now)
 	if still && now-heard < stillSilence {
 		return true
 	}
 	if still || g.member.Health(now) == group.Empty {
-		t.Silence = stillSilence
+		t.HolderTimeout = stillSilence
 	}
 	return t.Due(now, heard, "duties/group/"+shape.name, g.self, shape.candidates)
 }
--- a/agent/steering/peers.go
+++ b/agent/steering/peers.go
@@ -81,7 +81,7 @@
 }
 
 // Fetch implements groupPeers.
-func (p *Peers) Fetch(ctx context.Context, to string, w rank.Weights) (int64, error) {
+func (p *Peers) Fetch(ctx context.Context, to string, w rank.WeightsRequest) (int64, error) {
 	addr, err := p.address(to)
 	if err != nil {
 		return 0, err
--- a/agent/steering/rank.go
+++ b/agent/steering/rank.go
@@ -64,7 +64,7 @@
 	case err == nil:
 		g.metrics.stalled(s.Stalls)
 		g.post(func() { g.act(g.member.Observed(g.now(), op.id, s.RankState, true)) })
-	case rank.Refused(err):
+	case rank.ConnectionRefused(err):
 		g.post(func() { g.act(g.member.Observed(g.now(), op.id, group.RankState{}, false)) })
 	}
 }
--- a/agent/steering/shape.go
+++ b/agent/steering/shape.go
@@ -70,7 +70,7 @@
 	policy     expert.Policy
 	// confirmed says that an operator has confirmed an intent for the group.
 	confirmed bool
-	habit     lease.Habit
+	habit     lease.FencingSupport
 
 	once         sync.Once
 	first        rank.Placement
--- a/bench/groups/switch_world.go
+++ b/bench/groups/switch_world.go
@@ -271,7 +271,7 @@
 
 // storeCalls counts the calls on the store of one steady holder in a minute.
 func storeCalls() int {
-	h := lease.NewHolder(lease.Config{Duty: "group/captions", Owner: "rank-000/1"})
+	h := lease.NewHolder(lease.Config{Role: "group/captions", Owner: "rank-000/1"})
 	h.Want(true)
 	calls := 0
 	for now := time.Second; now < time.Second+time.Minute; now += switchTick {
--- a/bench/routing/routing_trial.go
+++ b/bench/routing/routing_trial.go
@@ -139,7 +139,7 @@
 	counts := make([]int, len(t.targets))
 	for _, e := range t.entries {
 		for i := range counts {
-			if e.monitor.Evident(i) {
+			if e.monitor.OwnEvidence(i) {
 				counts[i]++
 			}
 		}
@@ -147,10 +147,10 @@
 	t.after(hintDelay, func() {
 		for _, e := range t.entries {
 			for i, n := range counts {
-				if e.monitor.Evident(i) {
+				if e.monitor.OwnEvidence(i) {
 					n--
 				}
-				e.monitor.Hint(i, max(0, n), t.time())
+				e.monitor.RecordPeerEjections(i, max(0, n), t.time())
 			}
 		}
 	})
@@ -162,8 +162,8 @@
 			continue
 		}
 		e.table.Observe(i, g.load(), e.time())
-		e.monitor.Heard(i, e.time())
-		e.monitor.Step(i, g.load().StepMs, e.time())
+		e.monitor.Heartbeat(i, e.time())
+		e.monitor.RecordStep(i, g.load().StepMs, e.time())
 	}
 }
 
@@ -223,7 +223,7 @@
 	switch end {
 	case completed:
 		e.table.Observe(i, g.load(), now)
-		e.monitor.Step(i, g.load().StepMs, now)
+		e.monitor.RecordStep(i, g.load().StepMs, now)
 		e.monitor.Succeed(i, started-j.arrived, now)
 		e.returns.Completed(now)
 		e.samples = append(e.samples, sample{j.arrived, started - j.arrived, e.now - j.arrived, i})
--- a/core/configuration/follow/members.go
+++ b/core/configuration/follow/members.go
@@ -78,7 +78,7 @@
 func (m *Members) Failed(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.view.Failed(name, time.Now())
+	m.view.RecordFailure(name, time.Now())
 }
 
 // SetDraining says that this agent takes no new work.
@@ -114,7 +114,7 @@
 func (m *Members) Visible() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.Visible(time.Now())
+	return m.view.VisibleFraction(time.Now())
 }
 
 // CutOff reports whether this process has heard nobody for some seconds. It
@@ -122,7 +122,7 @@
 func (m *Members) CutOff() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.view.CutOff(time.Now())
+	return m.view.Isolated(time.Now())
 }
 
 // Superseded reports whether a later process has this agent's name: this one
--- a/core/experts/group/end_test.go
+++ b/core/experts/group/end_test.go
@@ -58,7 +58,7 @@
 	})
 	w.store.down = true
 	st.duty = &Duty{} // its process goes on; its steward and its lease are gone
-	st.holder = lease.NewHolder(lease.Config{Duty: simDuty, Owner: "again"})
+	st.holder = lease.NewHolder(lease.Config{Role: simDuty, Owner: "again"})
 	epoch := st.rank.State.Epoch
 	w.rounds(t, "no rank waits", func() bool {
 		for _, n := range w.nodes {
--- a/core/experts/group/explorer_test.go
+++ b/core/experts/group/explorer_test.go
@@ -138,7 +138,7 @@
 	w.stallLimit = []time.Duration{0, 300 * time.Millisecond}[w.rng.IntN(2)]
 	w.lossy = []int{6, 30, 300}[w.rng.IntN(3)]
 	w.quiet = []int{50, 85, 97}[w.rng.IntN(3)]
-	habit := lease.Habit(w.rng.IntN(2))
+	habit := lease.FencingSupport(w.rng.IntN(2))
 	for range w.names {
 		n := &node{rank: &Rank{Habit: habit, off: off}, slow: 1}
 		if w.rng.IntN(4) == 0 {
@@ -171,7 +171,7 @@
 	}, n.starts, w.now)
 	n.member.off = w.off
 	n.holder = lease.NewHolder(lease.Config{
-		Duty: simDuty, Owner: fmt.Sprintf("%s/%d", w.names[i], n.starts), TTL: simTTL, Timeout: 100 * time.Millisecond,
+		Role: simDuty, Owner: fmt.Sprintf("%s/%d", w.names[i], n.starts), TTL: simTTL, Timeout: 100 * time.Millisecond,
 	})
 }
 
@@ -194,7 +194,7 @@
 	if !n.up || n.paused {
 		return
 	}
-	take := lease.Takeover{Silence: 800 * time.Millisecond, Stagger: 100 * time.Millisecond}
+	take := lease.Takeover{HolderTimeout: 800 * time.Millisecond, Stagger: 100 * time.Millisecond}
 	due := take.Due(w.now, n.member.Heard(), simDuty, w.names[i], w.names) || n.member.Orphaned(w.now)
 	n.holder.Want(n.duty.Wanted(n.holder, due))
 	for _, c := range n.holder.Tick(w.now / n.slow) {
--- a/core/experts/group/member.go
+++ b/core/experts/group/member.go
@@ -10,7 +10,7 @@
 // MemberConfig is the setting of a Member. Zero values take the defaults.
 type MemberConfig struct {
 	Name  string
-	Habit lease.Habit
+	Habit lease.FencingSupport
 	// Lifetime bounds how long an order can take to reach the rank.
 	Lifetime time.Duration
 	// Timeout is how long to wait for the rank's answer.
@@ -184,7 +184,7 @@
 // follow reports whether a steward's message may be acted on. A steward that
 // was paused past its lease is told of the newer fence by the report.
 func (m *Member) follow(now time.Duration, from string, fence uint64) bool {
-	if m.guard.Hear(fence) != nil && !m.off.fence {
+	if m.guard.ObserveFence(fence) != nil && !m.off.fence {
 		return false
 	}
 	m.steward, m.heard, m.vacant = from, now, false
@@ -222,7 +222,7 @@
 }
 
 func (m *Member) voteOn(now time.Duration, from string, sw Switch) []Action {
-	_ = m.guard.Hear(sw.Number.Fence) // a lower one is refused in the vote
+	_ = m.guard.ObserveFence(sw.Number.Fence) // a lower one is refused in the vote
 	if m.known {
 		// A vote once said stays true, so that the last reading will do.
 		if m.count == nil && sw == m.rank.Armed {
--- a/core/experts/group/member_link.go
+++ b/core/experts/group/member_link.go
@@ -69,7 +69,7 @@
 		return append(m.tellHealth(now), m.advance(now)...)
 	}
 	m.pulse.observe(now, s)
-	if !m.guard.Learn(now, s.Last) && !m.off.settle {
+	if !m.guard.SetApplied(now, s.Last) && !m.off.settle {
 		return m.advance(now)
 	}
 	news := m.known && newsworthy(m.rank, s)
--- a/core/experts/group/rank.go
+++ b/core/experts/group/rank.go
@@ -130,7 +130,7 @@
 // it reports its state truthfully.
 type Rank struct {
 	State RankState
-	Habit lease.Habit
+	Habit lease.FencingSupport
 	// Stops counts the calls of Begin that found the rank held.
 	Stops uint64
 
--- a/core/experts/group/refusal_test.go
+++ b/core/experts/group/refusal_test.go
@@ -21,7 +21,7 @@
 	}{
 		{"in time", func(*Member) {}, ArmMap},
 		{"step begun", func(m *Member) { m.ballot.sw.Step = 9 }, ResolveMap},
-		{"steward replaced", func(m *Member) { _ = m.guard.Hear(3) }, ResolveMap},
+		{"steward replaced", func(m *Member) { _ = m.guard.ObserveFence(3) }, ResolveMap},
 		{"abort is known", func(m *Member) { m.outcome = Outcome{Number: sw.Number, Epoch: sw.Epoch} }, ResolveMap},
 		{"other switch under way", func(m *Member) { m.rank.Armed, m.rank.Committed = Switch{Number: num(1, 8)}, true }, 0},
 		{"engine was in the new epoch and lost it", func(m *Member) {
--- a/core/experts/rank/client.go
+++ b/core/experts/rank/client.go
@@ -66,9 +66,9 @@
 	return fmt.Sprintf("rank answered %s with status %d", e.Path, e.Status)
 }
 
-// Refused reports whether err shows that the engine does not run: it refused
+// ConnectionRefused reports whether err shows that the engine does not run: it refused
 // the connection. An engine that is only late gives another error.
-func Refused(err error) bool {
+func ConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
@@ -96,8 +96,8 @@
 
 // Fetch has the rank read a part of an expert's weights into its memory, and
 // returns how many bytes have arrived.
-func (c *Client) Fetch(ctx context.Context, w Weights) (int64, error) {
-	var r Read
+func (c *Client) Fetch(ctx context.Context, w WeightsRequest) (int64, error) {
+	var r WeightsResponse
 	err := c.exchange(ctx, http.MethodPost, WeightsPath, w, &r)
 	return r.Read, err
 }
--- a/core/experts/rank/client_test.go
+++ b/core/experts/rank/client_test.go
@@ -93,7 +93,7 @@
 	is.NoErr(err)
 	is.NoErr(l.Close())
 	_, err = rank.NewClient(l.Addr().String(), rank.Options{}).State(t.Context())
-	is.True(rank.Refused(err))
+	is.True(rank.ConnectionRefused(err))
 }
 
 func TestVersionIsOfContent(t *testing.T) {
--- a/core/experts/rank/rank.go
+++ b/core/experts/rank/rank.go
@@ -89,8 +89,8 @@
 	Layers [][]float64 `json:"layers"`
 }
 
-// Weights names a part of one expert's weights.
-type Weights struct {
+// WeightsRequest names a part of one expert's weights.
+type WeightsRequest struct {
 	Layer  int   `json:"layer"`
 	Expert int32 `json:"expert"`
 	// Offset and Length are in bytes.
@@ -98,8 +98,8 @@
 	Length int64 `json:"length"`
 }
 
-// Read is the answer to a Weights request.
-type Read struct {
+// WeightsResponse is the answer to a Weights request.
+type WeightsResponse struct {
 	// Read is how many of the bytes have arrived.
 	Read int64 `json:"read"`
 }
--- a/core/experts/rankpeer/branch.go
+++ b/core/experts/rankpeer/branch.go
@@ -11,9 +11,9 @@
 // steward's word for itself, and what is told of a rank was read in this ask. The
 // counts of a branch are summed on the way.
 
-// BranchAsk is the part of an ask that a relay passes on to the agents of its branch.
+// BranchRequest is the part of an ask that a relay passes on to the agents of its branch.
 // Word, Held, Counts and Placement of the ask go to each of them.
-type BranchAsk struct {
+type BranchRequest struct {
 	// List numbers Members; Members is nil if the relay has been told that list.
 	List    uint64
 	Members []Member
@@ -38,22 +38,22 @@
 	Members []uint16
 }
 
-// BranchTell is what a relay answers for its branch.
-type BranchTell struct {
+// BranchResponse is what a relay answers for its branch.
+type BranchResponse struct {
 	// NeedMembers says that the relay lacks the list of its members, and has asked
 	// nobody.
 	NeedMembers bool
 	// Tells are those of the members that were asked, in the order of Among. What all
 	// share with the ask is left out: the group, the term, and the states, which are
 	// in States for those that are known.
-	Tells  []Tell
+	Tells  []Response
 	States States
 	// Sample is the sum of the members' samples.
 	Sample *Sample
 }
 
 // OrderOf returns the order of a member and its change, or nil.
-func (b *BranchAsk) OrderOf(member int) (*engine.Order, *Change) {
+func (b *BranchRequest) OrderOf(member int) (*engine.Order, *Change) {
 	for i := range b.Orders {
 		for _, m := range b.Orders[i].Members {
 			if int(m) == member {
@@ -64,8 +64,8 @@
 	return nil, nil
 }
 
-// Asked returns the members that are asked, out of n.
-func (b *BranchAsk) Asked(n int) []int {
+// Selected returns the members that are asked, out of n.
+func (b *BranchRequest) Selected(n int) []int {
 	if b.Among == nil {
 		all := make([]int, n)
 		for i := range all {
@@ -82,9 +82,9 @@
 	return some
 }
 
-// PackTells makes the answer of a relay from those of its members.
-func PackTells(word lockstep.Word, tells []Tell) *BranchTell {
-	out := &BranchTell{Tells: make([]Tell, len(tells))}
+// PackResponses makes the answer of a relay from those of its members.
+func PackResponses(word lockstep.Word, tells []Response) *BranchResponse {
+	out := &BranchResponse{Tells: make([]Response, len(tells))}
 	var states []engine.State
 	var samples []*Sample
 	for i, t := range tells {
@@ -110,7 +110,7 @@
 
 // Unpack returns the answers of count members, or false if the answer does not fit the
 // ask. The sum of the samples stays with the branch.
-func (b *BranchTell) Unpack(word lockstep.Word, count int) ([]Tell, bool) {
+func (b *BranchResponse) Unpack(word lockstep.Word, count int) ([]Response, bool) {
 	known := 0
 	for i := range b.Tells {
 		if b.Tells[i].Known {
@@ -121,7 +121,7 @@
 	if !ok || len(b.Tells) != count {
 		return nil, false
 	}
-	out := make([]Tell, 0, count)
+	out := make([]Response, 0, count)
 	for _, t := range b.Tells {
 		if t.Answered && t.Group.Name == "" && t.Refused != lockstep.NoSeat {
 			t.Group = word.Group
--- a/core/experts/rankpeer/branch_test.go
+++ b/core/experts/rankpeer/branch_test.go
@@ -74,7 +74,7 @@
 	rng := rand.New(rand.NewPCG(3, 1))
 	word := lockstep.Word{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
 	one, two := randomState(rng, 5), randomState(rng, 7)
-	tells := []Tell{
+	tells := []Response{
 		{Group: word.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
 		{},
 		{Group: engine.GroupID{Name: "g", Epoch: 4}, Term: 40, Answered: true, Refused: lockstep.OlderEpoch},
@@ -82,7 +82,7 @@
 		{Group: word.Group, Term: 41, Answered: true, Refused: lockstep.NewerSteward},
 		{Group: word.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
 	}
-	packed := PackTells(word, tells)
+	packed := PackResponses(word, tells)
 	got, ok := packed.Unpack(word, len(tells))
 	is.True(ok)
 	for i := range tells {
@@ -176,6 +176,6 @@
 		is.True(FirstMap(s) == nil)
 	}
 	a, b := Pack([][][]int{{{1}, {2}}}, 2), Pack([][][]int{{{2}, {1}}}, 2)
-	is.True(a.Number() != b.Number())
-	is.Equal(a.Number(), Pack([][][]int{{{1}, {2}}}, 2).Number())
+	is.True(a.Hash() != b.Hash())
+	is.Equal(a.Hash(), Pack([][][]int{{{1}, {2}}}, 2).Hash())
 }
--- a/core/experts/rankpeer/client.go
+++ b/core/experts/rankpeer/client.go
@@ -31,9 +31,9 @@
 	return nil
 }
 
-// Ask asks over the connection that Connect has made.
-func (c *Client) Ask(ask Ask, wait time.Duration) (Tell, error) {
-	tell, err := c.conn.Ask(ask, wait)
+// Do asks over the connection that Connect has made.
+func (c *Client) Do(ask Request, wait time.Duration) (Response, error) {
+	tell, err := c.conn.Do(ask, wait)
 	if err != nil {
 		c.Close()
 	}
--- a/core/experts/rankpeer/maps.go
+++ b/core/experts/rankpeer/maps.go
@@ -54,9 +54,9 @@
 	return Pack(m, s.Places)
 }
 
-// Number identifies a map by what is in it, whatever version the ranks had it under: a
+// Hash identifies a map by what is in it, whatever version the ranks had it under: a
 // group that is formed anew begins with a map that its agents know.
-func (m *Map) Number() uint64 {
+func (m *Map) Hash() uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintln(h, m.Layers, m.Ranks, m.Places)
 	_, _ = h.Write(m.Data)
--- a/core/experts/rankpeer/rankpeer.go
+++ b/core/experts/rankpeer/rankpeer.go
@@ -18,9 +18,9 @@
 	"verbenashift/core/plumbing/tcp"
 )
 
-// Ask is what a steward asks of the agent beside a rank, or a gateway of the
+// Request is what a steward asks of the agent beside a rank, or a gateway of the
 // steward.
-type Ask struct {
+type Request struct {
 	// Digest asks a steward for its view of the group, and nothing else. List is
 	// the number of the list of targets that the asker has.
 	Digest bool
@@ -49,14 +49,14 @@
 	// steward, plus 1; 0 leaves it to the rank.
 	Turn int
 	// Branch has the agent ask others on the steward's behalf.
-	Branch *BranchAsk
+	Branch *BranchRequest
 	// View is the steward's view, for gateways that ask this agent for it. An ask that
 	// brings one asks for nothing else.
 	View *Digest
 }
 
-// Tell is the answer.
-type Tell struct {
+// Response is the answer.
+type Response struct {
 	// Group is that of the agent's rank, as the agent knows it; its name is empty
 	// if the rank has not answered yet.
 	Group engine.GroupID
@@ -91,7 +91,7 @@
 	// soon.
 	ShortWatch bool
 	// Branch is the answer of a relay.
-	Branch *BranchTell
+	Branch *BranchResponse
 }
 
 // Digest is a steward's view of its group.
@@ -152,10 +152,10 @@
 	return &Conn{conn: c, in: gob.NewDecoder(c), out: gob.NewEncoder(c)}
 }
 
-// Ask asks and waits for the answer. After an error the connection is of no
+// Do asks and waits for the answer. After an error the connection is of no
 // use any more.
-func (c *Conn) Ask(ask Ask, wait time.Duration) (Tell, error) {
-	var tell Tell
+func (c *Conn) Do(ask Request, wait time.Duration) (Response, error) {
+	var tell Response
 	defer c.conn.record(ask.kind(), "asked", "told")
 	if err := c.conn.SetDeadline(time.Now().Add(wait)); err != nil {
 		return tell, err
@@ -175,14 +175,14 @@
 
 // Serve answers the asks on one connection, in turn, until it breaks or is left
 // unused. The error says why it has ended.
-func Serve(nc net.Conn, answer func(Ask) Tell) error {
+func Serve(nc net.Conn, answer func(Request) Response) error {
 	defer func() { _ = nc.Close() }()
 	c := newConn(nc)
 	for {
 		if err := nc.SetDeadline(time.Now().Add(quiet)); err != nil {
 			return err
 		}
-		var ask Ask
+		var ask Request
 		if err := c.in.Decode(&ask); err != nil {
 			return err
 		}
--- a/core/experts/rankpeer/rankpeer_test.go
+++ b/core/experts/rankpeer/rankpeer_test.go
@@ -126,7 +126,7 @@
 		is.NoErr(enc.Encode(v))
 		return b.Len() - first // Without the description of the type.
 	}
-	tell := Tell{Known: true, State: engine.State{Group: "g0-0", Epoch: 1, Step: 1 << 20, Map: 1 << 30}}
+	tell := Response{Known: true, State: engine.State{Group: "g0-0", Epoch: 1, Step: 1 << 20, Map: 1 << 30}}
 	state := size(tell)
 	tell.Sample = NewSample(nil, counts)
 	sample := size(tell)
@@ -143,7 +143,7 @@
 	}
 	moves, ok := Diff(Pack(from, 3), Pack(to, 3))
 	is.True(ok)
-	change := size(Ask{Order: &engine.Order{Kind: engine.PrepareMap}, Change: &Change{Moves: moves}})
+	change := size(Request{Order: &engine.Order{Kind: engine.PrepareMap}, Change: &Change{Moves: moves}})
 	t.Logf("a state %d bytes, with a sample %d, an order with %d moves %d", state, sample, len(moves)/2, change)
 	is.True(72*sample+72*change < 120_000)
 }
@@ -153,11 +153,11 @@
 	a, b := net.Pipe()
 	done := make(chan error)
 	go func() {
-		done <- Serve(b, func(ask Ask) Tell { return Tell{Term: ask.Word.Term + 1} })
+		done <- Serve(b, func(ask Request) Response { return Response{Term: ask.Word.Term + 1} })
 	}()
 	c := newConn(a)
 	for term := range int64(5) {
-		tell, err := c.Ask(Ask{Word: lockstep.Word{Term: term}}, time.Second)
+		tell, err := c.Do(Request{Word: lockstep.Word{Term: term}}, time.Second)
 		is.NoErr(err)
 		is.Equal(tell.Term, term+1)
 	}
--- a/core/experts/rankpeer/traffic.go
+++ b/core/experts/rankpeer/traffic.go
@@ -13,7 +13,7 @@
 var metricBytes = expvar.NewMap("peer-bytes-by-kind")
 
 // kind is what an ask is for, in metrics.
-func (a *Ask) kind() string {
+func (a *Request) kind() string {
 	switch {
 	case a.Digest:
 		return "digest"
--- a/core/membership/health/doubts.go
+++ b/core/membership/health/doubts.go
@@ -29,18 +29,18 @@
 	keepPart = 3
 )
 
-// Doubts collects reports of targets that fail while their peers do not, by this entry and
+// Suspicions collects reports of targets that fail while their peers do not, by this entry and
 // by others, and tells which targets are to be avoided for a while. The zero value has
 // none.
 //
 // The load pattern it answers is a fault of seconds at one of a few targets before many
 // entries. Each entry alone meets it about once a second, and has seen enough when it is
 // over; together they have after some tenths of a second.
-type Doubts struct {
-	// Turn is when this entry sends to a target again among all entries, from 0, which is
+type Suspicions struct {
+	// ReturnOrder is when this entry sends to a target again among all entries, from 0, which is
 	// first, to 1.
-	Turn    float64
-	targets map[string]*doubted
+	ReturnOrder float64
+	targets     map[string]*doubted
 }
 
 // doubted is what was reported of one target.
@@ -59,11 +59,11 @@
 }
 
 // Report takes the word of an entry, this one or another, that a target fails.
-func (d *Doubts) Report(target, source string, own bool, now time.Time) {
+func (d *Suspicions) Report(target, source string, own bool, now time.Time) {
 	t := d.targets[target]
 	if t == nil {
 		if len(d.targets) >= maxDoubted {
-			d.Forget(now)
+			d.Expire(now)
 		}
 		if len(d.targets) >= maxDoubted {
 			return
@@ -77,7 +77,7 @@
 	t.add(source, now)
 	enough := t.count(now) >= reportsNeeded
 	if own || enough {
-		t.avoid(now, time.Duration(d.Turn*float64(returnSpan)))
+		t.avoid(now, time.Duration(d.ReturnOrder*float64(returnSpan)))
 	}
 	if enough {
 		t.agreed = t.until
@@ -85,7 +85,7 @@
 }
 
 // Agreed reports whether enough entries have reported a target for all to avoid it now.
-func (d *Doubts) Agreed(target string, now time.Time) bool {
+func (d *Suspicions) Agreed(target string, now time.Time) bool {
 	t := d.targets[target]
 	return t != nil && now.Before(t.agreed)
 }
@@ -124,7 +124,7 @@
 }
 
 // Count returns how many entries have reported a target lately.
-func (d *Doubts) Count(target string, now time.Time) int {
+func (d *Suspicions) Count(target string, now time.Time) int {
 	if t := d.targets[target]; t != nil {
 		return t.count(now)
 	}
@@ -133,7 +133,7 @@
 
 // Avoided returns those of a service's targets that are to be avoided, so many of them that
 // enough others are left; the ones that most entries have reported go first.
-func (d *Doubts) Avoided(targets []string, now time.Time) []string {
+func (d *Suspicions) Avoided(targets []string, now time.Time) []string {
 	var out []string
 	for _, id := range targets {
 		if t := d.targets[id]; t != nil && now.Before(t.until) {
@@ -149,13 +149,13 @@
 }
 
 // Drop forgets a target that is gone, or that has started again.
-func (d *Doubts) Drop(target string) { delete(d.targets, target) }
+func (d *Suspicions) Drop(target string) { delete(d.targets, target) }
 
 // Any reports whether any target is doubted.
-func (d *Doubts) Any() bool { return len(d.targets) > 0 }
+func (d *Suspicions) Any() bool { return len(d.targets) > 0 }
 
-// Forget drops what is too old to matter.
-func (d *Doubts) Forget(now time.Time) {
+// Expire drops what is too old to matter.
+func (d *Suspicions) Expire(now time.Time) {
 	for id, t := range d.targets {
 		if now.Sub(t.until) > maxDoubt && t.count(now) == 0 {
 			delete(d.targets, id)
--- a/core/membership/health/doubts_test.go
+++ b/core/membership/health/doubts_test.go
@@ -12,7 +12,7 @@
 // Guards against an entry with a fault of its own link that takes a target from all.
 func TestOneEntryConvincesNobodyElse(t *testing.T) {
 	is := is.New(t)
-	var d Doubts
+	var d Suspicions
 	targets := []string{"a", "b", "c"}
 	for i := range 10 {
 		d.Report("a", "liar", false, start.Add(time.Duration(i)*100*time.Millisecond))
@@ -21,7 +21,7 @@
 	is.Equal(len(d.Avoided(targets, now)), 0)
 	d.Report("a", "another", false, now)
 	is.Equal(d.Avoided(targets, now), []string{"a"})
-	var own Doubts
+	var own Suspicions
 	own.Report("a", "self", true, now)
 	is.Equal(own.Avoided(targets, now), []string{"a"})
 	own.Drop("a") // it has started again
@@ -31,11 +31,11 @@
 // Guards against old reports that add up to a new one.
 func TestReportsExpire(t *testing.T) {
 	is := is.New(t)
-	var d Doubts
+	var d Suspicions
 	d.Report("a", "one", false, start)
 	d.Report("a", "two", false, start.Add(reportValid+time.Millisecond))
 	is.Equal(len(d.Avoided([]string{"a", "b"}, start.Add(reportValid+time.Millisecond))), 0)
-	d.Forget(start.Add(time.Hour))
+	d.Expire(start.Add(time.Hour))
 	is.True(!d.Any())
 }
 
@@ -44,7 +44,7 @@
 func TestSomeTargetsAreNeverAvoided(t *testing.T) {
 	for n, most := range map[int]int{1: 0, 2: 1, 3: 2, 12: 8, 670: 447} {
 		is := is.New(t)
-		var d Doubts
+		var d Suspicions
 		var targets []string
 		for i := range n {
 			id := fmt.Sprint("t", i)
@@ -59,7 +59,7 @@
 // that it is tried.
 func TestDoubtsLastLongerInVain(t *testing.T) {
 	is := is.New(t)
-	var d Doubts
+	var d Suspicions
 	targets := []string{"a", "b"}
 	now := start
 	var spans []time.Duration
@@ -81,7 +81,7 @@
 // Guards against memory that grows with the names that others tell.
 func TestDoubtsAreBounded(t *testing.T) {
 	is := is.New(t)
-	var d Doubts
+	var d Suspicions
 	for i := range 2 * maxDoubted {
 		d.Report(fmt.Sprint("t", i), "other", false, start)
 	}
@@ -121,9 +121,9 @@
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	targets := []string{"a", "b", "c"}
-	doubts := make([]Doubts, entries)
+	doubts := make([]Suspicions, entries)
 	for e := range doubts {
-		doubts[e].Turn = float64(e) / float64(entries)
+		doubts[e].ReturnOrder = float64(e) / float64(entries)
 	}
 	var pending, news []sending
 	now, end := start, start.Add(7*time.Second)
--- a/core/membership/health/health.go
+++ b/core/membership/health/health.go
@@ -94,8 +94,8 @@
 // only some targets be ejected, these go first.
 const (
 	NoCause Cause = iota
-	// Told means that several other entries have ejected the target.
-	Told
+	// PeerReported means that several other entries have ejected the target.
+	PeerReported
 	// Slow means that first tokens take much longer than at its peers.
 	Slow
 	// Straggler means that the steps of the target's group take much longer
@@ -122,30 +122,30 @@
 	// peers at which a target is slow.
 	StepFactor    float64
 	LatencyFactor float64
-	// Eject is the time of a first ejection; it doubles up to MaxEject.
-	Eject    time.Duration
-	MaxEject time.Duration
+	// BaseEjection is the time of a first ejection; it doubles up to MaxEject.
+	BaseEjection time.Duration
+	MaxEjection  time.Duration
 	// SlowStart is the time in which a returned target gets its full share.
 	SlowStart time.Duration
 	// ProbeRate is the most probes a second without an answer, of all targets
 	// together.
 	ProbeRate float64
-	// Silence is the time without any word after which a target that was
+	// HeartbeatTimeout is the time without any word after which a target that was
 	// heard before is ejected.
-	Silence time.Duration
+	HeartbeatTimeout time.Duration
 }
 
 // The defaults of Options.
 const (
-	DefaultFailures      = 3
-	DefaultFloor         = 0.5
-	DefaultStepFactor    = 3
-	DefaultLatencyFactor = 5
-	DefaultEject         = 5 * time.Second
-	DefaultMaxEject      = 10 * time.Second
-	DefaultProbeRate     = 0.5
-	DefaultSlowStart     = 10 * time.Second
-	DefaultSilence       = 5 * time.Second
+	DefaultFailures         = 3
+	DefaultFloor            = 0.5
+	DefaultStepFactor       = 3
+	DefaultLatencyFactor    = 5
+	DefaultBaseEjection     = 5 * time.Second
+	DefaultMaxEjection      = 10 * time.Second
+	DefaultProbeRate        = 0.5
+	DefaultSlowStart        = 10 * time.Second
+	DefaultHeartbeatTimeout = 5 * time.Second
 )
 
 func (o Options) withDefaults() Options {
@@ -153,11 +153,11 @@
 	setDefault(&o.Floor, DefaultFloor)
 	setDefault(&o.StepFactor, DefaultStepFactor)
 	setDefault(&o.LatencyFactor, DefaultLatencyFactor)
-	setDefault(&o.Eject, DefaultEject)
-	setDefault(&o.MaxEject, DefaultMaxEject)
+	setDefault(&o.BaseEjection, DefaultBaseEjection)
+	setDefault(&o.MaxEjection, DefaultMaxEjection)
 	setDefault(&o.SlowStart, DefaultSlowStart)
 	setDefault(&o.ProbeRate, DefaultProbeRate)
-	setDefault(&o.Silence, DefaultSilence)
+	setDefault(&o.HeartbeatTimeout, DefaultHeartbeatTimeout)
 	return o
 }
 
--- a/core/membership/health/health_test.go
+++ b/core/membership/health/health_test.go
@@ -146,9 +146,9 @@
 func slowSteps(r *rig) {
 	for range 2 {
 		for i := range r.members {
-			r.Step(i, 20, r.now)
+			r.RecordStep(i, 20, r.now)
 		}
-		r.Step(5, 200, r.now)
+		r.RecordStep(5, 200, r.now)
 	}
 }
 
@@ -196,14 +196,14 @@
 func TestSilentTargetIsEjected(t *testing.T) {
 	is := is.New(t)
 	r := newRig(4, 0)
-	r.Heard(0, r.now)
-	r.Heard(1, r.now)
+	r.Heartbeat(0, r.now)
+	r.Heartbeat(1, r.now)
 	r.Succeed(2, time.Millisecond, r.now)
-	r.Step(1, 20, r.now.Add(4*time.Second))
+	r.RecordStep(1, 20, r.now.Add(4*time.Second))
 	is.Equal(r.after(6 * time.Second)[0].Cause, Silent)
 	is.Equal(r.count(Ejected), 1)                    // 2 had one answer and owes no other
 	is.Equal(len(r.after(3500*time.Millisecond)), 1) // target 1 now, target 0 stays out
-	r.Heard(0, r.now)
+	r.Heartbeat(0, r.now)
 	is.Equal(r.after(time.Millisecond)[0].State, HalfOpen) // back: at once
 }
 
@@ -212,21 +212,21 @@
 func TestHintsEjectByAgreement(t *testing.T) {
 	is := is.New(t)
 	r := newRig(4, 0)
-	r.Hint(0, toldBy-1, r.now)
+	r.RecordPeerEjections(0, toldBy-1, r.now)
 	is.Equal(len(r.after(time.Second)), 0)
 	r.Fail(0, Soft, r.now)
 	r.Fail(1, Soft, r.now)
 	is.Equal(len(r.after(time.Second)), 1)
-	is.True(r.Evident(0)) // one failure was enough
+	is.True(r.OwnEvidence(0)) // one failure was enough
 	for range 50 {
-		r.Hint(2, toldBy, r.now)
+		r.RecordPeerEjections(2, toldBy, r.now)
 		r.after(time.Second)
-		is.True(r.State(2) == Ejected && !r.Evident(2)) // and no probe
+		is.True(r.State(2) == Ejected && !r.OwnEvidence(2)) // and no probe
 	}
 	r.after(hintFor + holdFor + time.Second)
 	is.Equal(r.State(2), HalfOpen) // the others found it well
 	r.Succeed(2, time.Millisecond, r.now)
-	r.Hint(2, toldBy, r.now)
+	r.RecordPeerEjections(2, toldBy, r.now)
 	r.after(time.Second)
 	is.Equal(r.State(2), SlowStart) // its own answer counts more
 }
@@ -236,16 +236,16 @@
 	is := is.New(t)
 	r := newRig(2, 0)
 	for range 5 {
-		r.Compare(0, 0, 50_000, 5*time.Second) // too far apart to tell
-		r.Compare(1, 900, 1500, 0)
+		r.CompareLoads(0, 0, 50_000, 5*time.Second) // too far apart to tell
+		r.CompareLoads(1, 900, 1500, 0)
 	}
 	is.Equal(len(r.after(time.Second)), 0)
 	for range wrongToLose {
-		r.Compare(0, 0, 50_000, 100*time.Millisecond)
+		r.CompareLoads(0, 0, 50_000, 100*time.Millisecond)
 	}
 	is.True(!r.after(time.Second)[0].Trusted)
 	for range rightToRegain {
-		r.Compare(0, 50_000, 50_000, 0)
+		r.CompareLoads(0, 50_000, 50_000, 0)
 	}
 	is.True(r.after(time.Second)[0].Trusted)
 }
--- a/core/membership/health/monitor.go
+++ b/core/membership/health/monitor.go
@@ -141,14 +141,14 @@
 	toldBy = 3
 )
 
-// Hint records how many other entries have ejected target i on evidence of
+// RecordPeerEjections records how many other entries have ejected target i on evidence of
 // their own, that is with a Cause other than Told. An entry of a large fleet
 // sends a target a request in a minute; all of its callers together would meet
 // each failing target hundreds of times before every entry had found it out.
 // One other entry's word makes a single failure enough; three are believed
 // without any, so that one mistaken entry cannot empty everybody's pool. An
 // ejection by word is no evidence for others, or it would keep itself alive.
-func (m *Monitor) Hint(i, entries int, now time.Time) {
+func (m *Monitor) RecordPeerEjections(i, entries int, now time.Time) {
 	t := &m.targets[i]
 	t.hints = entries
 	t.hinted = now
@@ -162,15 +162,15 @@
 	return t.hints
 }
 
-// Evident reports whether target i is kept out on evidence of this entry's
+// OwnEvidence reports whether target i is kept out on evidence of this entry's
 // own, which is what it tells others.
-func (m *Monitor) Evident(i int) bool {
+func (m *Monitor) OwnEvidence(i int) bool {
 	t := &m.targets[i]
-	return !t.in() && t.cause != Told
+	return !t.in() && t.cause != PeerReported
 }
 
-// Step records the recent step time of target i as its agent tells it.
-func (m *Monitor) Step(i int, stepMs float64, now time.Time) {
+// RecordStep records the recent step time of target i as its agent tells it.
+func (m *Monitor) RecordStep(i int, stepMs float64, now time.Time) {
 	t := &m.targets[i]
 	t.hear(now)
 	if stepMs > 0 {
@@ -178,11 +178,11 @@
 	}
 }
 
-// Heard records a heartbeat of target i. From the first one on more are
+// Heartbeat records a heartbeat of target i. From the first one on more are
 // expected; a zero time ends that, for a target whose heartbeats now go to
 // others. Answers alone expect nothing: an entry may rightly send a target one
 // request in a minute.
-func (m *Monitor) Heard(i int, now time.Time) {
+func (m *Monitor) Heartbeat(i int, now time.Time) {
 	t := &m.targets[i]
 	if t.heard.IsZero() || now.IsZero() {
 		t.heard = now
--- a/core/membership/health/slow.go
+++ b/core/membership/health/slow.go
@@ -16,13 +16,13 @@
 // should be elsewhere. Pace is 1 for a rank as fast as it should be.
 func SlowRank(pace float64) bool { return pace >= leavePace }
 
-// Leave reports whether the streams in progress at the slow ranks of a group
+// ShouldMoveStreams reports whether the streams in progress at the slow ranks of a group
 // should go on at its other ranks.
 //
 // It is for a rank that becomes slow under load, for seconds: all ranks wait in
 // each pass for its own part, which grows with the requests that it has. To send
 // it no new ones is not enough. The streams that it has take longest of all just
 // then, and for as long nobody in the group is answered in time.
-func Leave(slow, ranks int) bool {
+func ShouldMoveStreams(slow, ranks int) bool {
 	return slow > 0 && slow*leavePart <= ranks
 }
--- a/core/membership/health/slow_test.go
+++ b/core/membership/health/slow_test.go
@@ -22,7 +22,7 @@
 		{"no ranks", 0, 0, false},
 		{"one of three", 1, 3, false},
 	} {
-		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(Leave(tt.slow, tt.ranks), tt.want) })
+		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(ShouldMoveStreams(tt.slow, tt.ranks), tt.want) })
 	}
 	is.True(!SlowRank(1.2)) // its part of a pass is as long as noise makes it
 	is.True(SlowRank(2.74))
--- a/core/membership/health/stall.go
+++ b/core/membership/health/stall.go
@@ -41,17 +41,17 @@
 	Avoid bool
 	// Move says that the answer had better go on at another target.
 	Move bool
-	// Whole says that nothing comes from the target, not only of this answer.
-	Whole bool
+	// TargetStalled says that nothing comes from the target, not only of this answer.
+	TargetStalled bool
 }
 
-// Judge tells a silence that other targets don't share.
+// Evaluate tells a silence that other targets don't share.
 //
 // It is for instances that stand still and for connections that go silent:
 // neither ends a connection, requests sent there wait until their callers leave,
 // and nothing counts as a failure of the target. An answer that has not begun
 // may rightly wait in the queue of a target that works.
-func (p Progress) Judge(now time.Time) Silence {
+func (p Progress) Evaluate(now time.Time) Silence {
 	if now.Sub(p.Pool) > poolAlive {
 		return Silence{}
 	}
@@ -62,9 +62,9 @@
 	answer, target := now.Sub(p.Answer), now.Sub(p.Target)
 	whole := answer >= limit && target >= limit
 	return Silence{
-		Avoid: p.Due && target >= avoidAfter,
-		Move:  whole || p.Begun && answer >= answerStall,
-		Whole: whole,
+		Avoid:         p.Due && target >= avoidAfter,
+		Move:          whole || p.Begun && answer >= answerStall,
+		TargetStalled: whole,
 	}
 }
 
@@ -85,13 +85,13 @@
 	Group, Others time.Time
 }
 
-// Judge tells a silence that the other groups don't share. Avoid says that the group
+// Evaluate tells a silence that the other groups don't share. Avoid says that the group
 // should get no new requests, move that its answers had better go on elsewhere.
 //
 // It is for a group that stands still as a whole, as all ranks do when one of them is
 // lost or a hold is left behind: nothing fails, and its callers wait until they leave
 // while other groups could serve them.
-func (p GroupProgress) Judge(now time.Time) (avoid, move bool) {
+func (p GroupProgress) Evaluate(now time.Time) (avoid, move bool) {
 	if now.Sub(p.Others) > poolAlive {
 		return false, false
 	}
--- a/core/membership/health/stall_test.go
+++ b/core/membership/health/stall_test.go
@@ -21,7 +21,7 @@
 		"target silent for 0.3 s":   {Progress{true, true, ago(300), ago(300), ago(5)}, Silence{Avoid: true}},
 		"target silent for 0.5 s":   {Progress{true, true, ago(500), ago(500), ago(5)}, Silence{true, true, true}},
 		"sent to a silent target":   {Progress{false, true, ago(200), ago(600), ago(5)}, Silence{Avoid: true}},
-		"not begun, target silent":  {Progress{false, false, ago(700), ago(900), ago(5)}, Silence{Move: true, Whole: true}},
+		"not begun, target silent":  {Progress{false, false, ago(700), ago(900), ago(5)}, Silence{Move: true, TargetStalled: true}},
 		"not begun, perhaps queued": {Progress{false, false, ago(600), ago(900), ago(5)}, Silence{}},
 		"not begun, in a queue":     {Progress{false, true, ago(1500), ago(40), ago(5)}, Silence{}},
 		"asked for just now":        {Progress{false, false, ago(100), ago(3000), ago(5)}, Silence{}},
@@ -29,6 +29,6 @@
 		"nothing has come at all":   {Progress{Answer: ago(1500)}, Silence{}},
 	}
 	for name, tt := range tests {
-		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.p.Judge(now), tt.want) })
+		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.p.Evaluate(now), tt.want) })
 	}
 }
--- a/core/membership/health/tick.go
+++ b/core/membership/health/tick.go
@@ -75,7 +75,7 @@
 			m.enter(t, Healthy, now)
 		}
 	case Healthy:
-		if t.ejections > 0 && now.Sub(t.since) >= m.opt.MaxEject {
+		if t.ejections > 0 && now.Sub(t.since) >= m.opt.MaxEjection {
 			t.ejections = 0
 		}
 	}
@@ -121,10 +121,10 @@
 		v.cause, v.excess = Failing, float64(t.failures)
 	case t.state == HalfOpen && t.failures > 0:
 		v.cause, v.excess = Failing, float64(t.failures)
-	case !t.heard.IsZero() && now.Sub(t.heard) > m.opt.Silence:
+	case !t.heard.IsZero() && now.Sub(t.heard) > m.opt.HeartbeatTimeout:
 		v.cause, v.excess = Silent, now.Sub(t.heard).Seconds()
-	case t.heardOf(now) >= toldBy && (t.state == Healthy || t.cause == Told):
-		v.cause, v.excess = Told, float64(t.hints)
+	case t.heardOf(now) >= toldBy && (t.state == Healthy || t.cause == PeerReported):
+		v.cause, v.excess = PeerReported, float64(t.hints)
 	case latency > 0 && own > latency*m.opt.LatencyFactor && own > latency+minExcess:
 		v.cause, v.excess = Slow, own/latency
 	}
@@ -224,14 +224,14 @@
 		// they find: no request is needed to learn that it is still so. An
 		// idle engine may repeat its last step for ever, so that this holds
 		// for a time only.
-		again := cause == t.cause && (cause == Straggler || cause == Told)
+		again := cause == t.cause && (cause == Straggler || cause == PeerReported)
 		if again && now.Sub(t.since) < maxHold {
 			t.until = later(t.until, now.Add(holdFor))
 		}
 		return
 	}
-	d := m.opt.Eject << min(t.ejections, maxDoublings)
-	d = min(d, m.opt.MaxEject)
+	d := m.opt.BaseEjection << min(t.ejections, maxDoublings)
+	d = min(d, m.opt.MaxEjection)
 	t.ejections++
 	t.until = now.Add(d + time.Duration(ejectJitter*rng.Float64()*float64(d)))
 	t.cause = cause
--- a/core/membership/health/trust.go
+++ b/core/membership/health/trust.go
@@ -25,11 +25,11 @@
 	rightToRegain = 20
 )
 
-// Compare holds a lagging report of target i against its agent's word: the
+// CompareLoads holds a lagging report of target i against its agent's word: the
 // work queued at both, and the time between the moments they were taken. A
 // target that reports itself idle while its queue is long would draw all
 // requests of entries that go by reports.
-func (m *Monitor) Compare(i int, reported, truth float64, apart time.Duration) {
+func (m *Monitor) CompareLoads(i int, reported, truth float64, apart time.Duration) {
 	if apart.Abs() > maxApart {
 		return
 	}
--- a/core/membership/health/unanswered.go
+++ b/core/membership/health/unanswered.go
@@ -28,9 +28,9 @@
 	t.mean += time.Duration(gain * float64(d-t.mean))
 }
 
-// Patience returns how long an answer may take before its target is doubted, and false as
+// Timeout returns how long an answer may take before its target is doubted, and false as
 // long as too few have been seen.
-func (t *AnswerTime) Patience() (time.Duration, bool) {
+func (t *AnswerTime) Timeout() (time.Duration, bool) {
 	return max(leastPending, pendingFactor*t.mean), t.n >= usualSamples
 }
 
@@ -39,8 +39,8 @@
 	// Sent is when it was sent, Target when its target last answered any request, Others
 	// when another target of the service did.
 	Sent, Target, Others time.Time
-	// Patience is how long such an answer may take.
-	Patience time.Duration
+	// Timeout is how long such an answer may take.
+	Timeout time.Duration
 }
 
 // Unanswered reports whether the target should be doubted: it has taken the request and
@@ -50,7 +50,7 @@
 // fails until the callers' deadlines, and the requests of a service are spread over so many
 // entries that each of them meets such a target once a second or less.
 func (p Pending) Unanswered(now time.Time) bool {
-	return now.Sub(p.Sent) >= p.Patience && !p.Target.After(p.Sent) && now.Sub(p.Others) <= othersAnswer
+	return now.Sub(p.Sent) >= p.Timeout && !p.Target.After(p.Sent) && now.Sub(p.Others) <= othersAnswer
 }
 
 // othersAnswer is how recently another target must have answered: if none does, the fault is
--- a/core/membership/health/unanswered_test.go
+++ b/core/membership/health/unanswered_test.go
@@ -19,12 +19,12 @@
 // Guards against doubting targets by a guess, before answers were seen.
 func TestPatienceIsLearned(t *testing.T) {
 	is := is.New(t)
-	_, known := usual(usualSamples-1, time.Millisecond).Patience()
+	_, known := usual(usualSamples-1, time.Millisecond).Timeout()
 	is.True(!known)
-	patience, known := usual(usualSamples, time.Millisecond).Patience()
+	patience, known := usual(usualSamples, time.Millisecond).Timeout()
 	is.True(known)
 	is.Equal(patience, leastPending)
-	patience, _ = usual(100, 100*time.Millisecond).Patience()
+	patience, _ = usual(100, 100*time.Millisecond).Timeout()
 	is.Equal(patience, 600*time.Millisecond)
 }
 
@@ -47,7 +47,7 @@
 		{"a packet was lost", never, after(90), after(240), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := Pending{Sent: start, Target: tt.target, Others: tt.others, Patience: leastPending}
+			p := Pending{Sent: start, Target: tt.target, Others: tt.others, Timeout: leastPending}
 			is.New(t).Equal(p.Unanswered(tt.now), tt.want)
 		})
 	}
--- a/core/membership/lease/guard.go
+++ b/core/membership/lease/guard.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Habit says what a target does with the number on an order.
-type Habit int
+// FencingSupport says what a target does with the number on an order.
+type FencingSupport int
 
 // The two habits. The zero value is the one that needs more care.
 const (
 	// IgnoresFencing is a target that carries out any order.
-	IgnoresFencing Habit = iota
+	IgnoresFencing FencingSupport = iota
 	// HonoursFencing is a target that refuses an order older than its last.
 	HonoursFencing
 )
@@ -49,7 +49,7 @@
 // process could be carried out after a newer one. The zero value is a guard
 // before such a target that has learned nothing.
 type Guard struct {
-	Habit Habit
+	Fencing FencingSupport
 	// Lifetime is how long an order can wait at a target that answers readings
 	// before it is carried out or dropped. It matters only for a target that
 	// ignores fencing.
@@ -68,8 +68,8 @@
 }
 
 // NewGuard returns a guard for an agent that starts with empty memory.
-func NewGuard(habit Habit, lifetime time.Duration) *Guard {
-	g := &Guard{Habit: habit, Lifetime: lifetime}
+func NewGuard(habit FencingSupport, lifetime time.Duration) *Guard {
+	g := &Guard{Fencing: habit, Lifetime: lifetime}
 	g.doubt()
 	return g
 }
@@ -78,14 +78,14 @@
 // still arrive.
 func (g *Guard) doubt() {
 	g.learned = false
-	if g.Habit == IgnoresFencing {
+	if g.Fencing == IgnoresFencing {
 		g.settling, g.answered = true, false
 	}
 }
 
-// Hear notes a fencing number seen in the store or on a message. It returns a
+// ObserveFence notes a fencing number seen in the store or on a message. It returns a
 // *StaleError if a higher one is known: the sender's lease has passed on.
-func (g *Guard) Hear(fence uint64) error {
+func (g *Guard) ObserveFence(fence uint64) error {
 	if fence < g.fence {
 		return &StaleError{Got: Number{Fence: fence}, Highest: Number{Fence: g.fence}}
 	}
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// Learn takes the number of the order the target applied last, from a reading
+// SetApplied takes the number of the order the target applied last, from a reading
 // that was begun when CanRead allowed it and no order was out. It reports
 // whether the reading can be trusted.
 //
 // While the target settles, the first answer only starts the time: a target
 // that stood still keeps orders waiting in its sockets for as long as it likes,
 // and carries them out when it goes on.
-func (g *Guard) Learn(now time.Duration, applied Number) bool {
+func (g *Guard) SetApplied(now time.Duration, applied Number) bool {
 	switch {
 	case g.busy:
 		return false
@@ -150,7 +150,7 @@
 // Admit is Hear and Begin in one, for an order that a holder sends for a target
 // directly.
 func (g *Guard) Admit(n Number) error {
-	if err := g.Hear(n.Fence); err != nil {
+	if err := g.ObserveFence(n.Fence); err != nil {
 		return err
 	}
 	return g.Begin(n)
--- a/core/membership/lease/holder.go
+++ b/core/membership/lease/holder.go
@@ -17,7 +17,7 @@
 // Config is the setting of one Holder. Zero durations take their defaults from
 // the TTL, and a zero TTL is DefaultTTL.
 type Config struct {
-	Duty string
+	Role string
 	// Owner names this process and its incarnation. It must never be used by
 	// another process: a process that found its predecessor's name in the
 	// store would take over a lease whose orders it does not know.
@@ -68,7 +68,7 @@
 type Call struct {
 	ID    uint64
 	Kind  CallKind
-	Duty  string
+	Role  string
 	Owner string
 	Fence uint64
 	TTL   time.Duration
@@ -190,7 +190,7 @@
 		h.state = releasing
 	}
 	h.inFlight = Call{
-		ID: h.calls, Kind: kind, Duty: h.cfg.Duty, Owner: h.cfg.Owner, Fence: h.fence, TTL: h.cfg.TTL,
+		ID: h.calls, Kind: kind, Role: h.cfg.Role, Owner: h.cfg.Owner, Fence: h.fence, TTL: h.cfg.TTL,
 	}
 	return h.inFlight
 }
--- a/core/membership/lease/lease_test.go
+++ b/core/membership/lease/lease_test.go
@@ -23,7 +23,7 @@
 }
 
 func newHolder() *Holder {
-	return NewHolder(Config{Duty: "group/captions", Owner: "rank-3/17", TTL: 10 * second, Timeout: 5 * second})
+	return NewHolder(Config{Role: "group/captions", Owner: "rank-3/17", TTL: 10 * second, Timeout: 5 * second})
 }
 
 // Two stewards give orders at once: the first one's renewal is answered slowly,
@@ -121,15 +121,15 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			g := NewGuard(HonoursFencing, 0)
-			g.Learn(0, Number{Fence: 7, Sequence: 3})
+			g.SetApplied(0, Number{Fence: 7, Sequence: 3})
 			var stale *StaleError
 			is.Equal(errors.As(g.Admit(tt.n), &stale), tt.stale)
 		})
 	}
 	is := is.New(t)
 	g := NewGuard(HonoursFencing, 0)
-	g.Learn(0, Number{Fence: 7})
-	is.NoErr(g.Hear(9)) // a newer holder has been heard, but has ordered nothing
+	g.SetApplied(0, Number{Fence: 7})
+	is.NoErr(g.ObserveFence(9)) // a newer holder has been heard, but has ordered nothing
 	is.True(g.Admit(Number{Fence: 8, Sequence: 1}) != nil)
 	is.Equal(g.Fence(), uint64(9))
 }
@@ -143,16 +143,16 @@
 	var wait *WaitError
 	g := NewGuard(IgnoresFencing, second)
 	is.True(errors.As(g.Admit(Number{Fence: 9, Sequence: 1}), &wait))
-	is.True(!g.Learn(100*second, Number{Fence: 8, Sequence: 4}))
+	is.True(!g.SetApplied(100*second, Number{Fence: 8, Sequence: 4}))
 	is.True(errors.As(g.CanRead(100*second+second/2), &wait))
 	is.NoErr(g.CanRead(101 * second))
-	is.True(g.Learn(101*second, Number{Fence: 8, Sequence: 4}))
+	is.True(g.SetApplied(101*second, Number{Fence: 8, Sequence: 4}))
 	is.NoErr(g.Admit(Number{Fence: 9, Sequence: 1}))
 
 	is.True(errors.As(g.Begin(Number{Fence: 9, Sequence: 2}), &wait)) // one at a time
 	g.Done(Lost)
 	is.True(errors.As(g.Begin(Number{Fence: 9, Sequence: 2}), &wait)) // its fate is unknown
-	is.True(!g.Learn(102*second, Number{Fence: 8, Sequence: 4}))
+	is.True(!g.SetApplied(102*second, Number{Fence: 8, Sequence: 4}))
 	is.True(g.CanRead(102*second+second/2) != nil)
 	is.NoErr(g.CanRead(103 * second))
 }
@@ -165,12 +165,12 @@
 	is := is.New(t)
 	g := NewGuard(IgnoresFencing, second)
 	is.NoErr(g.CanRead(100 * second)) // to see whether the target answers
-	is.True(!g.Learn(160*second, Number{Fence: 8, Sequence: 4}))
+	is.True(!g.SetApplied(160*second, Number{Fence: 8, Sequence: 4}))
 	is.True(g.Admit(Number{Fence: 9, Sequence: 1}) != nil)
 	is.True(g.CanRead(160*second+second/2) != nil)
-	is.True(!g.Learn(160*second+second/2, Number{Fence: 8, Sequence: 4})) // it may be on its way yet
+	is.True(!g.SetApplied(160*second+second/2, Number{Fence: 8, Sequence: 4})) // it may be on its way yet
 	is.NoErr(g.CanRead(161 * second))
-	is.True(g.Learn(161*second, Number{Fence: 8, Sequence: 5})) // the late order has been carried out
+	is.True(g.SetApplied(161*second, Number{Fence: 8, Sequence: 5})) // the late order has been carried out
 	is.NoErr(g.Admit(Number{Fence: 9, Sequence: 1}))
 }
 
@@ -200,7 +200,7 @@
 	is := is.New(t)
 	agents := []string{"a", "b", "c", "d"}
 	order := Candidates("duty", agents)
-	take := Takeover{Silence: 3 * second, Stagger: second, Width: 2}
+	take := Takeover{HolderTimeout: 3 * second, Stagger: second, MaxCandidates: 2}
 	is.True(!take.Due(3*second-1, 0, "duty", order[0], agents))
 	is.True(take.Due(3*second, 0, "duty", order[0], agents))
 	is.True(!take.Due(3*second, 0, "duty", order[1], agents))
--- a/core/membership/lease/spread.go
+++ b/core/membership/lease/spread.go
@@ -33,12 +33,12 @@
 // store for it. Only the first Width candidates ever ask, one after another, so
 // that a lapsed lease costs a few calls and not one from each member.
 type Takeover struct {
-	// Silence is how long the holder may be quiet.
-	Silence time.Duration
+	// HolderTimeout is how long the holder may be quiet.
+	HolderTimeout time.Duration
 	// Stagger is the pause between one candidate and the next.
 	Stagger time.Duration
-	// Width is the number of candidates; 0 means all.
-	Width int
+	// MaxCandidates is the number of candidates; 0 means all.
+	MaxCandidates int
 }
 
 // Due reports whether self should want the duty, the holder having been heard
@@ -46,10 +46,10 @@
 // too far down the order, never asks.
 func (t Takeover) Due(now, heard time.Duration, duty, self string, agents []string) bool {
 	i := slices.Index(Candidates(duty, agents), self)
-	if i < 0 || t.Width > 0 && i >= t.Width {
+	if i < 0 || t.MaxCandidates > 0 && i >= t.MaxCandidates {
 		return false
 	}
-	return now-heard >= t.Silence+time.Duration(i)*t.Stagger
+	return now-heard >= t.HolderTimeout+time.Duration(i)*t.Stagger
 }
 
 // CallsPerMinute returns the calls on the store that keep the given number of
--- a/core/membership/member/digest_write.go
+++ b/core/membership/member/digest_write.go
@@ -93,7 +93,7 @@
 
 func (m *Member) record(now time.Time) Record {
 	state := m.State
-	if state == Gone {
+	if state == Dead {
 		state = Suspect
 	}
 	return Record{
--- a/core/membership/member/drain_test.go
+++ b/core/membership/member/drain_test.go
@@ -15,7 +15,7 @@
 	f := newFleet(t, 1, 200)
 	v := f.nodes[0]
 	for _, in := range f.list[:150] {
-		v.Failed(in.Name, f.now)
+		v.RecordFailure(in.Name, f.now)
 	}
 	leaving := New(Self{Name: "n190", Incarnation: 1, Agent: true}, rand.New(rand.NewPCG(1, 1)))
 	leaving.SetDraining()
--- a/core/membership/member/gossip.go
+++ b/core/membership/member/gossip.go
@@ -101,7 +101,7 @@
 		m, ok := v.members[idOf(name)]
 		return !ok || !m.listed
 	})
-	if v.rounds%PartnerLife == 0 && len(v.partners) > 0 {
+	if v.rounds%PartnerRounds == 0 && len(v.partners) > 0 {
 		v.partners = slices.Delete(v.partners, 0, 1)
 	}
 	for len(v.partners) < min(Partners, len(v.names)) {
@@ -120,7 +120,7 @@
 
 // addNear adds one of the subset, unless it is gone.
 func (v *View) addNear(name string) {
-	if m, ok := v.members[idOf(name)]; ok && m.State != Gone {
+	if m, ok := v.members[idOf(name)]; ok && m.State != Dead {
 		v.addPeer(name)
 	}
 }
@@ -128,8 +128,8 @@
 // expire turns suspects that have not refuted in time into gone ones.
 func (v *View) expire(now time.Time) {
 	for _, m := range v.order {
-		if m.State == Suspect && now.Sub(m.suspected) >= SuspectFor {
-			m.State = Gone
+		if m.State == Suspect && now.Sub(m.suspected) >= SuspectTimeout {
+			m.State = Dead
 		}
 	}
 }
@@ -222,9 +222,9 @@
 	}
 }
 
-// Heard tells of an answer of an agent on the path of a request. An answer of
+// RecordAnswer tells of an answer of an agent on the path of a request. An answer of
 // an old incarnation is ignored.
-func (v *View) Heard(name string, incarnation uint64, draining bool, wait time.Duration, now time.Time) {
+func (v *View) RecordAnswer(name string, incarnation uint64, draining bool, wait time.Duration, now time.Time) {
 	m, ok := v.members[idOf(name)]
 	if !ok || incarnation < m.Incarnation {
 		return
@@ -237,9 +237,9 @@
 	m.Draining = m.Draining || draining
 }
 
-// Failed tells that an exchange with an agent failed, or a request could not
+// RecordFailure tells that an exchange with an agent failed, or a request could not
 // reach it.
-func (v *View) Failed(name string, now time.Time) {
+func (v *View) RecordFailure(name string, now time.Time) {
 	m, ok := v.members[idOf(name)]
 	if !ok || m.State != Alive {
 		return
--- a/core/membership/member/look.go
+++ b/core/membership/member/look.go
@@ -28,7 +28,7 @@
 // the list nor the agent says that it leaves, and it is not gone.
 func (v *View) Eligible(name string) bool {
 	m, ok := v.members[idOf(name)]
-	return ok && m.listed && !m.Leaving && !m.Draining && m.State != Gone
+	return ok && m.listed && !m.Leaving && !m.Draining && m.State != Dead
 }
 
 // Superseded reports whether a process with this node's name and a larger
@@ -36,18 +36,18 @@
 // one that was paused and replaced, and must stop.
 func (v *View) Superseded() bool { return v.superseded }
 
-// CutOff reports whether the node has heard nobody for CutOffAfter, though the
+// Isolated reports whether the node has heard nobody for CutOffAfter, though the
 // list says that there are others. It guards against a node that goes on with
 // a configuration and limits it can no longer hear changes of; its readiness
 // check must fail, so that the platform's balancer passes it by.
-func (v *View) CutOff(now time.Time) bool {
-	return len(v.names) > 0 && now.Sub(v.heard) >= CutOffAfter
+func (v *View) Isolated(now time.Time) bool {
+	return len(v.names) > 0 && now.Sub(v.heard) >= IsolatedAfter
 }
 
-// Visible returns the part of the listed agents, between 0 and 1, in zones of
+// VisibleFraction returns the part of the listed agents, between 0 and 1, in zones of
 // which any agent has been heard of within ZoneSilentAfter. It falls below 1
 // in a partition, and not when single agents fail.
-func (v *View) Visible(now time.Time) float64 {
+func (v *View) VisibleFraction(now time.Time) float64 {
 	var zones [maxZones]struct {
 		zone   string
 		agents int
@@ -70,7 +70,7 @@
 			n++
 		}
 		zones[i].agents++
-		zones[i].heard = zones[i].heard || now.Sub(m.Seen) < ZoneSilentAfter
+		zones[i].heard = zones[i].heard || now.Sub(m.Seen) < ZoneTimeout
 	}
 	for _, z := range zones[:n] {
 		total += z.agents
--- a/core/membership/member/member.go
+++ b/core/membership/member/member.go
@@ -47,21 +47,21 @@
 )
 
 const (
-	// SuspectFor is how long a suspect has to refute before it is gone.
-	SuspectFor = 5 * time.Second
-	// CutOffAfter is how long a node hears nobody before it is cut off.
-	CutOffAfter = 5 * time.Second
-	// ZoneSilentAfter is how long no agent of a zone is heard of, at first or
+	// SuspectTimeout is how long a suspect has to refute before it is gone.
+	SuspectTimeout = 5 * time.Second
+	// IsolatedAfter is how long a node hears nobody before it is cut off.
+	IsolatedAfter = 5 * time.Second
+	// ZoneTimeout is how long no agent of a zone is heard of, at first or
 	// second hand, before the zone counts as out of sight.
-	ZoneSilentAfter = 15 * time.Second
+	ZoneTimeout = 15 * time.Second
 	// SubsetSize is how many peers a node keeps to.
 	SubsetSize = 6
 	// Partners is how many random agents a node keeps to for a while. A new
 	// random agent each round would mean a new connection each second, which
 	// with TLS costs 4.9 KB where an exchange on a kept one costs 0.3.
 	Partners = 8
-	// PartnerLife is after how many rounds one of the partners is replaced.
-	PartnerLife = 60
+	// PartnerRounds is after how many rounds one of the partners is replaced.
+	PartnerRounds = 60
 	// BoostPeers is how many peers more a node exchanges with in a round
 	// after it learned of a new revision.
 	BoostPeers = 2
@@ -76,11 +76,11 @@
 // State says how an agent is believed to be.
 type State uint8
 
-// The states. Gone is a node's own conclusion and is never sent.
+// The states. Dead is a node's own conclusion and is never sent.
 const (
 	Alive State = iota
 	Suspect
-	Gone
+	Dead
 )
 
 // Self is the node that holds the view.
--- a/core/membership/member/member_test.go
+++ b/core/membership/member/member_test.go
@@ -60,7 +60,7 @@
 func (f *fleet) exchange(v *View, name string) {
 	peer := f.nodes[f.index[name]]
 	if !f.reaches(v, peer) {
-		v.Failed(name, f.now)
+		v.RecordFailure(name, f.now)
 		return
 	}
 	f.deliver(peer, v.Digest(nil, name, nil, f.now))
@@ -125,7 +125,7 @@
 	is.True(wrong < 66*234*2/100) // after 26 s 98 in 100 know of each dead agent
 	// One entry learns of another's draining from a refusal. A suspicion by a
 	// node that has not heard of it must not reopen it.
-	f.nodes[0].Heard("n131", 1, true, 0, f.now)
+	f.nodes[0].RecordAnswer("n131", 1, true, 0, f.now)
 	f.nodes[0].apply(Record{ID: idOf("n131"), Incarnation: 1, State: Suspect}, f.now)
 	is.True(!f.nodes[0].Eligible("n131"))
 }
@@ -164,7 +164,7 @@
 	_, err := entry.Merge(late, f.now)
 	var stale *StaleError
 	is.True(errors.As(err, &stale) && stale.Known == 2 && stale.Got == 1)
-	entry.Heard("n3", 1, true, 0, f.now)
+	entry.RecordAnswer("n3", 1, true, 0, f.now)
 	is.True(entry.Eligible("n3"))
 	_, err = old.Merge(entry.Digest(nil, "n3", nil, f.now), f.now)
 	is.NoErr(err)
@@ -186,7 +186,7 @@
 	f.rounds(20)
 	f.down[30] = true
 	for i := range 22 {
-		f.nodes[i].Failed("n31", f.now) // slow, not dead
+		f.nodes[i].RecordFailure("n31", f.now) // slow, not dead
 	}
 	f.rounds(20)
 	is.Equal(f.count(func(v *View) bool { return v.Eligible("n30") }), 0)
@@ -203,25 +203,25 @@
 	is := is.New(t)
 	f := newFleet(t, 12, 24)
 	f.rounds(10)
-	is.Equal(f.count(func(v *View) bool { return v.Visible(f.now) == 1 }), 36)
+	is.Equal(f.count(func(v *View) bool { return v.VisibleFraction(f.now) == 1 }), 36)
 	f.cut = func(a, b string) bool { return a != b && (a == "z0" || b == "z0") }
 	f.nodes[2].SetRevision(3)
 	f.rounds(30)
-	is.Equal(f.count(func(v *View) bool { return v.CutOff(f.now) }), 0)
+	is.Equal(f.count(func(v *View) bool { return v.Isolated(f.now) }), 0)
 	for _, v := range f.nodes {
-		part := v.Visible(f.now)
+		part := v.VisibleFraction(f.now)
 		is.True(v.self.Zone == "z0" && part < 0.4 || v.self.Zone != "z0" && part > 0.6 && part < 0.7)
 	}
 	f.cut = func(_, _ string) bool { return false }
 	f.rounds(40)
-	is.Equal(f.count(func(v *View) bool { return v.Visible(f.now) == 1 && v.revision == 3 }), 36)
+	is.Equal(f.count(func(v *View) bool { return v.VisibleFraction(f.now) == 1 && v.revision == 3 }), 36)
 	is.Equal(f.count(func(v *View) bool { return v.Eligible("n15") || v.self.Name == "n15" }), 36)
 	f.down[5] = true
-	f.rounds(int(CutOffAfter/time.Second) - 1)
-	is.True(!f.nodes[5].CutOff(f.now))
+	f.rounds(int(IsolatedAfter/time.Second) - 1)
+	is.True(!f.nodes[5].Isolated(f.now))
 	f.rounds(1)
-	is.True(f.nodes[5].CutOff(f.now))
-	is.Equal(f.count(func(v *View) bool { return v.CutOff(f.now) }), 0)
+	is.True(f.nodes[5].Isolated(f.now))
+	is.Equal(f.count(func(v *View) bool { return v.Isolated(f.now) }), 0)
 }
 
 func TestUnlistedAgentsAreBounded(t *testing.T) {
--- a/entry/router.go
+++ b/entry/router.go
@@ -238,7 +238,7 @@
 
 func (r *router) observe(slot int, name string, l *wire.Load) {
 	r.incarnations[name] = max(r.incarnations[name], l.Incarnation)
-	r.monitor.Step(slot, l.StepMs, time.Now())
+	r.monitor.RecordStep(slot, l.StepMs, time.Now())
 	r.table.Observe(slot, route.Load{
 		Incarnation: l.Incarnation, Queued: float64(l.Queued), Running: int(l.Running),
 		Rate: l.Rate, Draining: l.Draining, StepMs: l.StepMs,
--- a/gateway/digests.go
+++ b/gateway/digests.go
@@ -222,10 +222,10 @@
 	return true
 }
 
-func (d *digests) askDigest(ctx context.Context, client *rankpeer.Client, group string, list uint64) (rankpeer.Tell, error) {
+func (d *digests) askDigest(ctx context.Context, client *rankpeer.Client, group string, list uint64) (rankpeer.Response, error) {
 	if err := client.Connect(ctx, digestWait); err != nil {
-		return rankpeer.Tell{}, err
+		return rankpeer.Response{}, err
 	}
-	ask := rankpeer.Ask{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Word{Group: engine.GroupID{Name: group}}}
-	return client.Ask(ask, digestWait)
+	ask := rankpeer.Request{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Word{Group: engine.GroupID{Name: group}}}
+	return client.Do(ask, digestWait)
 }
--- a/gateway/doubts.go
+++ b/gateway/doubts.go
@@ -166,7 +166,7 @@
 			f.pools[id].doubtedUntil = now.Add(doubtHold)
 		}
 	}
-	f.doubts.Forget(now)
+	f.doubts.Expire(now)
 }
 
 // doubtHold is how long a target is avoided by one look: until after the next.
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -43,7 +43,7 @@
 	// pendings are the plain requests in progress, doubts the targets that fail while their
 	// peers do not; tellDoubt tells the other gateways.
 	pendings  pendings
-	doubts    health.Doubts
+	doubts    health.Suspicions
 	tellDoubt func(doubt)
 	// crashes tells targets that have crashed from answers that broke off.
 	crashes      *crash.Detector
@@ -91,7 +91,7 @@
 		told:         map[string]string{},
 		rng:          newRand(),
 		backpressure: newBackpressure(instance, log),
-		flights:      newFlights(), pendings: newPendings(), tellDoubt: func(doubt) {}, doubts: health.Doubts{Turn: rand.Float64()},
+		flights:      newFlights(), pendings: newPendings(), tellDoubt: func(doubt) {}, doubts: health.Suspicions{ReturnOrder: rand.Float64()},
 	}
 }
 
--- a/gateway/flights.go
+++ b/gateway/flights.go
@@ -107,7 +107,7 @@
 				p.Others = at
 			}
 		}
-		if avoid, move := p.Judge(now); avoid {
+		if avoid, move := p.Evaluate(now); avoid {
 			silent = append(silent, silentGroup{key, move})
 		}
 	}
@@ -153,7 +153,7 @@
 			Begun: fl.begun, Due: due[id], Answer: fl.heardAt,
 			Target: f.flights.targets[id], Pool: f.flights.groups[f.key(fl)],
 		}
-		silence := p.Judge(now)
+		silence := p.Evaluate(now)
 		if silence.Avoid {
 			fl.target.silentUntil = now.Add(silentFor)
 		}
@@ -204,12 +204,12 @@
 
 // moveAway ends an attempt, so that the stream goes on at another target.
 func (f *fleet) moveAway(fl *flight, silence health.Silence, now time.Time) {
-	if silence.Whole {
+	if silence.TargetStalled {
 		// One silent answer of a silent target says more than one that broke:
 		// with a second one the target gets no more.
 		f.monitor.Fail(fl.index, health.Hard, now)
 	}
-	f.log.Warn("target silent", "id", fl.id, "target", fl.target.ID, "service", fl.service, "whole-target", silence.Whole,
+	f.log.Warn("target silent", "id", fl.id, "target", fl.target.ID, "service", fl.service, "whole-target", silence.TargetStalled,
 		"begun", fl.begun, "silent-ms", now.Sub(fl.heardAt).Milliseconds())
 	metricSilent.Add(1)
 	delete(f.flights.open, fl)
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -166,7 +166,7 @@
 	if usual == nil {
 		return false
 	}
-	patience, known := usual.took.Patience()
-	waits := health.Pending{Sent: p.started, Target: w.targets[p.target.ID], Others: w.services[p.service].without(p.target.ID), Patience: patience}
+	patience, known := usual.took.Timeout()
+	waits := health.Pending{Sent: p.started, Target: w.targets[p.target.ID], Others: w.services[p.service].without(p.target.ID), Timeout: patience}
 	return known && waits.Unanswered(now)
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -165,7 +165,7 @@
 	if a := g.admitterOf(r.service); a != nil {
 		a.tell(admission.Load{Group: d.Group.Name, Open: d.Open, Running: r.running, Queued: r.queued, Pass: d.Pass, Entries: d.Gateways})
 	}
-	if health.Leave(len(r.slow), len(d.Targets)) {
+	if health.ShouldMoveStreams(len(r.slow), len(d.Targets)) {
 		g.fleet.leave(r.slow, g.spareRetries(r.service))
 	}
 }
--- a/sidecar/agent.go
+++ b/sidecar/agent.go
@@ -130,7 +130,7 @@
 }
 
 // hear records a word of a steward, or says why it is not heeded.
-func (a *agent) hear(ask rankpeer.Ask) lockstep.Refusal {
+func (a *agent) hear(ask rankpeer.Request) lockstep.Refusal {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	before := a.listener.Heard()
--- a/sidecar/ask.go
+++ b/sidecar/ask.go
@@ -91,7 +91,7 @@
 	s.given = map[string]int{}
 	for id, cmd := range s.pending {
 		if p := s.peers[id]; p != nil && cmd.Direct {
-			s.given[id], _ = p.orderDirect(rankpeer.Ask{Order: &cmd.Order})
+			s.given[id], _ = p.orderDirect(rankpeer.Request{Order: &cmd.Order})
 		}
 	}
 }
@@ -112,7 +112,7 @@
 		s.samples = append(s.samples, t.sample)
 	}
 	for i, k := range asked {
-		tell := rankpeer.Tell{}
+		tell := rankpeer.Response{}
 		if t.tells != nil {
 			tell = t.tells[i]
 		}
@@ -148,7 +148,7 @@
 		}
 		ids = append(ids, id)
 	}
-	tells := make([]rankpeer.Tell, len(ids))
+	tells := make([]rankpeer.Response, len(ids))
 	var wg sync.WaitGroup
 	for i, id := range ids {
 		p, ask := s.peers[id], s.straightAsk(id, full)
@@ -162,8 +162,8 @@
 
 // straightAsk is what a rank is asked without its sidecar, with its order if that does not
 // go straight in any case.
-func (s *steward) straightAsk(id string, full bool) rankpeer.Ask {
-	ask := rankpeer.Ask{Placement: full}
+func (s *steward) straightAsk(id string, full bool) rankpeer.Request {
+	ask := rankpeer.Request{Placement: full}
 	cmd, ordered := s.pending[id]
 	if !ordered || cmd.Direct {
 		return ask
--- a/sidecar/askers.go
+++ b/sidecar/askers.go
@@ -30,7 +30,7 @@
 }
 
 // ask records that a gateway has asked.
-func (a *askers) ask(ask *rankpeer.Ask, now time.Time) {
+func (a *askers) ask(ask *rankpeer.Request, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.seen == nil {
--- a/sidecar/branch.go
+++ b/sidecar/branch.go
@@ -151,9 +151,9 @@
 
 // branchAsk is what a relay is asked for the given members, of which at least one is
 // asked.
-func (s *steward) branchAsk(b *branch, among []int, full bool) rankpeer.Ask {
-	ask := rankpeer.Ask{Word: s.word(), Held: s.holding, Counts: s.counting, Placement: full}
-	out := &rankpeer.BranchAsk{List: b.list, Turns: b.turns}
+func (s *steward) branchAsk(b *branch, among []int, full bool) rankpeer.Request {
+	ask := rankpeer.Request{Word: s.word(), Held: s.holding, Counts: s.counting, Placement: full}
+	out := &rankpeer.BranchRequest{List: b.list, Turns: b.turns}
 	if !b.told {
 		out.Members = b.members
 	}
@@ -191,7 +191,7 @@
 
 // addOrder adds the order to one member to those of its branch; what is the same for
 // several is sent once.
-func (s *steward) addOrder(out *rankpeer.BranchAsk, member int, o engine.Order, c *rankpeer.Change) {
+func (s *steward) addOrder(out *rankpeer.BranchRequest, member int, o engine.Order, c *rankpeer.Change) {
 	if c != nil {
 		o.Map = nil
 	}
@@ -213,7 +213,7 @@
 
 // branchTell is the answer of one branch, or none.
 type branchTell struct {
-	tells  []rankpeer.Tell
+	tells  []rankpeer.Response
 	sample *rankpeer.Sample
 	// refused says that the relay has heard a newer steward, with the term.
 	refused lockstep.Refusal
@@ -233,7 +233,7 @@
 }
 
 // askBranch asks the relay, once more if it lacks the list of its members.
-func (s *steward) askBranch(ctx context.Context, b *branch, ask rankpeer.Ask, count int) branchTell {
+func (s *steward) askBranch(ctx context.Context, b *branch, ask rankpeer.Request, count int) branchTell {
 	wait := relayWait
 	if b.single() {
 		wait = tellWait
--- a/sidecar/change.go
+++ b/sidecar/change.go
@@ -85,9 +85,9 @@
 	if !ok {
 		return
 	}
-	s.moves = &rankpeer.Change{Base: s.base.Number(), Moves: moves}
+	s.moves = &rankpeer.Change{Base: s.base.Hash(), Moves: moves}
 	shape := rankpeer.Shape{Layers: s.base.Layers, Ranks: s.base.Ranks, Places: places, Experts: s.planner.engine.Experts}
-	if first := rankpeer.FirstMap(shape); first != nil && first.Number() == s.moves.Base {
+	if first := rankpeer.FirstMap(shape); first != nil && first.Hash() == s.moves.Base {
 		s.moves.First = &shape
 	}
 }
--- a/sidecar/claim_test.go
+++ b/sidecar/claim_test.go
@@ -38,7 +38,7 @@
 func seatAndHear(a *agent, term int64) {
 	a.sit(&engine.State{Group: groupG.Name, Epoch: groupG.Epoch, Rank: 1}, time.Now())
 	if term > 0 {
-		a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: term, From: "side-9"}})
+		a.hear(rankpeer.Request{Word: lockstep.Word{Group: groupG, Term: term, From: "side-9"}})
 	}
 }
 
@@ -87,7 +87,7 @@
 	go func() {
 		defer close(heard)
 		time.Sleep(claimPatience / 4)
-		a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: 25, From: "side-0"}})
+		a.hear(rankpeer.Request{Word: lockstep.Word{Group: groupG, Term: 25, From: "side-0"}})
 	}()
 	_, ok := a.takeOver(t.Context(), groupG)
 	<-heard
--- a/sidecar/fullmaps.go
+++ b/sidecar/fullmaps.go
@@ -31,7 +31,7 @@
 
 // fill replaces moves by the whole map for members whose agents have said that they lack the
 // base, a few at a time, as long as this agent has the map itself.
-func (a *agent) fill(asks []rankpeer.Ask, links []*link) {
+func (a *agent) fill(asks []rankpeer.Request, links []*link) {
 	left := -1
 	for i := range asks {
 		ask := &asks[i]
--- a/sidecar/link.go
+++ b/sidecar/link.go
@@ -48,10 +48,10 @@
 
 // ask asks the agent, and waits for at most wait in all: for the ask before, for a
 // connection and for the answer. Whoever has asked it to ask waits little longer.
-func (l *link) ask(ctx context.Context, ask rankpeer.Ask, wait time.Duration) (rankpeer.Tell, error) {
+func (l *link) ask(ctx context.Context, ask rankpeer.Request, wait time.Duration) (rankpeer.Response, error) {
 	until := time.Now().Add(wait)
 	if !l.take(wait) {
-		return rankpeer.Tell{}, errBusy
+		return rankpeer.Response{}, errBusy
 	}
 	defer l.release()
 	if l.lost && !l.patient {
@@ -87,11 +87,11 @@
 
 func (l *link) release() { <-l.turn }
 
-func (l *link) try(ctx context.Context, ask rankpeer.Ask, until time.Time) (rankpeer.Tell, error) {
+func (l *link) try(ctx context.Context, ask rankpeer.Request, until time.Time) (rankpeer.Response, error) {
 	if err := l.connect(ctx, time.Until(until)); err != nil {
-		return rankpeer.Tell{}, err
+		return rankpeer.Response{}, err
 	}
-	tell, err := l.client.Ask(ask, time.Until(until))
+	tell, err := l.client.Do(ask, time.Until(until))
 	switch {
 	case err != nil:
 		l.told.Store(nil)
--- a/sidecar/maps.go
+++ b/sidecar/maps.go
@@ -44,7 +44,7 @@
 			return nil
 		}
 	}
-	k.kept = append(k.kept, numberedMap{epoch, version, m.Number(), m})
+	k.kept = append(k.kept, numberedMap{epoch, version, m.Hash(), m})
 	if len(k.kept) > keptMaps {
 		k.kept = k.kept[1:]
 	}
@@ -63,7 +63,7 @@
 	}
 	// It is worked out only if it is the right one: another platform might assign its
 	// experts in another order.
-	if m := rankpeer.FirstMap(*c.First); m != nil && m.Number() == c.Base {
+	if m := rankpeer.FirstMap(*c.First); m != nil && m.Hash() == c.Base {
 		return m
 	}
 	return nil
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -105,7 +105,7 @@
 }
 
 // locate takes what a peer has told of where it belongs.
-func (s *steward) locate(id string, t rankpeer.Tell) {
+func (s *steward) locate(id string, t rankpeer.Response) {
 	p := s.peers[id]
 	if p == nil || t.Group.Name == "" {
 		return
--- a/sidecar/members_test.go
+++ b/sidecar/members_test.go
@@ -31,7 +31,7 @@
 	seatAndHear(a, 0)
 	a.boot.Service = "pool"
 	return &steward{
-		agent: a, group: groupG, rankOf: 1, log: a.log, core: lockstep.NewSteward(1, nil, 1), tells: map[string]rankpeer.Tell{},
+		agent: a, group: groupG, rankOf: 1, log: a.log, core: lockstep.NewSteward(1, nil, 1), tells: map[string]rankpeer.Response{},
 		members: members{peers: map[string]*peer{}, elsewhere: map[string]engine.GroupID{}},
 	}
 }
@@ -48,8 +48,8 @@
 	)
 	s.enrol(s.rosterOf(v, false))
 	is.Equal(len(s.peers), 3) // b is of another group; c and d don't say
-	s.locate("c", rankpeer.Tell{Group: in("g")})
-	s.locate("d", rankpeer.Tell{Group: in("h"), Refused: lockstep.OtherGroup})
+	s.locate("c", rankpeer.Response{Group: in("g")})
+	s.locate("d", rankpeer.Response{Group: in("h"), Refused: lockstep.OtherGroup})
 	is.Equal(len(s.peers), 2)
 	is.True(s.peers["d"] == nil)
 	s.enrol(s.rosterOf(v, false))
@@ -75,14 +75,14 @@
 		ask := s.branchAsk(s.branches[0], []int{0}, false)
 		is.Equal(s.branches[0].id(), "a")
 		is.True(ask.Roster == nil) // the members are not told of one that is only asked
-		s.locate("b", rankpeer.Tell{Group: in("h"), Refused: lockstep.OtherGroup})
+		s.locate("b", rankpeer.Response{Group: in("h"), Refused: lockstep.OtherGroup})
 		s.follow(v, now.Add(time.Millisecond))
 		is.Equal(len(s.peers), 1)
 		is.Equal(len(s.roster.Members), 1)
 	}
 	now = now.Add(strayEvery)
 	s.follow(v, now)
-	s.locate("b", rankpeer.Tell{Group: in("g")})
+	s.locate("b", rankpeer.Response{Group: in("g")})
 	s.follow(v, now.Add(time.Millisecond))
 	is.Equal(len(s.peers), 2)
 	is.Equal(len(s.roster.Members), 2)
@@ -107,9 +107,9 @@
 	is := is.New(t)
 	s := testSteward(t)
 	s.enrol(s.rosterOf(viewOf(deployment.Target{ID: "a", Group: in("g")}), false))
-	s.locate("a", rankpeer.Tell{Group: engine.GroupID{Name: "g", Epoch: 4}, Refused: lockstep.OlderEpoch})
+	s.locate("a", rankpeer.Response{Group: engine.GroupID{Name: "g", Epoch: 4}, Refused: lockstep.OlderEpoch})
 	is.Equal(s.word().Group.Epoch, int64(4))
-	s.locate("a", rankpeer.Tell{Group: engine.GroupID{Name: "g", Epoch: 3}})
+	s.locate("a", rankpeer.Response{Group: engine.GroupID{Name: "g", Epoch: 3}})
 	is.Equal(s.word().Group.Epoch, int64(4))
 }
 
@@ -147,7 +147,7 @@
 	is := is.New(t)
 	a, _ := testAgent(t)
 	seatAndHear(a, 24)
-	tell := a.answer(rankpeer.Ask{Word: lockstep.Word{Group: in("h"), Term: 90, From: "side-7"}, Order: &engine.Order{Kind: engine.HoldPass, Epoch: 1}})
+	tell := a.answer(rankpeer.Request{Word: lockstep.Word{Group: in("h"), Term: 90, From: "side-7"}, Order: &engine.Order{Kind: engine.HoldPass, Epoch: 1}})
 	is.Equal(tell.Refused, lockstep.OtherGroup)
 	is.Equal(tell.Group, groupG)
 	is.Equal(tell.Status, 0)
--- a/sidecar/needs_test.go
+++ b/sidecar/needs_test.go
@@ -48,8 +48,8 @@
 	}
 	round()
 	_, i := s.numberOfRelay()
-	one := rankpeer.Ask{Digest: true, Gateway: "front-1", Event: 55, Word: lockstep.Word{Group: groupG}}
-	other := rankpeer.Ask{Digest: true, Gateway: "front-2", Word: lockstep.Word{Group: groupG}}
+	one := rankpeer.Request{Digest: true, Gateway: "front-1", Event: 55, Word: lockstep.Word{Group: groupG}}
+	other := rankpeer.Request{Digest: true, Gateway: "front-2", Word: lockstep.Word{Group: groupG}}
 	s.Equal(s.agents[0].answer(other).Digest.Event, int64(0))
 	s.agents[i].answer(one)
 	round()
@@ -57,7 +57,7 @@
 	now := time.Now()
 	s.Equal(s.agents[i].askers.newest(now.Add(eventValid+time.Second)), int64(0))
 	// A store that was set up anew counts from the start.
-	s.agents[i].askers.ask(&rankpeer.Ask{Gateway: "front-1", Event: 7}, now.Add(eventValid+time.Second))
+	s.agents[i].askers.ask(&rankpeer.Request{Gateway: "front-1", Event: 7}, now.Add(eventValid+time.Second))
 	s.Equal(s.agents[i].askers.newest(now.Add(eventValid+time.Second)), int64(7))
 }
 
@@ -77,7 +77,7 @@
 					at = a
 				}
 			}
-			if at.answer(rankpeer.Ask{Digest: true, Gateway: fmt.Sprintf("front-%02d", g), Word: lockstep.Word{Group: groupG}}).ShortWatch {
+			if at.answer(rankpeer.Request{Digest: true, Gateway: fmt.Sprintf("front-%02d", g), Word: lockstep.Word{Group: groupG}}).ShortWatch {
 				n++
 			}
 		}
--- a/sidecar/peer.go
+++ b/sidecar/peer.go
@@ -30,7 +30,7 @@
 	direct  *platform.RankClient
 	readAt  time.Time
 	// last is what the rank told when it was last read directly.
-	last rankpeer.Tell
+	last rankpeer.Response
 	// lost says that the sidecar does not answer.
 	lost bool
 }
@@ -60,9 +60,9 @@
 // askRank gives the order to the rank and reads it from afar. The reading is
 // some hundred milliseconds old, which is safe: see package lockstep. Counts
 // are left out, since the group pauses while they are read from afar.
-func (p *peer) askRank(ctx context.Context, ask rankpeer.Ask) rankpeer.Tell {
+func (p *peer) askRank(ctx context.Context, ask rankpeer.Request) rankpeer.Response {
 	p.readAt = time.Now().Add(directEvery)
-	tell := rankpeer.Tell{}
+	tell := rankpeer.Response{}
 	if ask.Order != nil {
 		tell.Status, tell.NeedMap = p.orderDirect(ask)
 	}
@@ -71,11 +71,11 @@
 	st, err := p.direct.State(ctx)
 	if err != nil {
 		p.log.Warn("rank not read from afar", "target", p.member.ID, "error", err.Error())
-		p.last = rankpeer.Tell{}
+		p.last = rankpeer.Response{}
 		return tell
 	}
 	tell.State, tell.Known = st, true
-	p.last = rankpeer.Tell{State: st, Known: true}
+	p.last = rankpeer.Response{State: st, Known: true}
 	if ask.Placement {
 		if place, err := p.direct.Placement(ctx); err == nil {
 			tell.Placement = &place
@@ -88,7 +88,7 @@
 
 // orderDirect gives an order to the rank itself. It says that it needs the whole
 // map where the order comes with a change: there is nobody to work it out.
-func (p *peer) orderDirect(ask rankpeer.Ask) (status int, needMap bool) {
+func (p *peer) orderDirect(ask rankpeer.Request) (status int, needMap bool) {
 	var m *rankpeer.Map
 	if ask.Change != nil {
 		m = ask.Change.Full
--- a/sidecar/places.go
+++ b/sidecar/places.go
@@ -23,7 +23,7 @@
 func (p *planner) mapBytes() int { return 2 * p.engine.Sets * len(p.ranks) * p.engine.Places }
 
 // known reports whether the places are those of the map in force.
-func (p *planner) known(tells map[string]rankpeer.Tell) bool {
+func (p *planner) known(tells map[string]rankpeer.Response) bool {
 	for _, id := range p.ranks {
 		if p.inForce(id, tells[id]) == nil {
 			return false
@@ -34,7 +34,7 @@
 
 // inForce returns the places of a rank in the map in force, or nil if they are
 // not known.
-func (p *planner) inForce(id string, t rankpeer.Tell) *engine.Placement {
+func (p *planner) inForce(id string, t rankpeer.Response) *engine.Placement {
 	place := p.places[id]
 	if !t.Known || place == nil || place.Map != t.State.Map || place.Epoch != t.State.Epoch || len(place.Experts) != p.engine.Sets {
 		return nil
@@ -45,7 +45,7 @@
 // stopgap returns a map under which the ranks that are known keep what they have,
 // while one rank is missing: that one gets the experts that no other has. It
 // returns nil if the places of more ranks are not known.
-func (p *planner) stopgap(tells map[string]rankpeer.Tell) lockstep.Map {
+func (p *planner) stopgap(tells map[string]rankpeer.Response) lockstep.Map {
 	missing := -1
 	m := make(lockstep.Map, p.engine.Sets)
 	for l := range m {
--- a/sidecar/planner.go
+++ b/sidecar/planner.go
@@ -108,7 +108,7 @@
 }
 
 // take takes in what the ranks have told, with the counts of their requests.
-func (p *planner) take(now time.Time, byRank []string, tells map[string]rankpeer.Tell, samples []*rankpeer.Sample) {
+func (p *planner) take(now time.Time, byRank []string, tells map[string]rankpeer.Response, samples []*rankpeer.Sample) {
 	p.ranks, p.placed, p.skew = byRank, false, 0
 	experts := p.engine.Experts
 	if p.engine.Sets == 0 {
--- a/sidecar/planner_test.go
+++ b/sidecar/planner_test.go
@@ -23,12 +23,12 @@
 		},
 	}
 	in := engine.State{Epoch: 2, Map: 7}
-	tells := map[string]rankpeer.Tell{"a": {Known: true, State: in}, "c": {Known: true, State: in}}
+	tells := map[string]rankpeer.Response{"a": {Known: true, State: in}, "c": {Known: true, State: in}}
 	is.Equal(p.stopgap(tells), lockstep.Map{{{0, 1}, {2, 4}, {1, 3}}})
-	tells["c"] = rankpeer.Tell{Known: true, State: engine.State{Epoch: 2, Map: 8}}
+	tells["c"] = rankpeer.Response{Known: true, State: engine.State{Epoch: 2, Map: 8}}
 	is.Equal(p.stopgap(tells), nil) // what c has is of an older map
 	p.engine.Places = 1
-	tells["c"] = rankpeer.Tell{Known: true, State: in}
+	tells["c"] = rankpeer.Response{Known: true, State: in}
 	is.Equal(p.stopgap(tells), nil) // it does not fit
 }
 
@@ -77,10 +77,10 @@
 	moves, ok := rankpeer.Diff(first, next)
 	is.True(ok)
 	var maps mapStore
-	is.True(maps.make(1, 7, &rankpeer.Change{Base: first.Number() + 1, First: &shape, Moves: moves}) == nil)
-	is.Equal(maps.make(1, 7, &rankpeer.Change{Base: first.Number(), First: &shape, Moves: moves}), next)
+	is.True(maps.make(1, 7, &rankpeer.Change{Base: first.Hash() + 1, First: &shape, Moves: moves}) == nil)
+	is.Equal(maps.make(1, 7, &rankpeer.Change{Base: first.Hash(), First: &shape, Moves: moves}), next)
 	// What was made from it is a base in its turn, in any epoch.
 	back, ok := rankpeer.Diff(next, first)
 	is.True(ok)
-	is.Equal(maps.make(2, 9, &rankpeer.Change{Base: next.Number(), Moves: back}), first)
+	is.Equal(maps.make(2, 9, &rankpeer.Change{Base: next.Hash(), Moves: back}), first)
 }
--- a/sidecar/relay.go
+++ b/sidecar/relay.go
@@ -24,7 +24,7 @@
 
 // take returns the members of a branch, or false if the relay has another list. Links to
 // agents that are no longer members are closed.
-func (r *relay) take(b *rankpeer.BranchAsk) ([]rankpeer.Member, bool) {
+func (r *relay) take(b *rankpeer.BranchRequest) ([]rankpeer.Member, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if b.Members == nil {
@@ -62,17 +62,17 @@
 // forward asks the agents of a branch and returns what they tell. An order for a
 // frozen relay that it passes on when it wakes is refused by each agent that has heard
 // a newer steward since.
-func (a *agent) forward(ask rankpeer.Ask) *rankpeer.BranchTell {
+func (a *agent) forward(ask rankpeer.Request) *rankpeer.BranchResponse {
 	members, ok := a.relay.take(ask.Branch)
 	if !ok {
-		return &rankpeer.BranchTell{NeedMembers: true}
+		return &rankpeer.BranchResponse{NeedMembers: true}
 	}
-	among := ask.Branch.Asked(len(members))
+	among := ask.Branch.Selected(len(members))
 	silent := make(map[int]bool, len(ask.Branch.Silent))
 	for _, k := range ask.Branch.Silent {
 		silent[int(k)] = true
 	}
-	asks, links := make([]rankpeer.Ask, len(among)), make([]*link, len(among))
+	asks, links := make([]rankpeer.Request, len(among)), make([]*link, len(among))
 	lacks := a.lacksRoster(members, among)
 	for i, k := range among {
 		asks[i], links[i] = memberAsk(ask, k), a.linkOfMember(members[k])
@@ -81,7 +81,7 @@
 		}
 	}
 	a.fill(asks, links)
-	tells := make([]rankpeer.Tell, len(among))
+	tells := make([]rankpeer.Response, len(among))
 	var wg sync.WaitGroup
 	for i, k := range among {
 		wait := memberWait
@@ -91,7 +91,7 @@
 		wg.Go(func() { tells[i] = a.askMember(links[i], asks[i], wait) })
 	}
 	wg.Wait()
-	return rankpeer.PackTells(ask.Word, tells)
+	return rankpeer.PackResponses(ask.Word, tells)
 }
 
 // lacksRoster returns the first member that has not been told the relay's roster, or -1.
@@ -116,9 +116,9 @@
 }
 
 // memberAsk is the part of an ask that one member of a branch gets.
-func memberAsk(ask rankpeer.Ask, member int) rankpeer.Ask {
+func memberAsk(ask rankpeer.Request, member int) rankpeer.Request {
 	b := ask.Branch
-	out := rankpeer.Ask{Word: ask.Word, Held: ask.Held, Counts: ask.Counts, Placement: ask.Placement}
+	out := rankpeer.Request{Word: ask.Word, Held: ask.Held, Counts: ask.Counts, Placement: ask.Placement}
 	out.Order, out.Change = b.OrderOf(member)
 	if member < len(b.Turns) {
 		out.Turn = int(b.Turns[member]) + 1
@@ -135,7 +135,7 @@
 }
 
 // askMember asks the agent at the end of a link, or this one.
-func (a *agent) askMember(l *link, ask rankpeer.Ask, wait time.Duration) rankpeer.Tell {
+func (a *agent) askMember(l *link, ask rankpeer.Request, wait time.Duration) rankpeer.Response {
 	if l == nil {
 		tell := a.judge(ask)
 		tell.Answered = true
@@ -143,7 +143,7 @@
 	}
 	tell, err := l.ask(context.Background(), ask, wait)
 	if err != nil {
-		return rankpeer.Tell{} // The link has logged why.
+		return rankpeer.Response{} // The link has logged why.
 	}
 	tell.Answered = true
 	return tell
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -106,7 +106,7 @@
 	_, err := own.readRank(t.Context())
 	s.NoErr(err)
 	s.steward = &steward{
-		agent: own, group: groupG, log: own.log, core: lockstep.NewSteward(0, nil, 1), tells: map[string]rankpeer.Tell{},
+		agent: own, group: groupG, log: own.log, core: lockstep.NewSteward(0, nil, 1), tells: map[string]rankpeer.Response{},
 		members: members{peers: map[string]*peer{}, elsewhere: map[string]engine.GroupID{}}, duty: duty{term: 7},
 	}
 	s.steward.enrol(s.steward.rosterOf(v, false))
@@ -157,7 +157,7 @@
 
 // ask has the steward ask everybody and returns how many ranks are known.
 func (s *side) ask() int {
-	s.steward.tells = map[string]rankpeer.Tell{}
+	s.steward.tells = map[string]rankpeer.Response{}
 	s.True(s.steward.askAll(s.t.Context(), everybody, false))
 	known := 0
 	for _, r := range s.steward.arrange() {
@@ -251,7 +251,9 @@
 			}
 			go func() {
 				// It ends with the test.
-				_ = rankpeer.Serve(c, func(rankpeer.Ask) rankpeer.Tell { return rankpeer.Tell{Group: groupG, Known: true, State: st} })
+				_ = rankpeer.Serve(c, func(rankpeer.Request) rankpeer.Response {
+					return rankpeer.Response{Group: groupG, Known: true, State: st}
+				})
 			}()
 		}
 	}()
@@ -267,7 +269,7 @@
 	s.Equal(s.ask(), sideRanks)
 	_, i := s.numberOfRelay()
 	a := s.agents[i+1]
-	a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: 8, From: "side-x"}})
+	a.hear(rankpeer.Request{Word: lockstep.Word{Group: groupG, Term: 8, From: "side-x"}})
 	s.steward.pending = map[string]lockstep.Command{fmt.Sprintf("i-%03d", i+1): {Rank: i + 1, Order: engine.Order{Kind: engine.ArmMap, Version: 3, Step: 9}}}
 	s.True(!s.steward.askAll(t.Context(), everybody, false))
 	s.Equal(s.ranks[i+1].got(engine.ArmMap), 0)
@@ -281,7 +283,7 @@
 	old := s.steward.branchAsk(b, []int{0, 1}, false)
 	old.Branch.Orders = []rankpeer.BranchOrder{{Order: engine.Order{Kind: engine.DisarmMap, Version: 3}, Members: []uint16{0, 1}}}
 	for _, a := range s.agents[i : i+2] {
-		a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: 8, From: "side-x"}})
+		a.hear(rankpeer.Request{Word: lockstep.Word{Group: groupG, Term: 8, From: "side-x"}})
 	}
 	tell := s.agents[i].answer(old)
 	s.Equal(tell.Refused, lockstep.NewerSteward)
@@ -379,7 +381,7 @@
 	st.setDigest(st.digestOf(st.arrange()))
 	st.tellViews(t.Context(), time.Now())
 	_, i := s.numberOfRelay()
-	ask := rankpeer.Ask{Digest: true, Word: lockstep.Word{Group: groupG}}
+	ask := rankpeer.Request{Digest: true, Word: lockstep.Word{Group: groupG}}
 	d := s.agents[i].answer(ask).Digest
 	s.Equal(len(d.Targets), sideRanks)
 	s.Equal(len(d.Relays), len(st.branches))
@@ -419,13 +421,13 @@
 	_, i := s.numberOfRelay()
 	for n := range 53 {
 		at := []int{0, i}[n%2]
-		s.agents[at].answer(rankpeer.Ask{Digest: true, Gateway: fmt.Sprintf("front-%02d", n), Word: lockstep.Word{Group: groupG}})
+		s.agents[at].answer(rankpeer.Request{Digest: true, Gateway: fmt.Sprintf("front-%02d", n), Word: lockstep.Word{Group: groupG}})
 	}
 	s.ask()
 	s.Equal(s.steward.digestOf(s.steward.arrange()).Gateways, 53)
 	s.Equal(s.agents[i].askers.count(time.Now().Add(askerValid+time.Second)), 0)
 	for n := range 2 * maxAskers {
-		s.agents[i].askers.ask(&rankpeer.Ask{Gateway: fmt.Sprint(n)}, time.Now())
+		s.agents[i].askers.ask(&rankpeer.Request{Gateway: fmt.Sprint(n)}, time.Now())
 	}
 	s.Equal(s.agents[i].askers.count(time.Now()), maxAskers)
 }
@@ -438,7 +440,7 @@
 	for _, a := range s.agents {
 		_, err := a.readRank(t.Context())
 		s.NoErr(err)
-		s.Equal(a.hear(rankpeer.Ask{Word: lockstep.Word{Group: groupG, Term: 7, From: "side-999"}}), lockstep.Heeded)
+		s.Equal(a.hear(rankpeer.Request{Word: lockstep.Word{Group: groupG, Term: 7, From: "side-999"}}), lockstep.Heeded)
 	}
 	for i := range ranks {
 		o := engine.Order{Kind: engine.DisarmMap, Epoch: groupG.Epoch, Version: 3}
--- a/sidecar/round_test.go
+++ b/sidecar/round_test.go
@@ -55,7 +55,7 @@
 		st.viewsAt = time.Time{}
 		st.tellViews(s.t.Context(), time.Now())
 		s.NoErr(gateway.Connect(s.t.Context(), time.Second))
-		_, err := gateway.Ask(rankpeer.Ask{Digest: true, List: d.List, Gateway: "front-1", Word: lockstep.Word{Group: groupG}}, time.Second)
+		_, err := gateway.Do(rankpeer.Request{Digest: true, List: d.List, Gateway: "front-1", Word: lockstep.Word{Group: groupG}}, time.Second)
 		s.NoErr(err)
 	}
 	look() // the lists go out
--- a/sidecar/steward.go
+++ b/sidecar/steward.go
@@ -50,7 +50,7 @@
 	// pending are the orders that go out with the next asks, by target; tells
 	// are the last answers.
 	pending map[string]lockstep.Command
-	tells   map[string]rankpeer.Tell
+	tells   map[string]rankpeer.Response
 	// given are the statuses of the orders of this asking that went straight to
 	// servers; samples are the counts that were told in this round.
 	given   map[string]int
@@ -188,7 +188,7 @@
 	// The first round tells whether this agent has kept the map in force.
 	needPlaces := !s.planner.placed && s.rounds > 0
 	s.rounds++
-	s.tells, s.samples = map[string]rankpeer.Tell{}, nil
+	s.tells, s.samples = map[string]rankpeer.Response{}, nil
 	s.startCounting(now)
 	if !s.askAll(ctx, everybody, needPlaces) {
 		return false, false
--- a/sidecar/talk.go
+++ b/sidecar/talk.go
@@ -55,12 +55,12 @@
 // answer does what a steward asks, unless its word is not for this rank, or a newer
 // one has been heard: the orders of a steward that was paused, or of one whose group
 // the rank has left, must not reach the rank.
-func (a *agent) answer(ask rankpeer.Ask) rankpeer.Tell {
+func (a *agent) answer(ask rankpeer.Request) rankpeer.Response {
 	if ask.Digest {
 		return a.tellDigest(&ask, time.Now())
 	}
 	if ask.View != nil {
-		tell := rankpeer.Tell{Refused: a.hear(ask), Group: a.seat().Group, Term: a.highestTerm()}
+		tell := rankpeer.Response{Refused: a.hear(ask), Group: a.seat().Group, Term: a.highestTerm()}
 		if tell.Refused == lockstep.Heeded {
 			tell.List = a.takeView(ask.View)
 		}
@@ -69,7 +69,7 @@
 	if ask.Branch == nil {
 		return a.judge(ask)
 	}
-	tell := rankpeer.Tell{Refused: a.hear(ask)}
+	tell := rankpeer.Response{Refused: a.hear(ask)}
 	if forwards(tell.Refused) {
 		tell.Branch = a.forward(ask)
 	}
@@ -80,10 +80,10 @@
 }
 
 // judge does what a steward asks of this agent's own rank, if its word is heeded.
-func (a *agent) judge(ask rankpeer.Ask) rankpeer.Tell {
+func (a *agent) judge(ask rankpeer.Request) rankpeer.Response {
 	reads := a.refreshSeat()
 	refusal := a.hear(ask)
-	tell := rankpeer.Tell{Group: a.seat().Group, Refused: refusal, Term: a.highestTerm()}
+	tell := rankpeer.Response{Group: a.seat().Group, Refused: refusal, Term: a.highestTerm()}
 	// A rank that has just not answered would take its time again, and all other ranks of
 	// the branch with it.
 	if refusal == lockstep.Heeded && reads {
@@ -93,7 +93,7 @@
 }
 
 // consult gives the order to the rank and reads it.
-func (a *agent) consult(ask rankpeer.Ask, tell *rankpeer.Tell) {
+func (a *agent) consult(ask rankpeer.Request, tell *rankpeer.Response) {
 	if ask.Order != nil {
 		tell.Status, tell.NeedMap = a.order(ask)
 	}
@@ -123,7 +123,7 @@
 }
 
 // order gives the order of an ask, with the map that its change makes.
-func (a *agent) order(ask rankpeer.Ask) (status int, needMap bool) {
+func (a *agent) order(ask rankpeer.Request) (status int, needMap bool) {
 	var m *rankpeer.Map
 	if ask.Change != nil {
 		m = a.keptMaps().make(ask.Order.Epoch, ask.Order.Version, ask.Change)
@@ -141,7 +141,7 @@
 // giveAsked gives the order of an ask to a rank. An order that comes with a
 // change needs its map m; needMap says that m is nil or damaged, and that the
 // order was not given.
-func giveAsked(rank *platform.RankClient, wait time.Duration, ask rankpeer.Ask, m *rankpeer.Map, log *slog.Logger) (status int, needMap bool) {
+func giveAsked(rank *platform.RankClient, wait time.Duration, ask rankpeer.Request, m *rankpeer.Map, log *slog.Logger) (status int, needMap bool) {
 	o := *ask.Order
 	if ask.Change != nil {
 		if m == nil {
--- a/sidecar/view.go
+++ b/sidecar/view.go
@@ -64,9 +64,9 @@
 const shortWatchers = 3
 
 // tellDigest answers a gateway, and takes what it says of the store.
-func (a *agent) tellDigest(ask *rankpeer.Ask, now time.Time) rankpeer.Tell {
+func (a *agent) tellDigest(ask *rankpeer.Request, now time.Time) rankpeer.Response {
 	a.askers.ask(ask, now)
-	tell := rankpeer.Tell{Group: a.seat().Group, Term: a.highestTerm(), Digest: a.digest(ask.Word.Group.Name, ask.List)}
+	tell := rankpeer.Response{Group: a.seat().Group, Term: a.highestTerm(), Digest: a.digest(ask.Word.Group.Name, ask.List)}
 	if d := tell.Digest; d != nil {
 		d.Event = max(d.Event, a.askers.newest(now))
 		tell.ShortWatch = a.askers.first(ask.Gateway, a.shortWatchersHere(d), now)
@@ -110,7 +110,7 @@
 		if b.views == v.List {
 			v.Targets = nil
 		}
-		ask := rankpeer.Ask{Word: s.word(), Held: s.holding, View: &v}
+		ask := rankpeer.Request{Word: s.word(), Held: s.holding, View: &v}
 		wg.Go(func() {
 			tell, err := b.link.ask(ctx, ask, viewWait)
 			b.views = 0
--- a/standin/rank/http.go
+++ b/standin/rank/http.go
@@ -59,7 +59,7 @@
 }
 
 func (r *Rank) serveWeights(w http.ResponseWriter, req *http.Request) {
-	var part rank.Weights
+	var part rank.WeightsRequest
 	if err := json.NewDecoder(req.Body).Decode(&part); err != nil {
 		http.Error(w, "bad request", http.StatusBadRequest)
 		return
@@ -69,7 +69,7 @@
 		http.Error(w, "weight store does not answer", http.StatusBadGateway)
 		return
 	}
-	writeJSON(w, rank.Read{Read: n})
+	writeJSON(w, rank.WeightsResponse{Read: n})
 }
 
 func (r *Rank) serveFaults(w http.ResponseWriter, req *http.Request) {
--- a/standin/rank/load.go
+++ b/standin/rank/load.go
@@ -126,13 +126,13 @@
 	r.mu.Lock()
 	from := r.memory[w]
 	r.mu.Unlock()
-	n, err := r.Fetch(context.Background(), rank.Weights{Layer: w.layer, Expert: w.expert, Offset: from, Length: size - from})
+	n, err := r.Fetch(context.Background(), rank.WeightsRequest{Layer: w.layer, Expert: w.expert, Offset: from, Length: size - from})
 	return err == nil && n > 0
 }
 
 // Fetch reads a part of an expert's weights into memory. It returns how many of
 // the bytes are there afterwards; a part beyond a hole is not kept.
-func (r *Rank) Fetch(ctx context.Context, part rank.Weights) (int64, error) {
+func (r *Rank) Fetch(ctx context.Context, part rank.WeightsRequest) (int64, error) {
 	w := weight{part.Layer, part.Expert}
 	r.mu.Lock()
 	have := r.memory[w]
--- a/standin/rank/rank.go
+++ b/standin/rank/rank.go
@@ -56,7 +56,7 @@
 	// Size returns the size of one expert's weights in bytes.
 	Size(ctx context.Context, model string, layer int, expert int32) (int64, error)
 	// Read reads a part and returns how many bytes have come.
-	Read(ctx context.Context, model string, w rank.Weights) (int64, error)
+	Read(ctx context.Context, model string, w rank.WeightsRequest) (int64, error)
 }
 
 // Link carries messages to other ranks of the group. They may be lost.
--- a/standin/rank/rank_test.go
+++ b/standin/rank/rank_test.go
@@ -26,7 +26,7 @@
 
 func (readyStore) Size(context.Context, string, int, int32) (int64, error) { return weightSize, nil }
 
-func (readyStore) Read(_ context.Context, _ string, w rank.Weights) (int64, error) {
+func (readyStore) Read(_ context.Context, _ string, w rank.WeightsRequest) (int64, error) {
 	return w.Length, nil
 }
 
--- a/standin/rank/udp.go
+++ b/standin/rank/udp.go
@@ -88,7 +88,7 @@
 	if s.size > 0 {
 		return s.size, nil
 	}
-	resp, err := s.do(ctx, http.MethodHead, model, rank.Weights{Layer: layer, Expert: expert})
+	resp, err := s.do(ctx, http.MethodHead, model, rank.WeightsRequest{Layer: layer, Expert: expert})
 	if err != nil {
 		return 0, err
 	}
@@ -98,7 +98,7 @@
 }
 
 // Read implements WeightStore.
-func (s *Store) Read(ctx context.Context, model string, w rank.Weights) (int64, error) {
+func (s *Store) Read(ctx context.Context, model string, w rank.WeightsRequest) (int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	resp, err := s.do(ctx, http.MethodGet, model, w)
@@ -109,7 +109,7 @@
 	return io.Copy(io.Discard, resp.Body)
 }
 
-func (s *Store) do(ctx context.Context, method, model string, w rank.Weights) (*http.Response, error) {
+func (s *Store) do(ctx context.Context, method, model string, w rank.WeightsRequest) (*http.Response, error) {
 	url := "http://" + s.Address + "/weights/" + model + "/" + strconv.Itoa(w.Layer) + "/" + strconv.Itoa(int(w.Expert))
 	req, err := http.NewRequestWithContext(ctx, method, url, nil)
 	if err != nil {
