--- a/core/request/admission/admission.go
+++ b/core/request/admission/admission.go
@@ -1,32 +1,31 @@
-// Package admission decides when a request goes to the engines of a service, and to
-// which group of them.
+// Package admission decides when a request is sent to the engines of a service, and to which
+// group of them.
 //
-// The engines of a service may be the ranks of several expert groups. All ranks of a
-// group run each pass together, so that its load, its speed and its troubles are those
-// of the whole group, and nothing that one group does says anything of another. A
-// Pool keeps one queue of the requests that wait for any group, and for each group
-// how many requests this entry may have there, how long first events take, and
-// whether it refuses, stands still or is being formed anew. A request is bound to a
-// group when its turn comes, not when it arrives: whoever waits is served by the
-// first group that has room.
+// The engines of a service may be the ranks of several expert groups. All ranks of a group run
+// each forward pass together, so load, speed and faults are those of the whole group, and the
+// state of one group says nothing about another. A Pool keeps one queue of requests that wait
+// for any group. For each group it tracks how many requests this entry may have there, how long
+// the first event takes, and whether the group refuses, is stalled or is being formed again. A
+// request is assigned to a group when it leaves the queue, not when it arrives, so a waiting
+// request goes to the first group with capacity.
 //
-// The load patterns it answers are those of packages queue and health, and one of
-// its own: a group that slows down, stands or is lost while the others work. It
-// must not take their room, and they serve what it can't as far as they have room.
+// The load patterns it handles are those of packages queue and health, and one of its own: one
+// group slows down, stalls or is lost while the others work. That group must not take the
+// capacity of the others, and they serve its requests as far as they have capacity.
 //
-// A Pool has no clock, no lock and no input or output: its owner passes the time,
-// calls it from one goroutine at a time, and takes what it has decided from Settled.
+// A Pool has no clock, no lock and does no input or output: its owner passes the time, calls it
+// from one goroutine at a time, and collects its decisions with Decisions.
 //
 // # Usage
 //
 //	p := admission.New(rng)
 //	p.SetGroups(map[string]int{"g0": 240, "g1": 240}, now)
-//	p.Tell(admission.Load{Group: "g0", Open: true, Running: 180, Pass: pass}, now)
-//	refusal := p.Enter(admission.Request{ID: id, Objective: aim}, now)
-//	for _, s := range p.Settled() {
-//		answer(s.ID, s.Group, s.Refusal)
+//	p.ReportLoad(admission.Load{Group: "g0", Complete: true, Running: 180, PassTime: pass}, now)
+//	refusal := p.Enqueue(admission.Request{ID: id, Objective: objective}, now)
+//	for _, d := range p.Decisions() {
+//		answer(d.ID, d.Group, d.Refusal)
 //	}
-//	p.Leave(id, cost, now)
+//	p.Done(id, cost, now)
 package admission
 
 import (
@@ -40,15 +39,14 @@
 )
 
 const (
-	// firstRate is the first guess of the tokens a second that the engines take from
-	// one entry. It is learned while they are busy.
-	firstRate = 20000
-	// returnShare is the part of the service that callers who come back may take
-	// while others wait. They are late already, and the others can be on time
-	// (queue.TestOverload).
-	returnShare = 0.3
-	// recoveryShare is the same after all groups were down, until all who have waited
-	// for them are gone: the others are late as well then, and have another try left.
+	// initialRate is the initial estimate of the tokens a second that the engines take from one
+	// entry. The rate is learned while they are busy.
+	initialRate = 20000
+	// retryShare is the part of the service that retrying callers may take while others wait.
+	// They are late already, and the others can still be on time (queue.TestOverload).
+	retryShare = 0.3
+	// recoveryShare replaces retryShare after all groups were down, until the queue has
+	// drained: the new callers are late as well then, and have another attempt left.
 	recoveryShare = 0.95
 )
 
@@ -61,22 +59,22 @@
 	Cost int64
 	// Objective is the time within which its route wants the first event.
 	Objective time.Duration
-	// Patience is how long its caller waits for the first event; 0 if that is not known.
+	// Patience is how long its caller waits for the first event; 0 means unknown.
 	Patience time.Duration
-	// Retry says that its caller has been refused before.
+	// Retry reports whether its caller has been refused before.
 	Retry bool
 }
 
-// place is the group in which a request runs, and when it was sent there last.
-type place struct {
-	group *group
-	sent  time.Time
+// assignment is the group in which a request runs, and when it was last sent there.
+type assignment struct {
+	group  *group
+	sentAt time.Time
 }
 
-// Decision is what became of a request that has waited.
+// Decision is the outcome of a request that has waited.
 type Decision struct {
 	ID string
-	// Group is the group that takes it, if Refusal is nil. It is empty for engines
+	// Group is the group that takes the request, if Refusal is nil. It is empty for engines
 	// whose group is not known.
 	Group   string
 	Refusal *outcome.Error
@@ -87,40 +85,41 @@
 	queue  *queue.Queue
 	rng    *rand.Rand
 	groups map[string]*group
-	// names are those of groups, sorted, so that choices can be replayed.
+	// names are the keys of groups in sorted order, which makes choices reproducible.
 	names []string
-	// places are where the requests run, by ID.
-	places  map[string]place
-	settled []Decision
-	shed    []queue.Shed
-	// emptyAt is when nobody waited last.
+	// assignments are the running requests by ID.
+	assignments map[string]assignment
+	settled     []Decision
+	shed        []queue.Shed
+	// emptyAt is when the queue was last empty.
 	emptyAt time.Time
-	// recovering says that some who wait have done so since all groups were down.
+	// recovering reports whether the queue has not been empty since all groups were down.
 	recovering bool
-	// unproven says that nothing is known of groups that are met for the first time.
+	// unproven is the initial state of groups that are seen for the first time: nothing is
+	// known of them.
 	unproven bool
 }
 
-// New returns a Pool without groups: requests wait until there are some. The source
+// New returns a Pool without groups: requests wait until there are some. The random source
 // spreads choices and times.
 func New(rng *rand.Rand) *Pool {
 	return &Pool{
-		queue: queue.New(queue.Limits{Slots: 1, Rate: firstRate, UrgentShare: returnShare}, rng),
-		rng:   rng, groups: map[string]*group{}, places: map[string]place{},
+		queue: queue.New(queue.Limits{Slots: 1, Rate: initialRate, UrgentShare: retryShare}, rng),
+		rng:   rng, groups: map[string]*group{}, assignments: map[string]assignment{},
 	}
 }
 
-// ColdStart tells that this entry has just started and knows nothing of the groups that it
-// meets. Until the load of such a group is told, or a target there takes a request, it gets
-// one request at a time.
+// ColdStart marks this entry as just started, without knowledge of the groups that it sees from
+// now on. Until the load of such a group is reported, or a target there accepts a request, the
+// group gets one request at a time.
 //
-// The load pattern it answers is a loss of power of entries and engines together: the
-// entries are back first, and what each sends to find that out has to be sent again later,
-// out of the few retries that all of them have.
+// The load pattern it handles is a power loss of entries and engines together: the entries are
+// back first, and each request that they send to find out has to be sent again later, from the
+// small retry budget that all of them share.
 func (p *Pool) ColdStart() { p.unproven = true }
 
-// SetGroups takes how many slots the engines of each group have together. A group that
-// is missing has none any more; it is forgotten when the last request there has ended.
+// SetGroups sets the total number of slots of each group's engines. A group that is missing has
+// no slots any more; it is removed when the last request there has ended.
 func (p *Pool) SetGroups(slots map[string]int, now time.Time) {
 	for name, n := range slots {
 		g := p.groups[name]
@@ -133,51 +132,51 @@
 	for name, g := range p.groups {
 		if slots[name] == 0 {
 			g.resize(0, now)
-			p.forget(g)
+			p.removeIfUnused(g)
 		}
 	}
 	p.names = slices.Sorted(maps.Keys(p.groups))
-	p.pump(now)
+	p.dispatch(now)
 }
 
-// forget drops a group that has neither slots nor requests.
-func (p *Pool) forget(g *group) {
-	if g.slots == 0 && g.own == 0 {
+// removeIfUnused deletes a group that has neither slots nor requests.
+func (p *Pool) removeIfUnused(g *group) {
+	if g.slots == 0 && g.running == 0 {
 		delete(p.groups, g.name)
 		p.names = slices.Sorted(maps.Keys(p.groups))
 	}
 }
 
-// ReportLoad takes the load of a group as its steward tells it.
+// ReportLoad records the load of a group as reported by its coordinator.
 func (p *Pool) ReportLoad(l Load, now time.Time) {
 	if g := p.groups[l.Group]; g != nil {
-		g.tell(l, p.queue.Load().Items > 0, now)
-		p.pump(now)
+		g.setLoad(l, p.queue.Load().Items > 0, now)
+		p.dispatch(now)
 	}
 }
 
-// Enqueue takes a request in, or refuses it at once: then it has not run. What becomes
-// of it otherwise comes out of Settled.
+// Enqueue accepts a request, or refuses it at once: then it has not run. The outcome of an
+// accepted request is returned by Decisions.
 func (p *Pool) Enqueue(r Request, now time.Time) *outcome.Error {
 	if p.FailFast(now) {
 		return &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonAllTargetsRefuse}
 	}
-	p.judge(now)
+	p.updateUrgentShare(now)
 	item := queue.Item{
 		ID: r.ID, Workspace: r.Workspace, Priority: priorityOf(r), Cost: r.Cost, Deadline: p.latestStart(r, now),
-		// How long a wait will be is not known while nothing is served, and who comes back
-		// has nothing to gain by a refusal.
+		// The length of the wait is not known while nothing is served, and a retrying caller
+		// gains nothing from a refusal.
 		Patient: r.Retry || p.Down(now),
 	}
 	if refusal := p.queue.Enqueue(item, now); refusal != nil {
 		return refusal
 	}
-	p.pump(now)
+	p.dispatch(now)
 	return nil
 }
 
-// priorityOf puts callers that come back before the others: they are late
-// already, and a second refusal is mostly the last.
+// priorityOf puts retrying callers before the others: they are late already, and a second
+// refusal is mostly final.
 func priorityOf(r Request) queue.Priority {
 	if r.Retry {
 		return queue.Urgent
@@ -185,43 +184,42 @@
 	return queue.Normal
 }
 
-// latestStart is when a request must have started. As long as one group could still
-// serve it in time, it waits for that one.
+// latestStart returns when a request must have started. As long as at least one group could
+// still serve it in time, it waits for that group.
 func (p *Pool) latestStart(r Request, now time.Time) time.Time {
 	return now.Add(p.wait(r, now).Longest())
 }
 
 func (p *Pool) wait(r Request, now time.Time) queue.Wait {
 	return queue.Wait{
-		Objective: r.Objective, Service: p.service(), Patience: r.Patience, BacklogAge: p.line(now),
+		Objective: r.Objective, Service: p.fastestFirstEvent(), Patience: r.Patience, BacklogAge: p.backlogAge(now),
 		Retry: r.Retry, Closed: p.Down(now),
 	}
 }
 
-// MaxRetryWait returns how long after its arrival a request may start that a target has
-// refused.
+// MaxRetryWait returns how long after its arrival a request that a target has refused may still
+// start.
 func (p *Pool) MaxRetryWait(r Request, now time.Time) time.Duration {
 	return p.wait(r, now).CallerLimit()
 }
 
-// service returns how long the fastest group that takes requests needs to the first
+// fastestFirstEvent returns how long the fastest group that accepts requests takes to the first
 // event.
-func (p *Pool) service() time.Duration {
-	least := time.Duration(0)
+func (p *Pool) fastestFirstEvent() time.Duration {
+	fastest := time.Duration(0)
 	for _, name := range p.names {
 		g := p.groups[name]
-		if usual := g.firstEvent.P90(); !g.gate.Closed() && (least == 0 || usual < least) {
-			least = usual
+		if p90 := g.firstEvent.P90(); !g.gate.Closed() && (fastest == 0 || p90 < fastest) {
+			fastest = p90
 		}
 	}
-	if least == 0 {
+	if fastest == 0 {
 		return (&queue.ServiceTime{}).P90()
 	}
-	return least
+	return fastest
 }
 
-// Withdraw takes back a request that waits. It reports false if the request does not
-// wait any more.
+// Withdraw removes a waiting request. It reports false if the request is no longer waiting.
 func (p *Pool) Withdraw(id string) bool {
 	_, waits := p.queue.Remove(id)
 	return waits
@@ -230,10 +228,10 @@
 // Done ends a request that has run, with the tokens that it cost.
 func (p *Pool) Done(id string, cost int64, now time.Time) {
 	p.queue.Done(id, cost, now)
-	if g := p.places[id].group; g != nil {
-		delete(p.places, id)
-		g.own--
-		p.forget(g)
+	if g := p.assignments[id].group; g != nil {
+		delete(p.assignments, id)
+		g.running--
+		p.removeIfUnused(g)
 	}
-	p.pump(now)
+	p.dispatch(now)
 }
--- a/core/request/admission/admission_test.go
+++ b/core/request/admission/admission_test.go
@@ -22,17 +22,17 @@
 
 func request(id string) Request { return Request{ID: id, Cost: cost, Objective: objective} }
 
-// fill enters so many requests and returns those that have got a place, by group.
+// fill enqueues n requests and returns those that have been started, by group.
 func fill(t *testing.T, p *Pool, n int, now time.Time) map[string][]string {
 	t.Helper()
 	for i := range n {
-		// A refusal shows in what is counted.
+		// Refusals show in the counts of the callers.
 		_ = p.Enqueue(request(now.Sub(start).String()+"-"+strconv.Itoa(i)), now)
 	}
 	return placed(p)
 }
 
-// placed returns the requests that have got a place since the last call, by group.
+// placed returns the requests started since the last call, by group.
 func placed(p *Pool) map[string][]string {
 	out := map[string][]string{}
 	for _, s := range p.Decisions() {
@@ -63,8 +63,8 @@
 	is.Equal(p.latestStart(request("c"), now), now.Add(queue.Wait{BacklogAge: time.Minute}.Longest()))
 }
 
-// Guards against taking the load of one group for that of all, which sends callers away while
-// others have room.
+// Guards against applying the load of one group to all groups, which refuses callers while
+// other groups have capacity.
 func TestLimitsAreOfEachGroup(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -73,21 +73,22 @@
 	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 40}, start)
 	p.ReportLoad(Load{Group: "g2", Complete: true, Running: 40}, start)
 	got := fill(t, p, 200, start)
-	is.Equal(len(got["g0"]), 1) // a full group lets each entry keep one
+	is.Equal(len(got["g0"]), 1) // each entry may keep one request at a full group
 	is.True(len(got["g1"]) >= 15 && len(got["g1"]) <= 60)
 	is.True(len(got["g2"]) >= 15 && len(got["g2"]) <= 60)
 }
 
-// Guards against callers that wait for a group which has lost a rank while others have room.
+// Guards against callers that wait for a group with a lost rank while other groups have
+// capacity.
 func TestALostGroupTakesNothingFromTheOthers(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
-	tell := func(open bool, now time.Time) {
-		p.ReportLoad(Load{Group: "g0", Complete: open, Running: 0}, now)
+	report := func(complete bool, now time.Time) {
+		p.ReportLoad(Load{Group: "g0", Complete: complete, Running: 0}, now)
 		p.ReportLoad(Load{Group: "g1", Complete: true, Running: 30}, now)
 	}
-	tell(true, start)
+	report(true, start)
 	first := fill(t, p, 10, start)
 	is.True(len(first["g0"]) >= 3)
 	for _, target := range []string{"x", "y", "z"} {
@@ -95,7 +96,7 @@
 	}
 	for i := range 20 {
 		now := start.Add(time.Duration(i+1) * 200 * time.Millisecond)
-		tell(false, now)
+		report(false, now)
 		got := fill(t, p, 2, now)
 		is.Equal(len(got["g0"]), 0)
 		is.Equal(len(got["g1"]), 2)
@@ -105,17 +106,17 @@
 		}
 	}
 	now := start.Add(5 * time.Second)
-	tell(true, now)
+	report(true, now)
 	got := fill(t, p, 4, now)
 	is.Equal(len(got["g0"]), 1) // the probe
 	is.True(p.Accepted(got["g0"][0], now))
-	tell(true, now)
+	report(true, now)
 	got = fill(t, p, 20, now)
 	is.True(len(got["g0"]) >= 5)
 }
 
-// Guards against new requests at a group whose steward tells that a rank is lost, before
-// anything is refused.
+// Guards against sending new requests to a group whose coordinator reports a lost rank, before
+// any request is refused there.
 func TestAGroupThatHasJustLostARank(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -124,13 +125,13 @@
 	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 60}, start)
 	got := fill(t, p, 10, start)
 	is.Equal(len(got["g1"]), 10)
-	// A word that is old says nothing any more.
-	later := start.Add(loadValid + time.Millisecond)
+	// An expired report has no effect.
+	later := start.Add(loadValidity + time.Millisecond)
 	is.True(len(fill(t, p, 10, later)["g0"]) > 0)
 }
 
-// Guards against new requests at a group that makes no passes although nothing fails and its
-// places look free.
+// Guards against sending new requests to a group that makes no forward passes although nothing
+// fails and its slots look free.
 func TestAStandingGroupIsLeft(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -153,7 +154,8 @@
 	is.True(len(fill(t, p, 10, later)["g0"]) > 0)
 }
 
-// Guards against leaving a group that refuses when no other works either.
+// Guards against moving a request away from a group that refuses when no other group is
+// available either.
 func TestAllGroupsRefuse(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -175,8 +177,8 @@
 	is.True(!down && wait == 0)
 }
 
-// Guards against filling a slow group as much as a fast one, and sending everything to the fast
-// one.
+// Guards against filling a slow group as much as a fast one, and against sending everything to
+// the fast one.
 func TestFasterGroupsGetMore(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -193,7 +195,8 @@
 	is.Equal(len(got["fast"])+len(got["slow"]), 1000)
 }
 
-// Guards against forgetting the requests of a group that was formed anew under another name.
+// Guards against losing track of the requests of a group that was formed again under another
+// name.
 func TestAGroupThatIsNoMore(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
--- a/core/request/admission/attempt.go
+++ b/core/request/admission/attempt.go
@@ -3,118 +3,118 @@
 import "time"
 
 const (
-	// comebackPart is the part of its remaining patience after which the caller
-	// of a service that is down may come back: the longest that callers honour
-	// is a third.
-	comebackPart = 0.32
-	// comebackSpread is the part of that time that is random, so that callers
-	// don't come back together.
-	comebackSpread = 0.33
+	// retryAfterShare is the part of its remaining patience after which the caller of a service
+	// that is down may come back: callers honour at most a third.
+	retryAfterShare = 0.32
+	// retryAfterJitter is the random part of that time, so that callers don't come back
+	// together.
+	retryAfterJitter = 0.33
 )
 
-// Refused tells that a target has refused the request. It reports whether this closed
-// the gate of the target's group.
+// Refused records that a target has refused the request. It reports whether this closed the
+// gate of the target's group.
 func (p *Pool) Refused(id, target string, now time.Time) bool {
-	g := p.places[id].group
+	g := p.assignments[id].group
 	return g != nil && g.gate.Refused(target, now)
 }
 
-// Accepted tells that a target has taken the request. It reports whether this opened
-// the gate of its group.
+// Accepted records that a target has accepted the request. It reports whether this opened the
+// gate of its group.
 func (p *Pool) Accepted(id string, now time.Time) bool {
-	at := p.places[id]
+	at := p.assignments[id]
 	g := at.group
 	if g == nil {
 		return false
 	}
-	worked := g.works(now)
+	wasAvailable := g.available(now)
 	g.unproven = false
-	g.accepted(at.sent, now)
+	g.accepted(at.sentAt, now)
 	opened := g.gate.Accepted()
-	if !worked && g.works(now) {
-		g.reopen(now)
-		p.pump(now)
+	if !wasAvailable && g.available(now) {
+		g.resetAfterOutage(now)
+		p.dispatch(now)
 	}
 	return opened
 }
 
-// ObserveFirstEvent tells how long after its start the request got its first event.
+// ObserveFirstEvent records how long after its start the request got its first event.
 func (p *Pool) ObserveFirstEvent(id string, d time.Duration) {
-	if g := p.places[id].group; g != nil {
+	if g := p.assignments[id].group; g != nil {
 		g.firstEvent.Observe(d)
 	}
 }
 
-// MarkStalled tells that nothing has come from a group for a while although answers are in
-// progress there: until the given time it is taken to stand still.
+// MarkStalled records that a group has sent nothing for a while although responses are in
+// progress there: it counts as stalled until the given time.
 func (p *Pool) MarkStalled(group string, until time.Time) {
 	if g := p.groups[group]; g != nil {
-		g.silentUntil = until
+		g.stalledUntil = until
 	}
 }
 
-// Move returns the group for another attempt of a request, and whether it is another
-// one than before. A group that refuses, stands still or has lost a rank is left if
-// another one works, also if that has no room: the stream has begun somewhere, or its
-// caller has waited its turn.
+// Move returns the group for another attempt of a request, and whether it differs from the
+// previous one. A request leaves a group that refuses, is stalled or has lost a rank if another
+// group is available, even one without capacity: the stream has already begun, or its caller
+// has already waited in the queue.
 func (p *Pool) Move(id string, now time.Time) (name string, moved bool) {
-	from := p.places[id].group
+	from := p.assignments[id].group
 	if from == nil {
 		return "", false
 	}
-	if from.works(now) {
+	if from.available(now) {
 		return from.name, false
 	}
-	to := p.choose(now, func(g *group) bool { return g != from && g.works(now) })
+	to := p.choose(now, func(g *group) bool { return g != from && g.available(now) })
 	if to == nil {
 		return from.name, false
 	}
-	from.own--
-	to.own++
-	p.places[id] = place{to, now}
-	p.forget(from)
+	from.running--
+	to.running++
+	p.assignments[id] = assignment{to, now}
+	p.removeIfUnused(from)
 	return to.name, true
 }
 
-// MayRetry reports whether the request, which was refused, may be tried again now.
+// MayRetry reports whether a request that was refused may be tried again now.
 func (p *Pool) MayRetry(id string, now time.Time) bool {
-	g := p.places[id].group
+	g := p.assignments[id].group
 	if g == nil {
 		return true
 	}
-	if !g.works(now) {
+	if !g.available(now) {
 		if !g.mayProbe(now) {
 			return false
 		}
 		g.probed(now)
 	}
-	p.places[id] = place{g, now}
+	p.assignments[id] = assignment{g, now}
 	return true
 }
 
-// FailFast reports whether all groups have refused for so long that nobody should wait.
+// FailFast reports whether all groups have refused for so long that new requests should not
+// wait.
 func (p *Pool) FailFast(now time.Time) bool {
-	return p.every(func(g *group) bool { return g.gate.FailFast(now) })
+	return p.all(func(g *group) bool { return g.gate.FailFast(now) })
 }
 
 // Closed reports whether all groups refuse.
 func (p *Pool) Closed() bool {
-	return p.every(func(g *group) bool { return g.gate.Closed() })
+	return p.all(func(g *group) bool { return g.gate.Closed() })
 }
 
-// Down reports whether no group works, as far as is known.
+// Down reports whether no group is available, as far as is known.
 func (p *Pool) Down(now time.Time) bool {
-	return p.every(func(g *group) bool { return !g.works(now) })
+	return p.all(func(g *group) bool { return !g.available(now) })
 }
 
-// every reports whether there is a group with slots and all such are so.
-func (p *Pool) every(so func(*group) bool) bool {
+// all reports whether there is a group with slots and all such groups match.
+func (p *Pool) all(matches func(*group) bool) bool {
 	some := false
 	for _, g := range p.groups {
 		if g.slots == 0 {
 			continue
 		}
-		if !so(g) {
+		if !matches(g) {
 			return false
 		}
 		some = true
@@ -122,13 +122,13 @@
 	return some
 }
 
-// RetryAfter returns when a caller that is refused may come back, of the time that it has
-// left, and false unless all groups are down or have been a moment ago. The queue's own
-// answer follows from its rate, which says nothing then: callers would be back while the
-// service is still down, or all together when it returns, and lost.
+// RetryAfter returns when a refused caller may come back, given the time that it has left. It
+// reports false unless all groups are down, or were and the queue has not drained since. The
+// queue's own estimate follows from its service rate, which says nothing then: callers would be
+// back while the service is still down, or all together when it returns, and be lost.
 func (p *Pool) RetryAfter(left time.Duration, now time.Time) (time.Duration, bool) {
 	if !p.recovering && !p.Down(now) {
 		return 0, false
 	}
-	return time.Duration(float64(left) * comebackPart * (1 - comebackSpread*p.rng.Float64())), true
+	return time.Duration(float64(left) * retryAfterShare * (1 - retryAfterJitter*p.rng.Float64())), true
 }
--- a/core/request/admission/group.go
+++ b/core/request/admission/group.go
@@ -6,162 +6,163 @@
 	"verbenashift/core/request/queue"
 )
 
-// loadValid is how old the word of a steward may be to limit anything: a steward
-// speaks each 0.2 s, and one that is lost is replaced in about a second.
-const loadValid = 1500 * time.Millisecond
+// loadValidity is the maximum age of a coordinator's report that still limits anything: a
+// coordinator reports each 0.2 s, and one that is lost is replaced in about a second.
+const loadValidity = 1500 * time.Millisecond
 
-// Load is the load of a group as its steward tells it.
+// Load is the load of a group as reported by its coordinator.
 type Load struct {
 	Group string
 	// Complete is false while the group has lost a rank.
 	Complete bool
 	// Running and Queued are the requests at all its ranks, from all entries.
 	Running, Queued int
-	// PassTime is how long its passes take; 0 if that is not known.
+	// PassTime is how long its forward passes take; 0 means unknown.
 	PassTime time.Duration
-	// Entries is how many entries send to it; 0 if that is not known.
+	// Entries is how many entries send requests to it; 0 means unknown.
 	Entries int
 }
 
 // group is what an entry knows of one group of engines.
 type group struct {
 	name string
-	// slots are those of all its engines.
+	// slots is the total of all its engines.
 	slots int
-	// own is how many requests of this entry run there, allowed how many may.
-	own, allowed int
-	// last is the last load that was told, at toldAt; since is how many requests of
-	// this entry have started there since.
-	last   Load
-	toldAt time.Time
-	since  int
-	gate   queue.Gate
-	// firstEvent is how long its engines take to the first event.
-	firstEvent  queue.ServiceTime
-	silentUntil time.Time
-	// unproven says that nothing is known of it yet; see Pool.Starting.
+	// running is how many requests of this entry run there, limit how many may.
+	running, limit int
+	// lastLoad is the last reported load, received at loadAt; startedSince is how many requests
+	// of this entry have started there since.
+	lastLoad     Load
+	loadAt       time.Time
+	startedSince int
+	gate         queue.Gate
+	// firstEvent estimates how long its engines take to the first event.
+	firstEvent   queue.ServiceTime
+	stalledUntil time.Time
+	// unproven reports that nothing is known of the group yet; see Pool.ColdStart.
 	unproven bool
-	// probeAt is when it may get the next request while it does not work.
+	// probeAt is when it may get the next request while it is not available.
 	probeAt time.Time
-	// lostAt is since when its steward tells that it lacks a rank, and provedAt when a
-	// target there has last taken a request that was sent after that.
-	lostAt, provedAt time.Time
+	// missingSince is since when its coordinator has reported a rank as missing, and acceptedAt
+	// when a target there last accepted a request that was sent after that.
+	missingSince, acceptedAt time.Time
 }
 
-// fresh reports whether the last load still counts.
+// fresh reports whether the last load is still valid.
 func (g *group) fresh(now time.Time) bool {
-	return !g.toldAt.IsZero() && now.Sub(g.toldAt) <= loadValid
+	return !g.loadAt.IsZero() && now.Sub(g.loadAt) <= loadValidity
 }
 
-// resize takes a new number of slots.
+// resize sets the number of slots.
 func (g *group) resize(slots int, now time.Time) {
 	if slots == g.slots {
 		return
 	}
 	g.slots = slots
 	if g.fresh(now) {
-		g.allow(false)
+		g.updateLimit(false)
 		return
 	}
-	g.age(now)
+	g.expireLoad(now)
 }
 
-// tell takes a load. A group that has its ranks again is tried at once. Waiting says that
-// requests wait at this entry.
-func (g *group) tell(l Load, waiting bool, now time.Time) {
+// setLoad records a load. A group that has all its ranks again is tried at once. The argument
+// waiting reports whether requests wait at this entry.
+func (g *group) setLoad(l Load, waiting bool, now time.Time) {
 	switch {
-	case l.Complete && g.lost(now):
+	case l.Complete && g.missingRank(now):
 		g.gate.SetNextProbe(now)
-	case !l.Complete && (g.last.Complete || !g.fresh(now)):
-		g.lostAt = now
+	case !l.Complete && (g.lastLoad.Complete || !g.fresh(now)):
+		g.missingSince = now
 	}
-	g.last, g.toldAt, g.since = l, now, 0
+	g.lastLoad, g.loadAt, g.startedSince = l, now, 0
 	g.unproven = false
-	if g.lost(now) {
-		g.allowed = queue.RecoveryLimit(g.slots, l.Entries)
+	if g.missingRank(now) {
+		g.limit = queue.RecoveryLimit(g.slots, l.Entries)
 		return
 	}
-	g.allow(waiting)
+	g.updateLimit(waiting)
 }
 
-// allow sets the limit by the last load.
-func (g *group) allow(waiting bool) {
+// updateLimit sets the limit from the last load.
+func (g *group) updateLimit(waiting bool) {
 	if g.slots == 0 {
-		g.allowed = 0
+		g.limit = 0
 		return
 	}
-	e := queue.EngineLoad{Slots: g.slots, Running: g.last.Running, Queued: g.last.Queued, Entries: g.last.Entries, Waiting: waiting}
-	g.allowed = queue.EntryLimit(e, g.own)
+	e := queue.EngineLoad{Slots: g.slots, Running: g.lastLoad.Running, Queued: g.lastLoad.Queued, Entries: g.lastLoad.Entries, Waiting: waiting}
+	g.limit = queue.EntryLimit(e, g.running)
 }
 
-// age sets the limit without a load when nothing has been told for a while.
-func (g *group) age(now time.Time) {
+// expireLoad sets the limit without a load if none has been reported for a while.
+func (g *group) expireLoad(now time.Time) {
 	switch {
 	case g.unproven:
-		g.allowed = queue.RecoveryLimit(g.slots, g.last.Entries)
+		g.limit = queue.RecoveryLimit(g.slots, g.lastLoad.Entries)
 	case !g.fresh(now):
-		g.allowed = queue.StaleLimit(g.slots, g.last.Entries)
+		g.limit = queue.StaleLimit(g.slots, g.lastLoad.Entries)
 	}
 }
 
-// reopen limits the requests to a group that has just come back, until its load is told.
-func (g *group) reopen(now time.Time) {
-	g.allowed = queue.RecoveryLimit(g.slots, g.last.Entries)
-	g.last, g.toldAt, g.since = Load{Group: g.name, Complete: true, Running: g.own, Entries: g.last.Entries}, now, 0
+// resetAfterOutage limits the requests to a group that has just become available, until its
+// load is reported.
+func (g *group) resetAfterOutage(now time.Time) {
+	g.limit = queue.RecoveryLimit(g.slots, g.lastLoad.Entries)
+	g.lastLoad, g.loadAt, g.startedSince = Load{Group: g.name, Complete: true, Running: g.running, Entries: g.lastLoad.Entries}, now, 0
 }
 
-// start counts a request that goes there.
+// start counts a request that is sent to the group.
 func (g *group) start(now time.Time) {
-	if !g.works(now) {
+	if !g.available(now) {
 		g.probed(now)
 	}
-	g.own++
-	g.since++
+	g.running++
+	g.startedSince++
 }
 
 const (
-	// probeEvery is the pause between the requests that a group gets which does not work,
-	// as far as is known, and lostProbe that of a group of which its steward tells that it
-	// lacks a rank. The steward is seldom wrong, and each such request is refused and has
-	// to be sent again, out of a budget that all entries share.
-	probeEvery = 150 * time.Millisecond
-	lostProbe  = time.Second
+	// probeInterval is the pause between the requests to a group that is not available, as far
+	// as is known, and missingRankProbeInterval that for a group whose coordinator reports a
+	// missing rank. The coordinator is seldom wrong, and each such request is refused and has
+	// to be sent again, from a retry budget that all entries share.
+	probeInterval            = 150 * time.Millisecond
+	missingRankProbeInterval = time.Second
 )
 
-// mayProbe reports whether a group that does not work may get a request all the same, so
-// that somebody finds out when it is back.
+// mayProbe reports whether a group that is not available may get a request all the same, to
+// find out when it is back.
 func (g *group) mayProbe(now time.Time) bool {
 	return g.slots > 0 && !now.Before(g.probeAt) && (!g.gate.Closed() || g.gate.ProbeDue(now))
 }
 
-// probed counts a request to a group that does not work.
+// probed counts a probe request to a group that is not available.
 func (g *group) probed(now time.Time) {
 	g.gate.Allow(now)
-	g.probeAt = now.Add(probeEvery)
-	if g.lost(now) {
-		g.probeAt = now.Add(lostProbe)
+	g.probeAt = now.Add(probeInterval)
+	if g.missingRank(now) {
+		g.probeAt = now.Add(missingRankProbeInterval)
 		g.gate.SetNextProbe(g.probeAt)
 	}
 }
 
-// lost reports whether the steward tells that the group has lost a rank, and no target there
-// has shown that it is wrong: it may just be unable to read one.
-func (g *group) lost(now time.Time) bool {
-	return g.fresh(now) && !g.last.Complete && now.Sub(g.provedAt) > provedFor
+// missingRank reports whether the coordinator says that the group has lost a rank, and no
+// target there has shown that this is wrong: the coordinator may just be unable to read a rank.
+func (g *group) missingRank(now time.Time) bool {
+	return g.fresh(now) && !g.lastLoad.Complete && now.Sub(g.acceptedAt) > acceptedValidity
 }
 
-// provedFor is how long a request that was taken goes before the word of the steward. All
-// ranks stand still at once when one is lost.
-const provedFor = time.Second
+// acceptedValidity is how long an accepted request overrides the coordinator's report. All
+// ranks stall at once when one is lost.
+const acceptedValidity = time.Second
 
-// accepted takes the word that a target has taken a request that was sent at a time.
+// accepted records that a target has accepted a request that was sent at the given time.
 func (g *group) accepted(sent, now time.Time) {
-	if g.fresh(now) && !g.last.Complete && !sent.Before(g.lostAt) {
-		g.provedAt = now
+	if g.fresh(now) && !g.lastLoad.Complete && !sent.Before(g.missingSince) {
+		g.acceptedAt = now
 	}
 }
 
-// works reports whether the group serves, as far as is known.
-func (g *group) works(now time.Time) bool {
-	return g.slots > 0 && !g.unproven && !g.gate.Closed() && !g.lost(now) && !now.Before(g.silentUntil)
+// available reports whether the group serves requests, as far as is known.
+func (g *group) available(now time.Time) bool {
+	return g.slots > 0 && !g.unproven && !g.gate.Closed() && !g.missingRank(now) && !now.Before(g.stalledUntil)
 }
--- a/core/request/admission/outage_test.go
+++ b/core/request/admission/outage_test.go
@@ -10,8 +10,8 @@
 	"verbenashift/core/request/queue"
 )
 
-// Guards against the loss of requests by an entry that is back before the engines: each one
-// that is sent to find that out is refused, and there are few retries for all of them.
+// Guards against the loss of requests at an entry that is back before the engines: each request
+// sent to probe them is refused, and few retries are available for all of them.
 func TestStartingEntryTriesOneAtATime(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -26,15 +26,15 @@
 			p.Done(ids[0], cost, start.Add(at))
 		}
 	}
-	is.True(tried >= 2 && tried <= 2*int(time.Second/probeEvery+1))
+	is.True(tried >= 2 && tried <= 2*int(time.Second/probeInterval+1))
 	now := start.Add(time.Second)
 	p.ReportLoad(Load{Group: "g1", Complete: true, Running: 5, Entries: 12}, now)
 	is.True(!p.Down(now))
 	is.True(len(placed(p)["g1"]) > 0)
 }
 
-// Guards against a starting entry that waits for a steward which does not speak: a target
-// that takes a request proves its group.
+// Guards against a starting entry that waits for a coordinator that does not report: a target
+// that accepts a request proves that its group is available.
 func TestAcceptedRequestProvesItsGroup(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -46,8 +46,8 @@
 	is.Equal(len(placed(p)["g0"]), 4)
 }
 
-// Guards against requests that are sent, and refused, while the steward tells that its group
-// lacks a rank; and against waiting any longer than that.
+// Guards against sending requests that are refused while the coordinator reports a missing
+// rank, and against waiting any longer than that.
 func TestLostGroupIsTriedSeldom(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -63,49 +63,49 @@
 			p.Done(id, cost, now)
 		}
 	}
-	is.True(tried <= int(3*time.Second/lostProbe)+1)
+	is.True(tried <= int(3*time.Second/missingRankProbeInterval)+1)
 	now := start.Add(3 * time.Second)
 	p.ReportLoad(Load{Group: "g0", Complete: true}, now)
 	is.True(len(placed(p)["g0"]) >= 1)
 }
 
-// recovery replays callers of an entry whose engines are down for two seconds: new ones
-// come each 20 ms, and after a second come back those whose attempts were cut at the loss.
+// recovery simulates the callers of an entry whose engines are down for two seconds: a new one
+// arrives each 20 ms, and after one second those return whose attempts failed at the outage.
 type recovery struct {
 	pool *Pool
 	now  time.Time
 	next int
-	// lost and served count the returning callers.
+	// lost and served count the retrying callers.
 	lost, served int
 }
 
-func (r *recovery) ask(returning bool) {
+func (r *recovery) arrive(retry bool) {
 	r.next++
-	id := fmt.Sprintf("%t-%d", returning, r.next)
-	q := Request{ID: id, Workspace: fmt.Sprint("w", r.next%8), Cost: cost, Objective: objective, Patience: 2 * time.Second, Retry: returning}
-	if refusal := r.pool.Enqueue(q, r.now); refusal != nil && returning {
+	id := fmt.Sprintf("%t-%d", retry, r.next)
+	q := Request{ID: id, Workspace: fmt.Sprint("w", r.next%8), Cost: cost, Objective: objective, Patience: 2 * time.Second, Retry: retry}
+	if refusal := r.pool.Enqueue(q, r.now); refusal != nil && retry {
 		r.lost++
 	}
 }
 
-func (r *recovery) settle(running map[string]time.Time) {
+func (r *recovery) collect(running map[string]time.Time) {
 	for _, s := range r.pool.Decisions() {
-		returning := s.ID[0] == 't'
+		retry := s.ID[0] == 't'
 		switch {
 		case s.Refusal == nil:
 			running[s.ID] = r.now.Add(time.Second)
-			if returning {
+			if retry {
 				r.served++
 			}
-		case returning:
+		case retry:
 			r.lost++
 		}
 	}
 }
 
-// Guards against the loss of callers who have no other try left: when engines return after
-// a loss of power, those who come back go first, and nobody is refused by a guess of how
-// long a wait will be.
+// Guards against the loss of callers that have no other attempt left: when engines return after
+// a power loss, retrying callers go first, and no request is refused because of an estimated
+// wait.
 func TestReturningCallersGoFirstAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	r := &recovery{pool: newPool(), now: start}
@@ -123,21 +123,21 @@
 		if at%(200*time.Millisecond) == 0 {
 			r.pool.ReportLoad(Load{Group: "g0", Complete: at >= open, Running: len(running), Entries: 1}, r.now)
 		}
-		r.ask(false)
+		r.arrive(false)
 		for range 4 {
 			if at >= back && at < back+500*time.Millisecond {
-				r.ask(true)
+				r.arrive(true)
 			}
 		}
 		r.pool.Tick(r.now)
-		r.settle(running)
+		r.collect(running)
 	}
 	t.Logf("served %d, lost %d", r.served, r.lost)
 	is.Equal(r.lost, 0)
 }
 
-// Guards against entries that take a moment's free slots several times over, so that what
-// they send waits at the engines until its callers leave.
+// Guards against entries that together take the free slots of one moment several times over, so
+// that their requests wait at the engines until the callers give up.
 func TestWaitingEntriesShareFreeSlots(t *testing.T) {
 	is := is.New(t)
 	const slots, entries = 240, 12
@@ -156,8 +156,8 @@
 	}
 }
 
-// Guards against a wait that helps nobody, at a service whose groups have lacked a rank for
-// long: all but those that find out when it is back are refused at once.
+// Guards against pointless waits at a service whose groups have lacked a rank for long: all
+// requests but the probes are refused at once.
 func TestLostGroupsRefuseAtOnceAfterAWhile(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
@@ -184,8 +184,8 @@
 	is.True(waited <= 9) // one a second, of ten
 }
 
-// Guards against refusing callers of a group that serves although its steward, which cannot
-// read one of the ranks, tells that it is not whole.
+// Guards against refusing callers of a working group whose coordinator cannot read one of the
+// ranks and reports the group as incomplete.
 func TestStewardThatIsWrongStopsNobody(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
--- a/core/request/admission/pump.go
+++ b/core/request/admission/pump.go
@@ -6,85 +6,84 @@
 	"verbenashift/core/request/queue"
 )
 
-// Tick lets time pass: requests that can no longer start in time are refused, and loads
-// that are too old limit nothing any more.
+// Tick advances the time: requests that can no longer start in time are refused, and loads that
+// are too old stop limiting anything.
 func (p *Pool) Tick(now time.Time) {
 	for _, g := range p.groups {
-		g.age(now)
+		g.expireLoad(now)
 	}
-	p.pump(now)
+	p.dispatch(now)
 }
 
-// Decisions returns what has become of requests since the last call. It is valid until the
-// next one.
+// Decisions returns the decisions since the last call. The slice is valid until the next call.
 func (p *Pool) Decisions() []Decision {
 	out := p.settled
 	p.settled = p.settled[len(p.settled):]
 	return out
 }
 
-// pump starts what may start and gives up what can't start in time.
-func (p *Pool) pump(now time.Time) {
-	// Also while nothing may start: a request must not wait beyond its limit
-	// because the gates are closed.
-	p.judge(now)
+// dispatch starts the requests that may start and refuses those that can't start in time.
+func (p *Pool) dispatch(now time.Time) {
+	// This also runs while nothing may start: a request must not wait beyond its limit because
+	// the gates are closed.
+	p.updateUrgentShare(now)
 	p.queue.Expire(now)
 	for p.queue.Load().Items > 0 {
 		g := p.next(now)
 		if g == nil {
 			break
 		}
-		p.limit()
+		p.updateSlots()
 		item, ok := p.queue.Next(now)
 		if !ok {
 			break
 		}
 		g.start(now)
-		p.places[item.ID] = place{g, now}
+		p.assignments[item.ID] = assignment{g, now}
 		p.settled = append(p.settled, Decision{ID: item.ID, Group: g.name})
 	}
-	p.limit()
-	p.judge(now)
+	p.updateSlots()
+	p.updateUrgentShare(now)
 	p.shed = p.queue.TakeShed(p.shed[:0])
 	for _, s := range p.shed {
 		p.settled = append(p.settled, Decision{ID: s.ID, Refusal: s.Refusal})
 	}
-	// A line that has ended is noticed also while nobody comes.
-	p.line(now)
+	// The end of a backlog is also noticed while no request arrives.
+	p.backlogAge(now)
 }
 
-// judge decides who goes first: callers who come back, as long as somebody waits who has
-// done so since all groups were down, and else those who can be on time.
+// updateUrgentShare decides who goes first: retrying callers while the queue holds requests
+// that have waited since all groups were down, and otherwise callers that can be on time.
 //
-// The load pattern it answers is the return of engines after a loss of power. Whoever was
-// served then has lost an attempt, comes back together with all the others, and mostly has
-// no other try; for about as long as all of them take nobody is on time in any case.
-func (p *Pool) judge(now time.Time) {
+// The load pattern it handles is the return of engines after a power loss. Each caller that was
+// being served has lost an attempt, comes back together with all the others, and mostly has no
+// other attempt left; for about as long as all of them take, nobody is on time in any case.
+func (p *Pool) updateUrgentShare(now time.Time) {
 	switch {
 	case p.Down(now):
 		p.recovering = true
 	case p.queue.Load().Items == 0:
 		p.recovering = false
 	}
-	share := returnShare
+	share := retryShare
 	if p.recovering {
 		share = recoveryShare
 	}
 	p.queue.SetUrgentShare(share)
 }
 
-// limit tells the queue how many requests may run in all.
-func (p *Pool) limit() {
+// updateSlots sets how many requests the queue may have running in total.
+func (p *Pool) updateSlots() {
 	total := 0
 	for _, g := range p.groups {
-		total += max(g.allowed, g.own)
+		total += max(g.limit, g.running)
 	}
 	p.queue.SetSlots(total)
 }
 
-// line notices whether anybody waits, and returns how long others have been waiting
-// without a break.
-func (p *Pool) line(now time.Time) time.Duration {
+// backlogAge returns for how long requests have been waiting without a break. It also records
+// when the queue is empty.
+func (p *Pool) backlogAge(now time.Time) time.Duration {
 	if p.queue.Load().Items == 0 {
 		p.emptyAt = now
 	}
@@ -94,21 +93,21 @@
 // Load returns the load of the queue.
 func (p *Pool) Load() queue.Load { return p.queue.Load() }
 
-// GroupLoad is what an entry does at one group.
+// GroupLoad is the state of one group as this entry sees it.
 type GroupLoad struct {
 	Group string
 	// Running is how many requests of this entry run there, Limit how many may.
 	Running, Limit int
-	// Available is false while the group refuses, stands still or has lost a rank.
+	// Available is false while the group refuses, is stalled or has lost a rank.
 	Available bool
 }
 
-// Groups returns what this entry does at each group, by name.
+// Groups returns the state of each group, sorted by name.
 func (p *Pool) Groups(now time.Time) []GroupLoad {
 	out := make([]GroupLoad, 0, len(p.names))
 	for _, name := range p.names {
 		g := p.groups[name]
-		out = append(out, GroupLoad{Group: name, Running: g.own, Limit: g.allowed, Available: g.works(now)})
+		out = append(out, GroupLoad{Group: name, Running: g.running, Limit: g.limit, Available: g.available(now)})
 	}
 	return out
 }
