--- a/core/request/queue/account.go
+++ b/core/request/queue/account.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// account books service against the credit of the entry's class and gives the
-// classes above it the credit that this service earns them. The credit guards
-// against a flood of urgent requests that stops all other work: it runs out,
-// and comes back only as the lower classes are served.
-func (q *Queue) account(e *entry, tokens int64) {
+// updateCredits charges service to the credit of the entry's class, if a lower class was
+// waiting when the entry was started, and gives the classes above it the credit that this
+// service earns them. The credit guards against a flood of urgent requests that stops all other
+// work: it runs out, and comes back only as the lower classes are served.
+func (q *Queue) updateCredits(e *entry, tokens int64) {
 	burst := float64(q.limits.Burst)
 	if e.contested {
 		c := &q.classes[e.Priority]
@@ -22,9 +22,9 @@
 	}
 }
 
-// Served tells that the target has produced tokens more for a running
-// request. Work beyond the expected cost is charged as it comes, so that an
-// answer much longer than expected does not ride on the others.
+// Served records that the target has produced the given number of further tokens for a running
+// request. Work beyond the expected cost is charged as it comes, so that a response much longer
+// than expected is not served at the expense of the others.
 func (q *Queue) Served(id string, tokens int64, now time.Time) {
 	e, ok := q.entries[id]
 	if !ok || !e.running || tokens <= 0 {
@@ -39,17 +39,17 @@
 	q.remaining -= min(rest, tokens)
 	e.served += tokens
 	if over := e.served - e.charged; over > 0 {
-		q.correct(e, over)
+		q.adjustCharge(e, over)
 	}
 }
 
-func (q *Queue) correct(e *entry, tokens int64) {
+func (q *Queue) adjustCharge(e *entry, tokens int64) {
 	q.classes[e.Priority].charge(e, tokens)
-	q.account(e, tokens)
+	q.updateCredits(e, tokens)
 }
 
-// Done ends a running request that was served tokens in all. What was charged
-// too much is given back. An unknown id is ignored.
+// Done ends a running request that was served tokens in total. An overcharge is given back. An
+// unknown ID is ignored.
 func (q *Queue) Done(id string, tokens int64, now time.Time) {
 	e, ok := q.entries[id]
 	if !ok || !e.running {
@@ -60,7 +60,7 @@
 	q.remaining -= max(0, e.Cost-e.served)
 	e.served += fresh
 	if diff := e.served - e.charged; diff != 0 {
-		q.correct(e, diff)
+		q.adjustCharge(e, diff)
 	}
 	q.running--
 	q.classes[e.Priority].finish(e)
@@ -68,9 +68,9 @@
 	q.meter.observe(fresh, saturated, now)
 }
 
-// drop takes out a waiting entry.
-func (q *Queue) drop(e *entry) {
-	q.classes[e.Priority].take(e)
+// dropWaiting removes a waiting entry.
+func (q *Queue) dropWaiting(e *entry) {
+	q.classes[e.Priority].removeWaiting(e)
 	q.deadlines.remove(e)
 	q.queued -= e.Cost
 	q.items--
--- a/core/request/queue/admit.go
+++ b/core/request/queue/admit.go
@@ -7,7 +7,7 @@
 	"verbenashift/core/request/outcome"
 )
 
-// The reasons of refusals; outcome.Error carries them.
+// Reasons of refusals, as carried by outcome.Error.
 const (
 	ReasonFull          = "queue-full"
 	ReasonWorkspaceFull = "workspace-queue-full"
@@ -15,7 +15,7 @@
 	ReasonExpired       = "deadline-passed"
 	ReasonDisplaced     = "displaced"
 	ReasonDuplicate     = "request-already-queued"
-	// ReasonAllTargetsRefuse says that all targets have refused for long.
+	// ReasonAllTargetsRefuse means that all targets have refused for a long time.
 	ReasonAllTargetsRefuse = "all-targets-refuse"
 )
 
@@ -26,27 +26,27 @@
 	defaultUrgentShare = 0.6
 	defaultNormalShare = 0.95
 	defaultRate        = 1000
-	// burstPart and workspacePart are the parts of the queue that the burst
-	// of a class and one workspace in one class may have.
-	burstPart     = 64
-	workspacePart = 4
-	// reservePart is the part of the slots that is kept.
-	reservePart = 8
-	// heavyPart is how many times its part a workspace runs that may not take
-	// a kept slot.
-	heavyPart = 1.5
-	// maxPassed is how many heavy workspaces are passed over for a light one.
-	maxPassed = 4
+	// burstDivisor and workspaceDivisor divide the queue's limits into the default burst of a
+	// class and the default limit of one workspace in one class.
+	burstDivisor     = 64
+	workspaceDivisor = 4
+	// reserveDivisor divides the slots into the reserved part.
+	reserveDivisor = 8
+	// heavyFactor is the multiple of its fair share of the slots at which a workspace may no
+	// longer take a reserved slot.
+	heavyFactor = 1.5
+	// maxSkipped is how many heavy workspaces are skipped for a light one.
+	maxSkipped = 4
 
 	minRetryAfter = 250 * time.Millisecond
 	maxRetryAfter = time.Minute
 )
 
-// Enqueue accepts a request or refuses it. A refusal has the outcome not-run,
-// but for an id that already waits or runs: that one is unknown, since the
-// earlier request may still run. Accepting may shed others; see TakeShed.
+// Enqueue accepts a request or refuses it. A refusal has the outcome not-run, except for an ID
+// that already waits or runs: that one is unknown, since the earlier request may still run.
+// Accepting a request may shed others; see TakeShed.
 func (q *Queue) Enqueue(item Item, now time.Time) *outcome.Error {
-	item = item.normal()
+	item = item.normalized()
 	if _, ok := q.entries[item.ID]; ok {
 		return &outcome.Error{Outcome: outcome.Unknown, Reason: ReasonDuplicate}
 	}
@@ -61,7 +61,7 @@
 	return nil
 }
 
-func (i Item) normal() Item {
+func (i Item) normalized() Item {
 	i.Cost = max(1, i.Cost)
 	i.Priority = min(i.Priority, BestEffort)
 	if !(i.Weight > 0) || math.IsInf(i.Weight, 0) {
@@ -81,10 +81,9 @@
 	q.items++
 }
 
-// checkDeadline refuses what could only expire. It guards against a caller
-// who waits in silence for an answer that cannot come in time, and against a
-// full queue of such requests: under twice the load the target would spend
-// its time on answers that are late.
+// checkDeadline refuses a request that could only expire. It guards against a caller that waits
+// for a response that cannot come in time, and against a queue full of such requests: under
+// twice the load the target would spend its time on responses that are late.
 func (q *Queue) checkDeadline(item Item, now time.Time) *outcome.Error {
 	if item.Deadline.IsZero() {
 		return nil
@@ -104,19 +103,19 @@
 }
 
 // Wait returns the expected time until a new item would start.
-func (q *Queue) Wait(item Item) time.Duration { return duration(q.wait(item.normal())) }
+func (q *Queue) Wait(item Item) time.Duration { return duration(q.wait(item.normalized())) }
 
 func (q *Queue) wait(item Item) float64 {
 	// While the owner starts nothing, because its targets refuse for a moment,
-	// requests wait although there are slots: all that fit start together.
+	// requests wait although slots are free: all that fit start together.
 	if q.items < q.limits.Slots-q.running {
 		return 0
 	}
-	work := q.classes[item.Priority].ahead(item.Workspace, item.Weight)
+	work := q.classes[item.Priority].workAhead(item.Workspace, item.Weight)
 	for p := Urgent; p < item.Priority; p++ {
 		work += q.workAbove(p, item.Priority, work)
 	}
-	if c := &q.classes[item.Priority]; q.waitsBelow(item.Priority) && work > c.credit {
+	if c := &q.classes[item.Priority]; q.hasWaitingBelow(item.Priority) && work > c.credit {
 		// Beyond its credit a class gets only its share of the service.
 		work += (work - math.Max(0, c.credit)) * (1 - c.share) / c.share
 	}
@@ -126,10 +125,9 @@
 	return q.meter.seconds(work)
 }
 
-// workAbove returns how much of a higher class's backlog goes before work of
-// the class below: all of it, or as much as its credit and share allow. Best
-// effort work is told the worst, that a long backlog above goes on: it is the
-// first to be refused.
+// workAbove returns how much of a higher class's backlog goes before work of the class below:
+// all of it, or as much as its credit and share allow. For best-effort work it assumes the
+// worst, that a long backlog above goes on: such work is the first to be refused.
 func (q *Queue) workAbove(p, below Priority, work float64) float64 {
 	c := &q.classes[p]
 	most := math.Max(0, c.credit) + work*c.share/(1-c.share)
@@ -139,12 +137,11 @@
 	return math.Min(float64(c.queued), most)
 }
 
-// makeRoom refuses the item or sheds others for it. Room is taken from the
-// lowest class first, and inside the item's own class only from a workspace
-// that has more waiting, so that one workspace's burst fills its own part and
-// never pushes out another's few requests.
+// makeRoom refuses the item or sheds others for it. It sheds from the lowest class first, and
+// inside the item's own class only from a workspace that has more waiting, so that a burst of
+// one workspace fills its own part and never displaces the few requests of another.
 func (q *Queue) makeRoom(item Item) *outcome.Error {
-	if refusal := q.checkShare(item); refusal != nil {
+	if refusal := q.checkWorkspaceShare(item); refusal != nil {
 		return refusal
 	}
 	for level := item.Priority; level < classCount; level++ {
@@ -153,13 +150,13 @@
 			if victim == nil {
 				return q.refuse(ReasonFull, q.meter.seconds(float64(q.queued)))
 			}
-			q.giveUp(victim, ReasonDisplaced, q.meter.seconds(float64(q.queued)))
+			q.evict(victim, ReasonDisplaced, q.meter.seconds(float64(q.queued)))
 		}
 	}
 	return nil
 }
 
-func (q *Queue) checkShare(item Item) *outcome.Error {
+func (q *Queue) checkWorkspaceShare(item Item) *outcome.Error {
 	c := &q.classes[item.Priority]
 	f, ok := c.flows[item.Workspace]
 	if !ok || f.items == 0 {
@@ -168,13 +165,13 @@
 	if f.items < q.limits.WorkspaceItems && f.queued+item.Cost <= q.limits.WorkspaceTokens {
 		return nil
 	}
-	return q.refuse(ReasonWorkspaceFull, q.meter.seconds(f.backlog()*c.weight))
+	return q.refuse(ReasonWorkspaceFull, q.meter.seconds(f.backlog()*c.waitingWeight))
 }
 
-// full reports whether the classes down to level have no room for the item.
-// Each level has its class's share of the queue, as it has of the service:
-// else a flood of urgent requests would fill the queue or displace what waits
-// below, and the service kept for the lower classes would find nobody there.
+// full reports whether the classes down to level have no capacity for the item. Each level has
+// its class's share of the queue, as it has of the service: otherwise a flood of urgent
+// requests would fill the queue or displace what waits below, and the service reserved for the
+// lower classes would find nothing waiting there.
 func (q *Queue) full(level Priority, item Item) bool {
 	items, tokens := 0, int64(0)
 	for p := Urgent; p <= level; p++ {
@@ -184,9 +181,9 @@
 	if items == 0 {
 		return false
 	}
-	room := q.classes[level].room()
-	return float64(items+1) > math.Max(1, room*float64(q.limits.Items)) ||
-		float64(tokens+item.Cost) > room*float64(q.limits.Tokens)
+	queueShare := q.classes[level].queueShare()
+	return float64(items+1) > math.Max(1, queueShare*float64(q.limits.Items)) ||
+		float64(tokens+item.Cost) > queueShare*float64(q.limits.Tokens)
 }
 
 func (q *Queue) victim(level Priority, item Item) *entry {
@@ -216,7 +213,7 @@
 		if now.Before(e.Deadline) {
 			return
 		}
-		q.giveUp(e, ReasonExpired, q.meter.seconds(float64(q.queued)))
+		q.evict(e, ReasonExpired, q.meter.seconds(float64(q.queued)))
 	}
 }
 
@@ -228,8 +225,8 @@
 	return q.deadlines.members[0].Deadline, true
 }
 
-// TakeShed appends the requests shed since the last call to dst. Each of them
-// was accepted earlier and needs its final answer now.
+// TakeShed appends the requests shed since the last call to dst. Each of them was accepted
+// earlier and needs its final response now.
 func (q *Queue) TakeShed(dst []Shed) []Shed {
 	dst = append(dst, q.shed...)
 	clear(q.shed)
@@ -237,21 +234,21 @@
 	return dst
 }
 
-func (q *Queue) giveUp(e *entry, reason string, drain float64) {
+func (q *Queue) evict(e *entry, reason string, drain float64) {
 	q.shed = append(q.shed, Shed{Item: e.Item, Refusal: q.refuse(reason, drain)})
-	q.drop(e)
+	q.dropWaiting(e)
 }
 
-// refuse returns a not-run refusal with a Retry-After around the drain time in
-// seconds, between half and one and a half times it. The spread guards against
-// a second wave: with one common time all refused callers come back at once.
+// refuse returns a not-run refusal with a Retry-After around the drain time in seconds, between
+// 0.5 and 1.5 times it. The jitter guards against a second wave: with one common time all
+// refused callers come back at once.
 func (q *Queue) refuse(reason string, drain float64) *outcome.Error {
 	after := min(max(minRetryAfter, duration(drain)), maxRetryAfter)
 	spread := time.Duration((0.5 + q.rnd.Float64()) * float64(after))
 	return &outcome.Error{Outcome: outcome.NotRun, Reason: reason, RetryAfter: spread}
 }
 
-// duration converts seconds, and stops short of an overflow.
+// duration converts seconds to a Duration, capped to avoid an overflow.
 func duration(seconds float64) time.Duration {
 	return time.Duration(math.Min(seconds, maxSeconds) * float64(time.Second))
 }
--- a/core/request/queue/class.go
+++ b/core/request/queue/class.go
@@ -9,10 +9,10 @@
 	prev, next *entry
 	running    bool
 	deadlineAt int
-	// charged is what the flow's counter has been charged so far, in tokens,
-	// served what the target has reported.
+	// charged is what has been charged to the flow's counter so far, in tokens, served what the
+	// target has reported.
 	charged, served int64
-	// contested says that a lower class waited when the entry was started.
+	// contested reports whether a lower class waited when the entry was started.
 	contested bool
 	epoch     uint64
 }
@@ -21,7 +21,7 @@
 type flow struct {
 	workspace string
 	weight    float64
-	// counter is the service had so far, in tokens over weight.
+	// counter is the service received so far, in tokens over weight.
 	counter float64
 	// order breaks ties: the flow that has waited longest goes first.
 	order      uint64
@@ -29,7 +29,7 @@
 	queued     int64
 	items      int
 	running    int
-	// epoch grows each time the counter is lifted after an idle time.
+	// epoch is incremented each time the counter is raised after an idle time.
 	epoch              uint64
 	readyAt, longestAt int
 }
@@ -66,37 +66,36 @@
 // backlog returns the work waiting in units of fair service.
 func (f *flow) backlog() float64 { return float64(f.queued) / f.weight }
 
-// class holds the flows of one priority. It is start-time fair queueing: the
-// virtual time is the counter at which the last item was started, a flow that
-// comes back after an idle time is lifted to it, and the flow with the lowest
-// counter goes first. (Goyal, Vin and Cheng, "Start-time Fair Queueing", 1996;
-// Sheng et al., "Fairness in Serving Large Language Models", 2024, charge a
-// running answer as its tokens come.)
+// class holds the flows of one priority. It implements start-time fair queueing: the virtual
+// time is the counter at which the last item was started, the counter of a flow that becomes
+// active after an idle time is raised to it, and the flow with the lowest counter goes first.
+// (Goyal, Vin and Cheng, "Start-time Fair Queueing", 1996; Sheng et al., "Fairness in Serving
+// Large Language Models", 2024, charge a running response as its tokens come.)
 type class struct {
-	flows   map[string]*flow
-	ready   indexedHeap[*flow]
-	longest indexedHeap[*flow]
-	virtual float64
-	order   uint64
-	queued  int64
-	items   int
-	running int
-	// weight is the sum over the flows that wait.
-	weight float64
-	// active is the sum over the flows that wait or run.
-	active float64
-	// share is the part of the service the class may take from the classes
-	// below it while they wait; credit is what it may take now, in tokens.
+	flows       map[string]*flow
+	ready       indexedHeap[*flow]
+	longest     indexedHeap[*flow]
+	virtualTime float64
+	order       uint64
+	queued      int64
+	items       int
+	running     int
+	// waitingWeight is the total weight of the flows that wait.
+	waitingWeight float64
+	// activeWeight is the total weight of the flows that wait or run.
+	activeWeight float64
+	// share is the part of the service that the class may take from the classes below it while
+	// they wait; credit is what it may take now, in tokens.
 	share, credit float64
-	sweepAt       int
+	cleanupAt     int
 }
 
-const firstSweep = 64
+const minCleanupSize = 64
 
 func newClass(share, burst float64) class {
-	c := class{flows: make(map[string]*flow), share: share, credit: burst, sweepAt: firstSweep}
-	c.ready = indexedHeap[*flow]{before: lowerCounter, place: func(f *flow) *int { return &f.readyAt }}
-	c.longest = indexedHeap[*flow]{before: longerBacklog, place: func(f *flow) *int { return &f.longestAt }}
+	c := class{flows: make(map[string]*flow), share: share, credit: burst, cleanupAt: minCleanupSize}
+	c.ready = indexedHeap[*flow]{before: lowerCounter, index: func(f *flow) *int { return &f.readyAt }}
+	c.longest = indexedHeap[*flow]{before: longerBacklog, index: func(f *flow) *int { return &f.longestAt }}
 	return c
 }
 
@@ -114,45 +113,45 @@
 	return a.order > b.order
 }
 
-// room returns the part of the queue for this class and those above it.
-func (c *class) room() float64 {
+// queueShare returns the part of the queue for this class and those above it.
+func (c *class) queueShare() float64 {
 	if c.share == 0 {
 		return 1
 	}
 	return c.share
 }
 
-// flow returns the workspace's flow, made if it is missing.
+// flow returns the workspace's flow, creating it if it is missing.
 func (c *class) flow(workspace string) *flow {
 	if f, ok := c.flows[workspace]; ok {
 		return f
 	}
-	if len(c.flows) >= c.sweepAt {
-		c.sweep()
+	if len(c.flows) >= c.cleanupAt {
+		c.removeIdleFlows()
 	}
 	f := &flow{workspace: workspace, weight: 1, readyAt: -1, longestAt: -1}
 	c.flows[workspace] = f
 	return f
 }
 
-// sweep forgets idle flows that owe nothing. It runs each time the table has
-// doubled, so that its cost is constant per flow made.
-func (c *class) sweep() {
+// removeIdleFlows deletes idle flows whose counter is not ahead of the virtual time. It runs
+// each time the table has doubled, so that its amortized cost is constant per flow created.
+func (c *class) removeIdleFlows() {
 	for name, f := range c.flows {
-		if f.items == 0 && f.running == 0 && f.counter <= c.virtual {
+		if f.items == 0 && f.running == 0 && f.counter <= c.virtualTime {
 			delete(c.flows, name)
 		}
 	}
-	c.sweepAt = 2*len(c.flows) + firstSweep
+	c.cleanupAt = 2*len(c.flows) + minCleanupSize
 }
 
 func (c *class) add(e *entry) {
 	f := c.flow(e.Workspace)
 	if f.items == 0 {
-		c.wake(f, e.Weight)
+		c.activate(f, e.Weight)
 	} else if f.weight != e.Weight {
-		c.weight += e.Weight - f.weight
-		c.active += e.Weight - f.weight
+		c.waitingWeight += e.Weight - f.weight
+		c.activeWeight += e.Weight - f.weight
 		f.weight = e.Weight
 	}
 	f.append(e)
@@ -161,28 +160,28 @@
 	c.longest.fix(f)
 }
 
-// wake puts an idle flow among those that wait. The lift guards against a
-// workspace that saves up service: without it one that was silent for an hour
-// would hold the lowest counter and shut the others out for as long.
-func (c *class) wake(f *flow, weight float64) {
-	if f.counter < c.virtual {
-		f.counter = c.virtual
+// activate adds an idle flow to those that wait and raises its counter to the virtual time.
+// That guards against a workspace that saves up service: otherwise one that was idle for an
+// hour would hold the lowest counter and block the others for as long.
+func (c *class) activate(f *flow, weight float64) {
+	if f.counter < c.virtualTime {
+		f.counter = c.virtualTime
 		f.epoch++
 	}
 	c.order++
 	f.order = c.order
 	if f.running > 0 {
-		c.active -= f.weight
+		c.activeWeight -= f.weight
 	}
 	f.weight = weight
-	c.weight += weight
-	c.active += weight
+	c.waitingWeight += weight
+	c.activeWeight += weight
 	c.ready.push(f)
 	c.longest.push(f)
 }
 
-// take removes a waiting entry.
-func (c *class) take(e *entry) {
+// removeWaiting removes a waiting entry.
+func (c *class) removeWaiting(e *entry) {
 	f := e.flow
 	f.unlink(e)
 	c.queued -= e.Cost
@@ -193,30 +192,31 @@
 	}
 	c.ready.remove(f)
 	c.longest.remove(f)
-	c.weight -= f.weight
-	c.rest(f)
+	c.waitingWeight -= f.weight
+	c.deactivateIfIdle(f)
 	if c.items == 0 {
-		c.weight = 0
+		c.waitingWeight = 0
 	}
 }
 
-// rest takes a flow that neither waits nor runs out of the active weight.
-func (c *class) rest(f *flow) {
+// deactivateIfIdle subtracts the weight of a flow that neither waits nor runs from the active
+// weight.
+func (c *class) deactivateIfIdle(f *flow) {
 	if f.items == 0 && f.running == 0 {
-		c.active -= f.weight
+		c.activeWeight -= f.weight
 	}
 	if c.items == 0 && c.running == 0 {
-		c.active = 0
+		c.activeWeight = 0
 	}
 }
 
-// start takes the flow's next entry and charges its expected cost.
+// start removes the flow's next entry from the queue and charges its expected cost.
 func (c *class) start(f *flow) *entry {
 	e := f.head
-	c.virtual = max(c.virtual, f.counter)
+	c.virtualTime = max(c.virtualTime, f.counter)
 	f.running++
 	c.running++
-	c.take(e)
+	c.removeWaiting(e)
 	c.order++
 	f.order = c.order
 	e.running, e.epoch = true, f.epoch
@@ -224,48 +224,48 @@
 	return e
 }
 
-// charge adds tokens to what the entry has cost its flow; negative tokens give
-// back an estimate that was too high. What was charged before an idle time is
-// not given back below the virtual time, since that would be saved service.
+// charge adds tokens to what the entry has cost its flow; negative tokens give back an estimate
+// that was too high. A charge from before an idle time is not given back below the virtual
+// time, since that would be saved service.
 func (c *class) charge(e *entry, tokens int64) {
 	f := e.flow
 	e.charged += tokens
 	next := f.counter + float64(tokens)/f.weight
 	if tokens < 0 && e.epoch != f.epoch {
-		next = max(next, min(f.counter, c.virtual))
+		next = max(next, min(f.counter, c.virtualTime))
 	}
 	f.counter = next
 	c.ready.fix(f)
 }
 
-// finish ends a running entry. A class without any work starts afresh, which
-// forgets old debts and keeps the counters small.
+// finish ends a running entry. A class without any work resets its counters, which clears old
+// debts and keeps the counters small.
 func (c *class) finish(e *entry) {
 	e.flow.running--
 	c.running--
-	c.rest(e.flow)
-	if c.items > 0 || c.running > 0 || c.virtual < renewAt {
+	c.deactivateIfIdle(e.flow)
+	if c.items > 0 || c.running > 0 || c.virtualTime < resetThreshold {
 		return
 	}
 	for _, f := range c.flows {
 		f.counter = 0
 	}
-	c.virtual = 0
+	c.virtualTime = 0
 }
 
-// renewAt is the virtual time from which an idle class starts afresh: far
-// below the 2^53 at which a float64 loses whole tokens.
-const renewAt = 1 << 40
+// resetThreshold is the virtual time from which an idle class resets its counters: far below
+// the 2^53 at which a float64 loses whole tokens.
+const resetThreshold = 1 << 40
 
-// ahead returns the work of this class that a new item of the workspace waits
-// for, in tokens: all of it, or less where fair service lets the item pass.
-func (c *class) ahead(workspace string, weight float64) float64 {
+// workAhead returns the work of this class that goes before a new item of the workspace, in
+// tokens: all of it, or less where fair queueing lets the item overtake.
+func (c *class) workAhead(workspace string, weight float64) float64 {
 	if c.items == 0 {
 		return 0
 	}
-	own, others := 0.0, c.weight
+	own, others := 0.0, c.waitingWeight
 	if f, ok := c.flows[workspace]; ok && f.items > 0 {
-		own, others = float64(f.queued), c.weight-f.weight
+		own, others = float64(f.queued), c.waitingWeight-f.weight
 	}
 	mean := float64(c.queued) / float64(c.items)
 	fair := own + (own+mean)/weight*others
--- a/core/request/queue/gate_test.go
+++ b/core/request/queue/gate_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against passing on the refusals of a service that starts again as a whole.
+// Guards against passing on the refusals of a service that restarts as a whole.
 func TestGateOfAServiceThatStartsAgain(t *testing.T) {
 	is := is.New(t)
 	var g Gate
@@ -15,7 +15,7 @@
 	is.True(!g.Refused("a", start))
 	is.True(!g.Refused("b", start))
 	is.True(g.Refused("a", start))
-	is.True(!g.Allow(start.Add(gateProbe - 1)))
+	is.True(!g.Allow(start.Add(gateProbeInterval - 1)))
 	passed := 0
 	for at := start; at.Before(start.Add(time.Second)); at = at.Add(10 * time.Millisecond) {
 		if g.Allow(at) {
@@ -23,13 +23,14 @@
 			is.True(!g.Refused("c", at))
 		}
 	}
-	is.Equal(passed, int(time.Second/gateProbe))
+	is.Equal(passed, int(time.Second/gateProbeInterval))
 	is.True(g.Accepted())
 	is.True(g.Allow(start))
 	is.True(!g.Accepted())
 }
 
-// Guards against waiting for one target that leaves and refuses what it still gets.
+// Guards against making requests wait because of one target that shuts down and refuses what it
+// still gets.
 func TestGateStaysOpenForOneTarget(t *testing.T) {
 	is := is.New(t)
 	var g Gate
--- a/core/request/queue/heap.go
+++ b/core/request/queue/heap.go
@@ -1,24 +1,24 @@
 package queue
 
-// indexedHeap is a binary heap whose members know their place, so that any of
-// them can be moved or removed in O(log n). It allocates only to grow.
+// indexedHeap is a binary heap whose members know their index, so that any of them can be moved
+// or removed in O(log n). It allocates only to grow.
 type indexedHeap[T any] struct {
 	members []T
 	before  func(a, b T) bool
-	// place returns where a member keeps its index; -1 means not in the heap.
-	place func(T) *int
+	// index returns where a member stores its index; -1 means not in the heap.
+	index func(T) *int
 }
 
 func (h *indexedHeap[T]) len() int { return len(h.members) }
 
 func (h *indexedHeap[T]) push(m T) {
-	*h.place(m) = len(h.members)
+	*h.index(m) = len(h.members)
 	h.members = append(h.members, m)
 	h.up(len(h.members) - 1)
 }
 
 func (h *indexedHeap[T]) remove(m T) {
-	i := *h.place(m)
+	i := *h.index(m)
 	if i < 0 {
 		return
 	}
@@ -27,7 +27,7 @@
 	var zero T
 	h.members[last] = zero
 	h.members = h.members[:last]
-	*h.place(m) = -1
+	*h.index(m) = -1
 	if i < last {
 		h.down(i)
 		h.up(i)
@@ -36,18 +36,18 @@
 
 // fix restores the order after the key of m has changed.
 func (h *indexedHeap[T]) fix(m T) {
-	i := *h.place(m)
+	i := *h.index(m)
 	if i < 0 {
 		return
 	}
 	h.down(i)
-	h.up(*h.place(m))
+	h.up(*h.index(m))
 }
 
 func (h *indexedHeap[T]) swap(i, j int) {
 	h.members[i], h.members[j] = h.members[j], h.members[i]
-	*h.place(h.members[i]) = i
-	*h.place(h.members[j]) = j
+	*h.index(h.members[i]) = i
+	*h.index(h.members[j]) = j
 }
 
 func (h *indexedHeap[T]) up(i int) {
--- a/core/request/queue/limiter.go
+++ b/core/request/queue/limiter.go
@@ -2,70 +2,72 @@
 
 import "math"
 
-// EngineLoad is the load of the engines of one group, as its steward tells it.
+// EngineLoad is the load of the engines of one group, as reported by its coordinator.
 type EngineLoad struct {
-	// Slots is how many requests the engines can run at once, Running how many
-	// they do, and Queued how many wait there.
+	// Slots is how many requests the engines can run at once, Running how many they run, and
+	// Queued how many wait there.
 	Slots, Running, Queued int
-	// Entries is how many entries send them requests, 0 if that is not known.
+	// Entries is how many entries send them requests; 0 means unknown.
 	Entries int
-	// Waiting says that requests wait at this entry.
+	// Waiting reports whether requests wait at this entry.
 	Waiting bool
 }
 
 const (
-	// leastShare is the part of the free slots that any entry may use, whatever part
-	// of the requests was its own lately: callers may come to it at any time.
-	leastShare = 0.25
-	// overcommit is how often the free slots may be used if all entries take that part at
-	// once, while none of them lets requests wait: then few do. All see the same free
-	// slots, and what is too much waits at the engines.
-	overcommit = 3
+	// minShare is the part of the free slots that any entry may use, whatever part of the
+	// requests it sent lately: callers may come to it at any time.
+	minShare = 0.25
+	// overcommitFactor is how many times over the free slots may be used if all entries take
+	// their part at once, while none of them has requests waiting: then few do. All see the
+	// same free slots, and the excess waits at the engines.
+	overcommitFactor = 3
 )
 
-// leastPart returns the part of the free slots that each of so many entries may use. Where
-// requests wait at one entry they wait at others as well, and all take theirs at once.
-func leastPart(entries int, waiting bool) float64 {
+// minFreeShare returns the part of the free slots that each of the given number of entries may
+// use. If requests wait at one entry they wait at others as well, and all take their part at
+// once.
+func minFreeShare(entries int, waiting bool) float64 {
 	switch {
 	case entries <= 0:
-		return leastShare
+		return minShare
 	case waiting:
-		return math.Min(leastShare, 1/float64(entries))
+		return math.Min(minShare, 1/float64(entries))
 	}
-	return math.Min(leastShare, overcommit/float64(entries))
+	return math.Min(minShare, overcommitFactor/float64(entries))
 }
 
-// EntryLimit returns how many requests one entry may have at the engines, of which
-// it has own there now: those and its part of the free slots, or its part of all
-// slots if more wait there already.
+// EntryLimit returns how many requests one entry, which has own there now, may have at the
+// engines: those and its part of the free slots, or its part of all slots if the engines have
+// more requests than slots.
 //
-// The load patterns it answers are a burst, and the moment when engines are back
-// and all who waited are let in: what waits at an engine is served in the order in
-// which it came, late or not, while an entry can still refuse it or let another
-// one go first. As all entries use the same figures, and each takes the part of
-// the requests that are its own, they need not talk.
+// The load patterns it handles are a burst, and the moment when engines are back and all
+// waiting requests are admitted: what waits at an engine is served in order of arrival, late or
+// not, while an entry can still refuse it or let another request go first. All entries use the
+// same figures, and each takes the part that its requests have of all, so they need no
+// coordination.
 //
-// Engines are not held to fewer requests than they have slots: a full batch makes
-// more tokens a second.
+// Engines are not limited to fewer requests than they have slots: a full batch yields more
+// tokens a second.
 func EntryLimit(e EngineLoad, own int) int {
 	total := float64(max(e.Running+e.Queued, own))
 	slots := float64(e.Slots)
 	if total >= slots {
 		return max(1, int(math.Round(slots*float64(own)/total)))
 	}
-	return own + max(1, int(math.Round((slots-total)*e.share(float64(own), total))))
+	return own + max(1, int(math.Round((slots-total)*e.freeShare(float64(own), total))))
 }
 
-// share returns the part of the free slots that the entry may use.
+// freeShare returns the part of the free slots that the entry may use.
 //
-// While requests wait, they wait at all entries, and the parts of all must not be more than
-// there is: each takes the part that its requests have of all, which says little where few
-// run, as at engines that have just come back, and counts together with an even part there.
-func (e EngineLoad) share(own, total float64) float64 {
-	part := leastPart(e.Entries, e.Waiting)
+// While requests wait, they wait at all entries, and the parts of all must not add up to more
+// than the free slots. Each entry takes the part that its requests have of all. That says
+// little where few run, as at engines that have just come back, so it is averaged with an equal
+// part there.
+func (e EngineLoad) freeShare(own, total float64) float64 {
+	part := minFreeShare(e.Entries, e.Waiting)
 	if e.Waiting {
-		even := e.Slots / evenPart
-		return (own + part*float64(even)) / (total + float64(even))
+		equal := e.Slots / equalShareDivisor
+		return (own + part*float64(equal)) / (total + float64(equal))
 	}
 	if total > 0 {
 		return math.Max(own/total, part)
@@ -73,14 +75,14 @@
 	return part
 }
 
-// evenPart is the part of the slots, one in so many, that have to be taken for what the
-// requests of an entry are of all to count as much as an even part.
-const evenPart = 8
+// equalShareDivisor is the fraction of the slots, one in so many, that has to be taken for an
+// entry's part of the requests to count as much as an equal part.
+const equalShareDivisor = 8
 
-// RecoveryLimit returns how many requests each of so many entries may have at engines that have
-// just come back, until their load is told.
+// RecoveryLimit returns how many requests each of the given number of entries may have at
+// engines that have just come back, until their load is reported.
 func RecoveryLimit(slots, entries int) int {
-	part := leastShare * reopenedPart
+	part := minShare * recoveryShare
 	if entries > 0 {
 		part = math.Min(part, 1/float64(entries))
 	}
@@ -88,16 +90,16 @@
 }
 
 // StaleLimit returns how many requests an entry may have at engines whose load has not been
-// told for a while. Where many entries send to them, each unlimited, all that waits while a
-// steward is replaced would wait at the engines.
+// reported for a while. If many entries send to them, each without a limit, all waiting
+// requests would move to the engines while a coordinator is replaced.
 func StaleLimit(slots, entries int) int {
 	if entries <= 0 {
 		return slots
 	}
-	return max(1, int(math.Min(1, overcommit/float64(entries))*float64(slots)))
+	return max(1, int(math.Min(1, overcommitFactor/float64(entries))*float64(slots)))
 }
 
-// reopenedPart is the part of the slots that a few entries fill together when engines are
-// back: those that waited begin at once, and there is room for whom another entry has let
-// wait.
-const reopenedPart = 0.55
+// recoveryShare is the part of the slots that a few entries fill together when engines are
+// back: waiting requests start at once, and capacity is left for those that wait at other
+// entries.
+const recoveryShare = 0.55
--- a/core/request/queue/limiter_test.go
+++ b/core/request/queue/limiter_test.go
@@ -6,7 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against requests that wait at full engines, where they are served late or not.
+// Guards against requests that wait at full engines, where they are served even if they are
+// late.
 func TestAllowedUnderFullSlots(t *testing.T) {
 	is := is.New(t)
 	full := EngineLoad{Slots: 192, Running: 192, Queued: 48}
@@ -29,15 +30,15 @@
 	is.Equal(EntryLimit(EngineLoad{Slots: 192}, 0), 48)
 }
 
-// Guards against an entry that alone goes beyond the slots before the next load is told.
+// Guards against an entry that alone exceeds the slots before the next load is reported.
 func TestAllowedWithOldLoad(t *testing.T) {
 	is := is.New(t)
 	is.Equal(EntryLimit(EngineLoad{Slots: 192, Running: 10}, 192), 192)
 	is.Equal(EntryLimit(EngineLoad{Slots: 192, Running: 10}, 191), 192)
 }
 
-// Guards against filling engines that come back beyond their slots, and leaving them half
-// empty.
+// Guards against filling engines that come back beyond their slots, and against leaving them
+// half empty.
 func TestAllowedGrowsToTheSlots(t *testing.T) {
 	is := is.New(t)
 	own := RecoveryLimit(192, 4)
@@ -60,11 +61,11 @@
 	for range entries {
 		sum += EntryLimit(e, 20) - 20
 	}
-	is.True(sum >= 100) // nobody leaves slots free
-	is.True(sum <= overcommit*100+entries)
-	is.Equal(EntryLimit(EngineLoad{Slots: 192, Running: 92, Entries: 4}, 2), 2+25) // few may take a quarter, as before
-	is.True(entries*RecoveryLimit(slots, entries) <= overcommit*slots)
-	is.True(entries*StaleLimit(slots, entries) <= overcommit*slots)
+	is.True(sum >= 100) // no free slot is left unused
+	is.True(sum <= overcommitFactor*100+entries)
+	is.Equal(EntryLimit(EngineLoad{Slots: 192, Running: 92, Entries: 4}, 2), 2+25) // a few entries may take a quarter each
+	is.True(entries*RecoveryLimit(slots, entries) <= overcommitFactor*slots)
+	is.True(entries*StaleLimit(slots, entries) <= overcommitFactor*slots)
 	is.Equal(StaleLimit(slots, 2), slots)
-	is.Equal(StaleLimit(slots, 0), slots) // engines without a steward
+	is.Equal(StaleLimit(slots, 0), slots) // engines without a coordinator
 }
--- a/core/request/queue/overload_test.go
+++ b/core/request/queue/overload_test.go
@@ -9,20 +9,20 @@
 	"github.com/matryer/is"
 )
 
-// overload replays callers that come evenly for 20 s to engines with 20 places, each
-// taken for a second. Who is refused comes back once, when it is told to.
+// overload simulates callers that arrive evenly for 20 s at engines with 20 slots, each taken
+// for a second. A refused caller retries once, when its Retry-After is over.
 type overload struct {
 	queue   *Queue
 	now     time.Time
-	longest func(returning bool, line time.Duration) time.Duration
+	longest func(retry bool, backlogAge time.Duration) time.Duration
 	emptyAt time.Time
 	arrived map[string]time.Time
-	returns []time.Time
+	retries []time.Time
 	ends    map[string]time.Time
 	next    int
-	// asked counts callers, onTime those at their first try that started in time,
-	// served all that started.
-	asked, onTime, served int
+	// arrivals counts callers, onTime those that started in time at their first attempt, served
+	// all that started.
+	arrivals, onTime, served int
 }
 
 const (
@@ -33,23 +33,23 @@
 	replayCost = 900
 )
 
-func newOverload(share float64, longest func(returning bool, line time.Duration) time.Duration) *overload {
+func newOverload(share float64, longest func(retry bool, backlogAge time.Duration) time.Duration) *overload {
 	q := New(Limits{Slots: 20, Rate: 20 * replayCost, UrgentShare: share}, rand.New(rand.NewPCG(1, 2)))
 	return &overload{queue: q, now: start, emptyAt: start, longest: longest, arrived: map[string]time.Time{}, ends: map[string]time.Time{}}
 }
 
-func (o *overload) ask(returning bool) {
+func (o *overload) arrive(retry bool) {
 	o.next++
 	id := strconv.Itoa(o.next)
-	item := Item{ID: id, Workspace: "w", Priority: Normal, Cost: replayCost, Deadline: o.now.Add(o.longest(returning, o.now.Sub(o.emptyAt)))}
-	if returning {
+	item := Item{ID: id, Workspace: "w", Priority: Normal, Cost: replayCost, Deadline: o.now.Add(o.longest(retry, o.now.Sub(o.emptyAt)))}
+	if retry {
 		item.Priority = Urgent
 	} else {
-		o.asked++
+		o.arrivals++
 		o.arrived[id] = o.now
 	}
-	if refusal := o.queue.Enqueue(item, o.now); refusal != nil && !returning {
-		o.returns = append(o.returns, o.now.Add(refusal.RetryAfter))
+	if refusal := o.queue.Enqueue(item, o.now); refusal != nil && !retry {
+		o.retries = append(o.retries, o.now.Add(refusal.RetryAfter))
 	}
 }
 
@@ -61,18 +61,18 @@
 			o.queue.Done(id, replayCost, o.now)
 		}
 	}
-	later := o.returns[:0]
+	later := o.retries[:0]
 	due := 0
-	for _, at := range o.returns {
+	for _, at := range o.retries {
 		if o.now.Before(at) {
 			later = append(later, at)
 			continue
 		}
 		due++
 	}
-	o.returns = later
+	o.retries = later
 	for range due {
-		o.ask(true)
+		o.arrive(true)
 	}
 	o.queue.Expire(o.now)
 	for item, ok := o.queue.Next(o.now); ok; item, ok = o.queue.Next(o.now) {
@@ -83,7 +83,7 @@
 	}
 	for _, s := range o.queue.TakeShed(nil) {
 		if s.Priority == Normal {
-			o.returns = append(o.returns, o.now.Add(s.Refusal.RetryAfter))
+			o.retries = append(o.retries, o.now.Add(s.Refusal.RetryAfter))
 		}
 	}
 }
@@ -96,49 +96,49 @@
 	}
 }
 
-// run plays 20 s in which somebody comes each so many steps, and returns the part of
-// the callers that were on time.
+// run simulates 20 s in which a caller arrives every given number of steps, and returns the
+// part of the callers that were on time.
 func (o *overload) run(every int) float64 {
 	for i := range int(20 * time.Second / replayStep) {
 		o.step()
 		if i%every == 0 {
-			o.ask(false)
+			o.arrive(false)
 		}
 	}
-	return float64(o.onTime) / float64(o.asked)
+	return float64(o.onTime) / float64(o.arrivals)
 }
 
-// inTime is how long requests may wait if they are to be on time.
-func inTime(returning bool, line time.Duration) time.Duration {
-	return Wait{Objective: replayObjective, Service: replayService, BacklogAge: line, Retry: returning}.Longest()
+// inTime returns how long requests may wait to be on time.
+func inTime(retry bool, backlogAge time.Duration) time.Duration {
+	return Wait{Objective: replayObjective, Service: replayService, BacklogAge: backlogAge, Retry: retry}.Longest()
 }
 
-// Guards against an overload in which hardly anybody is on time: all stand in one line, or
-// those who come back go first.
+// Guards against an overload in which hardly any request is on time: either all wait in one
+// queue, or retrying callers go first.
 func TestOverload(t *testing.T) {
 	is := is.New(t)
 	play := func(name string, share float64, longest func(bool, time.Duration) time.Duration) (onTime float64, served int) {
 		o := newOverload(share, longest)
-		onTime = o.run(4) // 25 callers a second for 20 places
-		t.Logf("%s: on time %.2f, served %d of %d", name, onTime, o.served, o.asked)
+		onTime = o.run(4) // 25 callers a second for 20 slots
+		t.Logf("%s: on time %.2f, served %d of %d", name, onTime, o.served, o.arrivals)
 		return onTime, o.served
 	}
-	told, servedTold := play("told", 0.3, inTime)
+	limited, servedLimited := play("told", 0.3, inTime)
 	line, servedLine := play("one line", 0.3, func(bool, time.Duration) time.Duration { return Wait{Service: replayService}.CallerLimit() })
-	first, servedFirst := play("who comes back first", 0.9, inTime)
-	is.True(told > 0.55)
+	first, servedFirst := play("retries first", 0.9, inTime)
+	is.True(limited > 0.55)
 	is.True(line < 0.25)
 	is.True(first < 0.25)
 	// The engines have as much to do in each case.
-	is.True(servedTold >= servedLine && servedTold >= servedFirst)
+	is.True(servedLimited >= servedLine && servedLimited >= servedFirst)
 }
 
-// Guards against sending callers away while there are places for all.
+// Guards against refusing callers while there are slots for all.
 func TestNoOverload(t *testing.T) {
 	is := is.New(t)
 	o := newOverload(0.3, inTime)
 	is.Equal(o.run(6), 1.0)
-	is.Equal(o.served, o.asked)
+	is.Equal(o.served, o.arrivals)
 }
 
 func TestLongestWait(t *testing.T) {
@@ -149,14 +149,14 @@
 		w    Wait
 		want time.Duration
 	}{
-		{"a moment", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: shortLine}, last},
-		{"in time", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: shortLine + 1}, 300 * time.Millisecond},
-		{"slow engines", Wait{Objective: 500 * time.Millisecond, Service: 450 * time.Millisecond, BacklogAge: 2 * time.Second}, leastWait},
-		{"no objective", Wait{Service: service, BacklogAge: 2 * time.Second}, leastWait},
-		{"all refuse", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Closed: true}, closedWait},
+		{"a moment", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: shortBacklog}, last},
+		{"in time", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: shortBacklog + 1}, 300 * time.Millisecond},
+		{"slow engines", Wait{Objective: 500 * time.Millisecond, Service: 450 * time.Millisecond, BacklogAge: 2 * time.Second}, minWait},
+		{"no objective", Wait{Service: service, BacklogAge: 2 * time.Second}, minWait},
+		{"all refuse", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Closed: true}, maxClosedWait},
 		{"comes back", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Retry: true, Closed: true}, last},
 		{"patient caller", Wait{Service: service, Patience: 5 * time.Second}, 5*time.Second - service - startMargin},
-		{"impatient caller", Wait{Objective: 500 * time.Millisecond, Service: service, Patience: 250 * time.Millisecond, BacklogAge: 2 * time.Second}, leastWait},
+		{"impatient caller", Wait{Objective: 500 * time.Millisecond, Service: service, Patience: 250 * time.Millisecond, BacklogAge: 2 * time.Second}, minWait},
 	} {
 		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(tt.w.Longest(), tt.want) })
 	}
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -1,33 +1,29 @@
 // Package queue is the queue of one target, held by the agent beside it.
 //
-// It decides which request the target gets next and which are refused. The
-// classes go in order, urgent first; a class may take only its share of the
-// service while a lower class waits, so that a flood of urgent work delays
-// the rest and does not stop it. Inside a class the workspaces share the
-// service in tokens by weight: for two workspaces f and g that both wait
-// during any interval, the service S, counted when an item is started and
-// corrected when it ends, satisfies
+// It decides which request the target gets next and which are refused. The classes go in order,
+// urgent first; a class may take only its share of the service while a lower class waits, so
+// that a flood of urgent work delays the rest and does not stop it. Inside a class the
+// workspaces share the service in tokens by weight: for two workspaces f and g that both wait
+// during any interval, the service S, counted when an item is started and corrected when it
+// ends, satisfies
 //
 //	|S(f)/w(f) - S(g)/w(g)| <= L(f)/w(f) + L(g)/w(g)
 //
-// where w is the weight and L the largest cost. Where an answer differs from
-// its expected cost by up to E tokens and n items run, 2nE/w is added for
-// each of the two. A workspace that runs more than its part of the slots may be
-// passed over for the kept slots (see Limits.Reserve); the bound does not count
-// what others get in its place there.
+// where w is the weight and L the largest cost. Where a response differs from its expected cost
+// by up to E tokens and n items run, 2nE/w is added for each of the two. A workspace that runs
+// more than its fair share of the slots may be skipped for the reserved slots (see
+// Limits.Reserve); the bound does not count what others get in its place there.
 //
-// While a lower class waits, a class with share s gets at most its burst plus
-// one item plus s/(1-s) times the service of the classes below.
+// While a lower class waits, a class with share s gets at most its burst plus one item plus
+// s/(1-s) times the service of the classes below.
 //
-// A request is refused as soon as it cannot start before its deadline, and
-// the queue is bounded in items and tokens, also per workspace. When it is
-// full, the newest request of the longest backlog in the lowest class makes
-// room. Nothing that the queue refuses or sheds was given to the target, so
-// that each such answer is a true "not run".
+// A request is refused as soon as it cannot start before its deadline, and the queue is bounded
+// in items and tokens, also per workspace. When it is full, the newest request of the longest
+// backlog in the lowest class is shed. Nothing that the queue refuses or sheds was sent to the
+// target, so that each such response is a correct "not run".
 //
-// A Queue has no clock and no lock: its owner passes the time and calls it
-// from one goroutine. Every operation is O(log n) and allocates nothing once
-// the tables have grown.
+// A Queue has no clock and no lock: its owner passes the time and calls it from one goroutine.
+// Every operation is O(log n) and allocates nothing once the tables have grown.
 //
 // # Usage
 //
@@ -75,18 +71,18 @@
 	Patient bool
 }
 
-// Shed is an item that the queue gave up after it had accepted it.
+// Shed is an item that the queue removed unstarted after it had accepted it.
 type Shed struct {
 	Item
 	Refusal *outcome.Error
 }
 
-// Load is what stands in the queue and what the target does.
+// Load is the load of the queue and of its target.
 type Load struct {
 	// Queued is the work waiting, in tokens; Items counts its requests.
 	Queued int64
 	Items  int
-	// Running counts the requests at the target, Slots how many may be.
+	// Running counts the requests at the target, Slots how many may run there.
 	Running int
 	Slots   int
 	// Rate is the learned service rate in tokens a second.
@@ -106,11 +102,11 @@
 	queued    int64
 	items     int
 	running   int
-	// remaining is the expected rest of the running work, in tokens.
+	// remaining is the expected remainder of the running work, in tokens.
 	remaining int64
 }
 
-// New returns an empty queue. The source spreads the Retry-After times.
+// New returns an empty queue. The random source spreads the Retry-After times.
 func New(limits Limits, rnd *rand.Rand) *Queue {
 	limits = limits.withDefaults()
 	q := &Queue{limits: limits, rnd: rnd, entries: make(map[string]*entry)}
@@ -119,21 +115,21 @@
 	q.classes[BestEffort] = newClass(0, 0)
 	q.deadlines = indexedHeap[*entry]{
 		before: func(a, b *entry) bool { return a.Deadline.Before(b.Deadline) },
-		place:  func(e *entry) *int { return &e.deadlineAt },
+		index:  func(e *entry) *int { return &e.deadlineAt },
 	}
 	q.meter.rate = limits.Rate
 	return q
 }
 
-// SetSlots sets how many requests may run at once. Running requests above a
-// lowered number go on.
+// SetSlots sets how many requests may run at once. Running requests above a lowered limit go
+// on.
 func (q *Queue) SetSlots(n int) {
 	q.limits.Slots = n
-	q.limits.Reserve = n / reservePart
+	q.limits.Reserve = n / reserveDivisor
 }
 
-// SetUrgentShare sets the part of the service that the urgent class may take while a lower
-// one waits; what it has had so far counts no more.
+// SetUrgentShare sets the part of the service that the urgent class may take while a lower one
+// waits. It resets the credit of that class.
 func (q *Queue) SetUrgentShare(share float64) {
 	c := &q.classes[Urgent]
 	if share == c.share {
@@ -142,7 +138,7 @@
 	c.share, c.credit = share, float64(q.limits.Burst)
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (q *Queue) Load() Load {
 	return Load{Queued: q.queued, Items: q.items, Running: q.running, Slots: q.limits.Slots, Rate: q.meter.rate}
 }
@@ -154,8 +150,8 @@
 	if q.items == 0 || q.running >= q.limits.Slots {
 		return Item{}, false
 	}
-	p := q.pick()
-	f := q.choose(p)
+	p := q.pickClass()
+	f := q.chooseFlow(p)
 	if f == nil {
 		return Item{}, false
 	}
@@ -165,54 +161,54 @@
 	q.items--
 	q.running++
 	q.remaining += e.Cost
-	e.contested = q.waitsBelow(p)
-	q.account(e, e.Cost)
+	e.contested = q.hasWaitingBelow(p)
+	q.updateCredits(e, e.Cost)
 	q.meter.observe(0, q.running >= q.limits.Slots, now)
 	return e.Item, true
 }
 
-// choose returns the class's flow that goes next, or nil. The last slots are
-// kept from workspaces that run heavyPart times their part of all slots or
-// more, as shared among those that are active in the class. Without them a workspace with a long backlog holds every slot, and
-// each request of the others waits until some answer ends, however few they
-// send. At most maxPassed heavy flows are passed over.
-func (q *Queue) choose(p Priority) *flow {
+// chooseFlow returns the class's flow that goes next, or nil. The last slots are reserved: a
+// workspace that runs heavyFactor times its fair share of all slots or more, among the
+// workspaces active in the class, cannot take them. Otherwise a workspace with a long backlog
+// holds every slot, and each request of the others waits until some response ends, however few
+// they send. At most maxSkipped heavy flows are skipped.
+func (q *Queue) chooseFlow(p Priority) *flow {
 	ready := &q.classes[p].ready
 	if q.running < q.limits.Slots-q.limits.Reserve {
 		return ready.members[0]
 	}
-	part := heavyPart * float64(q.limits.Slots) / q.classes[p].active
-	var passed [maxPassed]*flow
+	part := heavyFactor * float64(q.limits.Slots) / q.classes[p].activeWeight
+	var skipped [maxSkipped]*flow
 	n := 0
 	var light *flow
-	for n < maxPassed && ready.len() > 0 {
+	for n < maxSkipped && ready.len() > 0 {
 		f := ready.members[0]
 		if float64(f.running) < part*f.weight {
 			light = f
 			break
 		}
 		ready.remove(f)
-		passed[n] = f
+		skipped[n] = f
 		n++
 	}
-	for _, f := range passed[:n] {
+	for _, f := range skipped[:n] {
 		ready.push(f)
 	}
 	return light
 }
 
-// pick returns the class that goes next.
-func (q *Queue) pick() Priority {
+// pickClass returns the class that goes next.
+func (q *Queue) pickClass() Priority {
 	for p := Urgent; p < BestEffort; p++ {
 		c := &q.classes[p]
-		if c.items > 0 && (c.credit > 0 || !q.waitsBelow(p)) {
+		if c.items > 0 && (c.credit > 0 || !q.hasWaitingBelow(p)) {
 			return p
 		}
 	}
 	return BestEffort
 }
 
-func (q *Queue) waitsBelow(p Priority) bool {
+func (q *Queue) hasWaitingBelow(p Priority) bool {
 	for below := p + 1; below < classCount; below++ {
 		if q.classes[below].items > 0 {
 			return true
@@ -221,15 +217,15 @@
 	return false
 }
 
-// Remove takes out a waiting request whose caller has gone, and reports
-// whether it was waiting. A running request is left to Done.
+// Remove removes a waiting request whose caller has disconnected, and reports whether it was
+// waiting. A running request is ended by Done.
 func (q *Queue) Remove(id string) (Item, bool) {
 	e, ok := q.entries[id]
 	if !ok || e.running {
 		return Item{}, false
 	}
 	item := e.Item
-	q.drop(e)
+	q.dropWaiting(e)
 	return item, true
 }
 
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -17,7 +17,7 @@
 
 func newQueue(l Limits) *Queue { return New(l, rand.New(rand.NewPCG(1, 2))) }
 
-// Guards against a workspace that gets ahead of its share by long requests or idle times.
+// Guards against a workspace that exceeds its share by long requests or idle times.
 func TestServiceBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const steps = 150
@@ -93,7 +93,7 @@
 	add("studio", 1, 10)
 	add("importer", 200, 10)
 	is.Equal(len(fill()), 14)
-	add("home", 1, 1000) // the importer's counter is lower: it is passed over
+	add("home", 1, 1000) // the importer's counter is lower: it is skipped
 	is.Equal(fill(), []string{"home"})
 	add("arranger", 2, 10)
 	is.Equal(fill(), []string{"arranger"})
@@ -128,8 +128,8 @@
 	is.True(had["studio"] >= 49) // half of the service, less one item
 }
 
-// Guards against giving back estimates of a time that is over, and answers that ride on the
-// others.
+// Guards against giving back estimates from before an idle time, and against responses that are
+// longer than charged.
 func TestWrongEstimates(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(Limits{Slots: 5, Items: 1 << 16, Tokens: 1 << 30, WorkspaceItems: 1 << 16})
@@ -163,7 +163,7 @@
 	is.True(serve(100, 10) >= 49)
 	item, _ := q.Next(start)
 	before := q.classes[Normal].flows[item.Workspace].counter
-	q.Served(item.ID, 50, start) // ten were charged at the start
+	q.Served(item.ID, 50, start) // 10 tokens were charged at the start
 	is.Equal(q.classes[Normal].flows[item.Workspace].counter, before+40)
 	q.Done(item.ID, 50, start)
 	before = q.classes[Normal].flows["studio"].counter
@@ -195,9 +195,9 @@
 	is.True(normal > 0)
 	is.True(float64(urgent) <= burst+cost+1.5*float64(normal)) // 0.6/0.4 = 1.5
 	for _, s := range q.TakeShed(nil) {
-		is.Equal(s.Priority, Urgent) // no draft gave way to a ping
+		is.Equal(s.Priority, Urgent) // no normal request was shed for an urgent one
 	}
-	is.True(refused < 6000*7/10) // the draft's workspace sends 2.5 times what it gets
+	is.True(refused < 6000*7/10) // the workspace of normal requests sends 2.5 times what it gets
 }
 
 // Guards against a queue that one workspace fills.
@@ -223,7 +223,7 @@
 	is.True(refusal.RetryAfter > 0)
 }
 
-// Guards against holding a request that cannot start in time until its deadline.
+// Guards against keeping a request that cannot start in time until its deadline.
 func TestDeadlines(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(Limits{Slots: 1, Rate: 100})
@@ -260,7 +260,7 @@
 	is.True(refusal != nil && refusal.Reason == ReasonDeadline)
 }
 
-// Guards against calling a request "not run" whose identifier already waits.
+// Guards against reporting "not run" for a request whose identifier already waits.
 func TestDuplicateIsUnknown(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(Limits{})
@@ -268,7 +268,7 @@
 	is.Equal(q.Enqueue(Item{ID: "x"}, start).Outcome, outcome.Unknown)
 }
 
-// Guards against refused callers that return all together.
+// Guards against refused callers that retry all at once.
 func TestRetryAfterIsSpread(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(Limits{Slots: 1, Items: 1, Rate: 100})
@@ -283,7 +283,7 @@
 	}
 }
 
-// Guards against accepted requests that vanish or end twice.
+// Guards against accepted requests that are lost or end twice.
 func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newQueue(Limits{Slots: 3, Items: 20, Tokens: 400, Rate: 50})
@@ -340,8 +340,8 @@
 						active += f.weight
 					}
 				}
-				if math.Abs(waiting-c.weight)+math.Abs(active-c.active) > 1e-6 {
-					t.Fatalf("weights %v and %v, want %v and %v", c.weight, c.active, waiting, active)
+				if math.Abs(waiting-c.waitingWeight)+math.Abs(active-c.activeWeight) > 1e-6 {
+					t.Fatalf("weights %v and %v, want %v and %v", c.waitingWeight, c.activeWeight, waiting, active)
 				}
 			}
 			if l := q.Load(); l.Items != len(open) || l.Running != len(running) || l.Items > 20 || q.remaining < 0 {
@@ -351,7 +351,7 @@
 	})
 }
 
-// A quiet hour must not teach the queue that the target is slow.
+// Guards against an idle hour that makes the target look slow.
 func TestRateIsLearnedWhenBusy(t *testing.T) {
 	is := is.New(t)
 	m := meter{rate: 100}
--- a/core/request/queue/service.go
+++ b/core/request/queue/service.go
@@ -3,39 +3,39 @@
 import "time"
 
 const (
-	// firstService is the first guess of how long an engine takes to the first part
-	// of an answer, leastService and mostService bound what is learned.
-	firstService = 150 * time.Millisecond
-	leastService = 50 * time.Millisecond
-	mostService  = 400 * time.Millisecond
-	// serviceUp and serviceDown are how far one answer moves what is learned. It
-	// stands still where nine answers of ten move it down and one moves it up.
-	serviceUp   = 4500 * time.Microsecond
-	serviceDown = serviceUp / 9
+	// initialP90 is the initial estimate of how long an engine takes to the first event of a
+	// response; minP90 and maxP90 bound the learned estimate.
+	initialP90 = 150 * time.Millisecond
+	minP90     = 50 * time.Millisecond
+	maxP90     = 400 * time.Millisecond
+	// p90StepUp and p90StepDown are how far one response moves the estimate. It is stable where
+	// nine responses of ten move it down and one moves it up.
+	p90StepUp   = 4500 * time.Microsecond
+	p90StepDown = p90StepUp / 9
 )
 
-// ServiceTime learns how long engines take from the start of a request to the first
-// part of its answer: nine of ten take less. It says when a request must have
-// started to be on time. The time grows with the load, to twice of what it is at
-// rest; a fixed one let requests start that could only be late. The zero value
-// begins with a guess.
+// ServiceTime estimates the 90th percentile of the time that engines take from the start of a
+// request to the first event of its response. The estimate says when a request must have
+// started to be on time. The time grows with the load, to twice its value at rest; with a fixed
+// estimate, requests were started that could only be late. The zero value begins with a default
+// estimate.
 type ServiceTime struct {
-	learned time.Duration
+	estimate time.Duration
 }
 
-// Observe takes the time of one answer.
+// Observe records the time of one response.
 func (s *ServiceTime) Observe(d time.Duration) {
 	if d > s.P90() {
-		s.learned = min(s.P90()+serviceUp, mostService)
+		s.estimate = min(s.P90()+p90StepUp, maxP90)
 		return
 	}
-	s.learned = max(s.P90()-serviceDown, leastService)
+	s.estimate = max(s.P90()-p90StepDown, minP90)
 }
 
-// P90 returns the time within which nine of ten answers begin.
+// P90 returns the time within which nine of ten responses begin.
 func (s *ServiceTime) P90() time.Duration {
-	if s.learned == 0 {
-		return firstService
+	if s.estimate == 0 {
+		return initialP90
 	}
-	return s.learned
+	return s.estimate
 }
--- a/core/request/queue/service_test.go
+++ b/core/request/queue/service_test.go
@@ -8,11 +8,11 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a few answers of a lost rank that carry the usual time away.
+// Guards against a few slow responses of a lost rank that shift the estimate.
 func TestServiceTimeIsThatOfNineInTen(t *testing.T) {
 	is := is.New(t)
 	var s ServiceTime
-	is.Equal(s.P90(), firstService)
+	is.Equal(s.P90(), initialP90)
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 2000 {
 		s.Observe(100*time.Millisecond + time.Duration(rng.Int64N(int64(200*time.Millisecond))))
@@ -24,16 +24,16 @@
 	is.True(s.P90() < 320*time.Millisecond)
 }
 
-// Guards against waits without end and starts before the arrival, whatever is observed.
+// Guards against unbounded waits and against starts before the arrival, whatever is observed.
 func TestServiceTimeIsBounded(t *testing.T) {
 	is := is.New(t)
 	var s ServiceTime
 	for range 10000 {
 		s.Observe(time.Minute)
 	}
-	is.Equal(s.P90(), mostService)
+	is.Equal(s.P90(), maxP90)
 	for range 10000 {
 		s.Observe(0)
 	}
-	is.Equal(s.P90(), leastService)
+	is.Equal(s.P90(), minP90)
 }
