--- a/core/request/quota/home.go
+++ b/core/request/quota/home.go
@@ -6,38 +6,38 @@
 )
 
 const (
-	// repayOver is the time over which the bucket is brought back to zero. It
-	// is longer than a report takes to come and to be answered, so that the
-	// fraction settles and does not swing.
-	repayOver = 4 * time.Second
-	// settleOver is the time constant of the slow demand estimate. While the
-	// demand is steadyWithin of it the entries may report seldom.
-	settleOver   = 3 * time.Second
-	steadyWithin = 0.1
-	// calmBelow is the part of the limit below which a workspace is calm. The
-	// estimate errs high, by up to a half, where each entry sees a request now
-	// and then: the mean of one over a gap is more than one over the mean gap.
-	calmBelow = 0.7
-	// calmReports and busyReports are how many reports a second a home wants
-	// for a calm workspace and for one near its limit; calmInterval and
-	// busyInterval the longest times between two reports of one entry.
-	calmReports, busyReports   = 5, 10
-	calmInterval, busyInterval = time.Minute, 10 * time.Second
-	// expireEvery is how often reporters that have stopped are dropped.
-	expireEvery = 500 * time.Millisecond
-	// forgetAfter is when a home drops a workspace that no entry reports.
-	forgetAfter = 2 * time.Minute
+	// repayTime is the time over which the bucket is brought back to zero. It is longer than
+	// the time to the next report and its reply, so that the fraction converges and does not
+	// oscillate.
+	repayTime = 4 * time.Second
+	// slowTimeConstant is the time constant of the slow demand estimate. While the demand is
+	// within steadyTolerance of that estimate, the entries may report seldom.
+	slowTimeConstant = 3 * time.Second
+	steadyTolerance  = 0.1
+	// calmShare is the part of the limit below which a workspace is calm. The demand estimate
+	// errs high, by up to a half, where each entry sees a request now and then: the mean of one
+	// over a gap is more than one over the mean gap.
+	calmShare = 0.7
+	// calmReportRate and busyReportRate are how many reports a second a home wants for a calm
+	// workspace and for one near its limit; calmInterval and busyInterval are the longest times
+	// between two reports of one entry.
+	calmReportRate, busyReportRate = 5, 10
+	calmInterval, busyInterval     = time.Minute, 10 * time.Second
+	// expireInterval is how often reporters that have stopped are removed.
+	expireInterval = 500 * time.Millisecond
+	// accountTTL is when a home removes a workspace that no entry reports.
+	accountTTL = 2 * time.Minute
 )
 
-// reporter is the last word of one entry on one workspace.
+// reporter is the last report of one entry on one workspace.
 type reporter struct {
-	// rate is the demand and admitted what was let through, in tokens a second;
-	// they came at the time at and count to until.
+	// rate is the demand and admitted the admitted rate, in tokens a second; they were received
+	// at the time at and are valid until the time until.
 	rate, admitted float64
 	at, until      time.Time
 }
 
-// expected is what the entry is expected to have admitted since it reported.
+// expected returns what the entry is expected to have admitted since it reported.
 func (r reporter) expected(now time.Time) float64 {
 	if r.at.IsZero() {
 		return 0
@@ -45,45 +45,46 @@
 	return exact(r.admitted * now.Sub(r.at).Seconds())
 }
 
-// exact rounds to a multiple of a power of two, of which sums are exact.
+// exact rounds to a multiple of a power of two, so that sums are exact.
 func exact(x float64) float64 { return math.Round(x*exactUnit) / exactUnit }
 
 const exactUnit = 1 << 12
 
-// account is what a home knows of one workspace.
+// account is the state of one workspace at its home.
 type account struct {
 	limit Limit
-	// balance is the token bucket of what was admitted; below zero it is what
-	// went through too much. Between two reports of an entry it falls at the
-	// rate that the entry told, and is put right by the next report: else it
-	// would swing by all that the entries admit in an interval.
+	// balance is the token bucket of what was admitted; a negative balance is what was admitted
+	// in excess. Between two reports of an entry it falls at the rate that the entry reported,
+	// and the next report corrects it: otherwise it would swing by all that the entries admit
+	// in an interval.
 	balance float64
-	// spilled is what the bucket could not hold, in tokens. A report that
-	// comes late may still use what was spilled in its span.
-	spilled float64
-	// demand and flow are the sums over the reporters of what is asked for and
-	// let through; slow follows demand.
-	demand, flow, slow float64
-	reporters          map[uint64]reporter
-	at, expired        time.Time
-	// learned is when each entry has reported to this home since it begun.
-	begun, learned time.Time
-	fraction       float64
-	interval       time.Duration
+	// overflow is what the full bucket could not take, in tokens. A late report may still use
+	// the overflow of the time that it covers.
+	overflow float64
+	// demand and admittedRate are the sums over the reporters of what is requested and what is
+	// admitted; slowDemand follows demand slowly.
+	demand, admittedRate, slowDemand float64
+	reporters                        map[uint64]reporter
+	at, expiredAt                    time.Time
+	// completeAt is when every entry has reported to this home since startedAt, when the
+	// account was created.
+	startedAt, completeAt time.Time
+	fraction              float64
+	interval              time.Duration
 }
 
-// Home is the agent's side: the accounts of the workspaces that the entries
-// report to it. Use NewHome to make one.
+// Home is the agent's side: the accounts of the workspaces that the entries report to it. Use
+// NewHome to make one.
 type Home struct {
-	limits   map[uint64]Limit
-	accounts map[uint64]*account
-	visible  float64
-	swept    time.Time
+	limits          map[uint64]Limit
+	accounts        map[uint64]*account
+	visibleFraction float64
+	cleanedAt       time.Time
 }
 
 // NewHome returns a home without limits.
 func NewHome() *Home {
-	return &Home{limits: make(map[uint64]Limit), accounts: make(map[uint64]*account), visible: 1}
+	return &Home{limits: make(map[uint64]Limit), accounts: make(map[uint64]*account), visibleFraction: 1}
 }
 
 // SetLimit sets the limit of a workspace.
@@ -95,19 +96,19 @@
 	}
 }
 
-// Forget drops a workspace that has left the configuration.
+// Forget removes a workspace that is no longer in the configuration.
 func (h *Home) Forget(workspace string) {
 	delete(h.limits, ID(workspace))
 	delete(h.accounts, ID(workspace))
 }
 
-// SetVisibleFraction tells which part of the entries, between 0 and 1, this side of a
-// partition can see. The home gives out only that part of each limit: without
-// it, every side has a home of its own and each gives out the whole limit.
-func (h *Home) SetVisibleFraction(part float64) { h.visible = math.Min(1, math.Max(0, part)) }
+// SetVisibleFraction sets which part of the entries, between 0 and 1, this side of a network
+// partition can see. The home grants only that part of each limit: otherwise every side, with a
+// home of its own, grants the whole limit.
+func (h *Home) SetVisibleFraction(part float64) { h.visibleFraction = math.Min(1, math.Max(0, part)) }
 
-// Merge takes in the report of an entry and appends the reply to dst. A report
-// that is malformed is refused whole.
+// Merge applies the report of an entry and appends the reply to dst. A malformed report is
+// rejected as a whole.
 func (h *Home) Merge(dst, report []byte, now time.Time) ([]byte, error) {
 	entry, at := readEntry(report)
 	if at == 0 {
@@ -123,73 +124,73 @@
 	for at < len(report) {
 		r, n := readRecord(report[at:])
 		at += n
-		if a := h.take(entry, r, now); a != nil {
-			dst = appendReply(dst, reply{r.id, a.answer(r, now), a.interval})
+		if a := h.apply(entry, r, now); a != nil {
+			dst = appendReply(dst, reply{r.id, a.fractionFor(r, now), a.interval})
 		}
 	}
-	h.sweep(now)
+	h.removeIdleAccounts(now)
 	return dst, nil
 }
 
-// take books one record, or returns nil if this home does not know the
-// workspace yet. A new account begins with an empty bucket, since a home that
-// took over would else give out a second burst; what the entries admitted by
-// right while there was no home is not held against them.
-func (h *Home) take(entry uint64, r record, now time.Time) *account {
+// apply records one workspace of a report, or returns nil if this home does not know the
+// workspace yet. A new account begins with an empty bucket, since a home that took over would
+// otherwise grant a second burst; what the entries rightly admitted while there was no home is
+// not charged to them.
+func (h *Home) apply(entry uint64, r record, now time.Time) *account {
 	limit, ok := h.limits[r.id]
 	if !ok {
 		return nil
 	}
-	rate, burst := limit.Rate*h.visible, limit.Burst*h.visible
+	rate, burst := limit.Rate*h.visibleFraction, limit.Burst*h.visibleFraction
 	a, ok := h.accounts[r.id]
 	if !ok {
 		a = &account{limit: limit, at: now, fraction: 1, reporters: make(map[uint64]reporter)}
-		a.spilled = rate * math.Max(0, (r.span-ReportInterval).Seconds())
-		a.begun, a.learned = now, now.Add(ReportInterval)
+		a.overflow = rate * math.Max(0, (r.span-ReportInterval).Seconds())
+		a.startedAt, a.completeAt = now, now.Add(ReportInterval)
 		h.accounts[r.id] = a
 	}
 	a.advance(rate, burst, now)
-	a.book(rate, entry, r, now)
-	a.count(entry, r, now)
+	a.adjustBalance(rate, entry, r, now)
+	a.setRates(entry, r, now)
 	a.decide(rate)
-	if end := a.begun.Add(r.span); !now.After(a.learned) && end.After(a.learned) {
-		a.learned = end
+	if end := a.startedAt.Add(r.span); !now.After(a.completeAt) && end.After(a.completeAt) {
+		a.completeAt = end
 	}
 	return a
 }
 
-// answer returns the fraction for one entry. A home that has just begun knows a
-// part of the demand only; until it has heard all, an entry keeps the fraction
-// that it heard from another home, unless this one's is lower.
-func (a *account) answer(r record, now time.Time) uint64 {
+// fractionFor returns the fraction for one entry. A home that has just started knows only a
+// part of the demand; until all entries have reported, an entry keeps the fraction that it
+// received from another home, unless this home's is lower.
+func (a *account) fractionFor(r record, now time.Time) uint64 {
 	units := toUnits(a.fraction)
-	if now.Before(a.learned) {
+	if now.Before(a.completeAt) {
 		return min(units, r.fraction)
 	}
 	return units
 }
 
-// advance lets time pass: the bucket fills, and entries that have stopped
+// advance moves the account to the given time: the bucket fills, and entries that have stopped
 // reporting no longer count.
 func (a *account) advance(rate, burst float64, now time.Time) {
 	span := now.Sub(a.at).Seconds()
 	if span > 0 {
-		full := a.balance + (rate-a.flow)*span
+		full := a.balance + (rate-a.admittedRate)*span
 		a.balance = math.Min(burst, full)
-		a.spilled = math.Min(a.spilled+full-a.balance, rate*maxSpan.Seconds())
-		a.slow += (a.demand - a.slow) * (1 - math.Exp(-span/settleOver.Seconds()))
+		a.overflow = math.Min(a.overflow+full-a.balance, rate*maxSpan.Seconds())
+		a.slowDemand += (a.demand - a.slowDemand) * (1 - math.Exp(-span/slowTimeConstant.Seconds()))
 		a.at = now
 	}
-	if now.Sub(a.expired) < expireEvery {
+	if now.Sub(a.expiredAt) < expireInterval {
 		return
 	}
 	// The rates are exact, so that the sums do not depend on the order.
-	a.expired, a.demand, a.flow = now, 0, 0
+	a.expiredAt, a.demand, a.admittedRate = now, 0, 0
 	back := 0.0
 	for entry, r := range a.reporters {
 		if now.Before(r.until) {
 			a.demand += r.rate
-			a.flow += r.admitted
+			a.admittedRate += r.admitted
 			continue
 		}
 		back += r.expected(now)
@@ -198,16 +199,16 @@
 	a.balance += back
 }
 
-// count puts the entry's rates in place of what it last said. They hold until
-// twice the time to the next report.
-func (a *account) count(entry uint64, r record, now time.Time) {
+// setRates replaces the entry's rates by those of its new report. They are valid for twice the
+// time to the next report.
+func (a *account) setRates(entry uint64, r record, now time.Time) {
 	span := max(r.span, MinReportInterval)
 	old, next := a.reporters[entry], reporter{at: now}
 	next.rate = exact(math.Max(0, float64(r.offered)) / span.Seconds())
 	next.admitted = exact(math.Max(0, float64(r.admitted)) / span.Seconds())
 	next.until = now.Add(2*max(span, a.interval) + ReportInterval)
 	a.demand = math.Max(0, a.demand+next.rate-old.rate)
-	a.flow = math.Max(0, a.flow+next.admitted-old.admitted)
+	a.admittedRate = math.Max(0, a.admittedRate+next.admitted-old.admitted)
 	if next.rate == 0 {
 		delete(a.reporters, entry)
 		return
@@ -215,52 +216,52 @@
 	a.reporters[entry] = next
 }
 
-// book puts the bucket right by what was admitted beyond the expected. It
-// guards against a false debt after an outage: entries that kept to their safe
-// share for a minute report it all at once, and the bucket has room for a
-// second or so only.
-func (a *account) book(rate float64, entry uint64, r record, now time.Time) {
+// adjustBalance corrects the bucket by what was admitted beyond the expected. It guards against
+// a false debt after an outage: entries that were limited to their safe share for a minute
+// report it all at once, and the bucket holds only a second or so.
+func (a *account) adjustBalance(rate float64, entry uint64, r record, now time.Time) {
 	more := float64(r.admitted) - a.reporters[entry].expected(now)
-	late := math.Min(a.spilled, math.Min(math.Max(0, more), rate*r.span.Seconds()))
-	a.spilled -= late
+	late := math.Min(a.overflow, math.Min(math.Max(0, more), rate*r.span.Seconds()))
+	a.overflow -= late
 	a.balance += late - more
 }
 
-// decide sets the fraction so that the demand takes the rate and brings the
-// bucket back to zero over repayOver; and how soon the entries report again.
+// decide sets the fraction so that the demand matches the rate and the bucket returns to zero
+// over repayTime; and how soon the entries report again.
 func (a *account) decide(rate float64) {
-	over := max(repayOver, a.interval).Seconds()
-	aim := math.Max(0, rate+a.balance/over)
+	over := max(repayTime, a.interval).Seconds()
+	allowedRate := math.Max(0, rate+a.balance/over)
 	a.fraction = 1
-	if a.demand > aim {
-		a.fraction = aim / a.demand
+	if a.demand > allowedRate {
+		a.fraction = allowedRate / a.demand
 	}
 	n := float64(len(a.reporters))
-	calm := a.balance >= 0 && math.Max(a.demand, a.slow) < calmBelow*rate
+	calm := a.balance >= 0 && math.Max(a.demand, a.slowDemand) < calmShare*rate
 	switch {
 	case calm:
-		a.interval = paced(n/calmReports, calmInterval)
-	case math.Abs(a.demand-a.slow) > steadyWithin*a.demand:
+		a.interval = boundInterval(n/calmReportRate, calmInterval)
+	case math.Abs(a.demand-a.slowDemand) > steadyTolerance*a.demand:
 		a.interval = ReportInterval
 	default:
-		a.interval = paced(n/busyReports, busyInterval)
+		a.interval = boundInterval(n/busyReportRate, busyInterval)
 	}
 }
 
-// paced guards against a home that drowns in reports: a workspace that all
-// entries use would bring one from each of them in every second.
-func paced(seconds float64, longest time.Duration) time.Duration {
+// boundInterval converts seconds to a report interval between ReportInterval and longest. It
+// guards against overloading a home with reports: a workspace that all entries use would
+// otherwise bring one from each of them every second.
+func boundInterval(seconds float64, longest time.Duration) time.Duration {
 	return min(longest, max(ReportInterval, time.Duration(seconds*float64(time.Second))))
 }
 
-// sweep forgets idle accounts, at most once in forgetAfter.
-func (h *Home) sweep(now time.Time) {
-	if now.Sub(h.swept) < forgetAfter {
+// removeIdleAccounts deletes idle accounts, at most once in accountTTL.
+func (h *Home) removeIdleAccounts(now time.Time) {
+	if now.Sub(h.cleanedAt) < accountTTL {
 		return
 	}
-	h.swept = now
+	h.cleanedAt = now
 	for id, a := range h.accounts {
-		if now.Sub(a.at) >= forgetAfter {
+		if now.Sub(a.at) >= accountTTL {
 			delete(h.accounts, id)
 		}
 	}
--- a/core/request/quota/quota_test.go
+++ b/core/request/quota/quota_test.go
@@ -18,19 +18,19 @@
 	rate = 5000
 )
 
-// fleet is entries with one workspace and its home.
+// fleet is a set of entries with one workspace and its home.
 type fleet struct {
 	home     *Home
 	entries  []*Limiter
 	now      time.Time
 	admitted []float64
-	// debt is what each entry has yet to offer, less than one request.
-	debt []float64
-	lost func(entry int) bool
+	// debt is what each entry has yet to offer, less than the cost of one request.
+	debt      []float64
+	replyLost func(entry int) bool
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{home: newTestHome(), now: time.Unix(1e9, 0), admitted: make([]float64, n), lost: func(int) bool { return false }}
+	f := &fleet{home: newTestHome(), now: time.Unix(1e9, 0), admitted: make([]float64, n), replyLost: func(int) bool { return false }}
 	for i := range n {
 		f.debt = append(f.debt, cost*float64(i)/float64(n))
 		l := New(fmt.Sprint("entry", i), rand.New(rand.NewPCG(7, uint64(i))))
@@ -47,8 +47,7 @@
 	return h
 }
 
-// run offers tokens a second at each entry for a time, and returns what was
-// admitted in all.
+// run offers tokens a second at each entry for a time, and returns what was admitted in total.
 func (f *fleet) run(t *testing.T, span time.Duration, offered func(entry int) float64) float64 {
 	t.Helper()
 	before := f.total()
@@ -69,7 +68,7 @@
 	l := f.entries[i]
 	for _, home := range l.Due(f.now) {
 		report := l.AppendReport(nil, home, f.now)
-		if f.lost(i) {
+		if f.replyLost(i) {
 			l.ReportFailed(home)
 			continue
 		}
@@ -98,10 +97,10 @@
 	return rate + n*(rate/math.Sqrt(n)+cost) + 2*rate*ReportInterval.Seconds()
 }
 
-// At a closing all members of one workspace come at once, through all entries,
-// with four times what the workspace has paid for. If each entry let its part
-// through before it heard of the others, the targets would drown; and once the
-// entries have heard, the workspace must still get its whole limit.
+// All members of a workspace send requests at once, through all entries, with four times the
+// limit. Guards against entries that admit their part before they know of the others, which
+// would overload the targets, and against a workspace that gets less than its limit once the
+// entries know.
 func TestLimitOverAllEntries(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -115,13 +114,13 @@
 			late := f.run(t, 20*time.Second, even(4*rate, n))
 			is.True(late >= 0.9*rate*20 && late <= 1.1*rate*20)
 			sum += late + f.run(t, 30*time.Second, even(4*rate, n))
-			is.True(sum <= rate*80+2*rate) // what went through too much is taken back
+			is.True(sum <= rate*80+2*rate) // the excess is taken back
 		})
 	}
 }
 
-// The balancer moves all of a workspace's members from one entry to another.
-// With fixed shares they would be refused there although nobody uses the limit.
+// Guards against fixed shares: when all of a workspace's members move from one entry to
+// another, they would be refused there although nobody uses the limit.
 func TestDemandMoves(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(400)
@@ -139,26 +138,26 @@
 	is.True(f.run(t, 2*time.Second, only(5)) >= 0.85*rate*2)
 }
 
-// Three entries lose the home in the middle of a burst. Each is then alone
-// with the last fraction it heard: without a fallback they would let through
-// as much as comes. After three seconds each keeps to its safe share.
+// Three entries lose the home in the middle of a burst. Guards against entries that keep the
+// last fraction they received and admit as much as arrives: after three seconds each must keep
+// to its safe share.
 func TestCutOffEntriesKeepTheirSafeShare(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	f.run(t, 5*time.Second, even(0.5*rate, 3))
-	f.lost = func(int) bool { return true }
+	f.replyLost = func(int) bool { return true }
 	is.True(f.run(t, ReplyTimeout+time.Second, even(6*rate, 3)) <= overshootBound(3))
 	got := f.run(t, 20*time.Second, even(6*rate, 3))
 	is.True(got <= 1.05*rate*20)
 	is.True(got >= 0.9*rate*20)
-	f.lost = func(int) bool { return false }
+	f.replyLost = func(int) bool { return false }
 	f.run(t, 20*time.Second, even(0.5*rate, 3))
 	is.True(f.run(t, 5*time.Second, even(0.5*rate, 3)) >= 0.49*rate*5)
 }
 
-// One entry carries all of a workspace when the home forgets the workspace: it
-// restarted with an older configuration. The entry must fall back as if it was
-// cut off, and must not refuse everything for what it admitted by right.
+// One entry carries all requests of a workspace when the home no longer knows the workspace,
+// after a restart with an older configuration. The entry must fall back as if it was cut off,
+// and must not refuse everything because of what it rightly admitted.
 func TestHomeThatKnowsNothing(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
@@ -178,25 +177,25 @@
 	is.True(f.run(t, 5*time.Second, first) >= 0.85*rate*5)
 }
 
-// An entry's traffic jumps. What it may admit without word doubles with each
-// word from the home and never leaps: the other entries' traffic jumps too.
+// The traffic of an entry jumps. Guards against an allowance that grows more than twofold with
+// each reply of the home: the other entries' traffic jumps too.
 func TestLentAtMostDoubles(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	l, s := f.entries[0], f.entries[0].states["w"]
-	s.admitted, s.offered, s.from = 4*rate, 4*rate, f.now.Add(-MinReportInterval)
-	before := l.slack(s)
-	s.send(f.now)
-	l.hear(s, reply{fraction: fractionUnit, interval: ReportInterval}, f.now)
-	is.True(l.slack(s) <= 2*before)
+	s.admitted, s.offered, s.answeredUntil = 4*rate, 4*rate, f.now.Add(-MinReportInterval)
+	before := l.headroom(s)
+	s.markSent(f.now)
+	l.applyReply(s, reply{fraction: fractionUnit, interval: ReportInterval}, f.now)
+	is.True(l.headroom(s) <= 2*before)
 	l.refill(s, f.now)
 	l.refill(s, f.now.Add(time.Hour))
-	is.True(s.room <= l.slack(s)) // an hour without demand saves up no more
+	is.True(s.headroomLeft <= l.headroom(s)) // an hour without demand accumulates no more
 }
 
-// The home is replaced while the workspace asks for ten times its limit. A home
-// that began with a full bucket and no memory of the overshoot would give out more at each
-// change; it learns within seconds and takes back what went through.
+// The home is replaced while the demand is ten times the limit. Guards against a home that
+// starts with a full bucket and without the excess admitted so far, and grants more at each
+// change: it must learn within seconds and take back the excess.
 func TestHomeIsReplaced(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{30, 300} {
@@ -208,8 +207,8 @@
 	}
 }
 
-// A burst through all entries ends. Entries that report seldom, because the
-// demand was steady, must not go on refusing nine in ten of what comes then.
+// A burst through all entries ends. Guards against entries that report seldom, because the
+// demand was steady, and go on refusing nine of ten requests afterwards.
 func TestBurstEnds(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(300)
@@ -218,22 +217,22 @@
 	is.True(f.run(t, 5*time.Second, even(0.8*rate, 300)) >= 0.95*0.8*rate*5)
 }
 
-// An entry dies without a word while it and another share the limit. What the
-// home expected of it must not count against the other for longer than that.
+// An entry that shares the limit with another stops without notice. Guards against charging the
+// other for longer than the report is valid with what the home expected of the stopped one.
 func TestDeadEntryIsForgiven(t *testing.T) {
 	is := is.New(t)
 	h, now := newTestHome(), time.Unix(1e9, 0)
 	r := record{id: ID("w"), offered: 0.8 * rate, admitted: 0.8 * rate, fraction: fractionUnit, span: time.Second}
-	h.take(1, r, now)
+	h.apply(1, r, now)
 	for range 5 {
-		h.take(2, r, now)
+		h.apply(2, r, now)
 		now = now.Add(time.Second)
 	}
-	is.Equal(h.take(2, r, now).fraction, 1.0)
+	is.Equal(h.apply(2, r, now).fraction, 1.0)
 }
 
-// Two regions lose each other, and each finds a home among its own agents.
-// Together they must not give out the limit twice.
+// A network partition separates two regions, and each chooses a home among its own agents.
+// Guards against granting the limit twice.
 func TestPartitionedHomesShareTheLimit(t *testing.T) {
 	is := is.New(t)
 	sum := 0.0
@@ -246,8 +245,8 @@
 	is.True(sum <= 1.1*rate*20)
 }
 
-// Answers run shorter than declared; what was charged too much is given back,
-// or the workspace would get half of its limit.
+// Responses are shorter than declared. Guards against keeping the overcharge, with which the
+// workspace would get half of its limit.
 func TestSettleGivesBack(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
@@ -265,14 +264,14 @@
 	is.True(served >= 0.9*rate*40)
 }
 
-// Many entries see one request each of a workspace that may have a quarter.
-// Were each to begin from the same point, all would refuse, or all admit.
+// Many entries see one request each of a workspace that may have a quarter of its demand.
+// Guards against a common initial credit, with which all would refuse, or all admit.
 func TestFirstDecisionsAreSpread(t *testing.T) {
 	is := is.New(t)
 	f, admitted := newFleet(400), 0
 	for _, l := range f.entries {
 		s := l.states["w"]
-		s.fraction, s.heard, s.room = 0.25, f.now, l.slack(s)
+		s.fraction, s.receivedAt, s.headroomLeft = 0.25, f.now, l.headroom(s)
 		if ok, _ := l.Allow("w", cost, f.now); ok {
 			admitted++
 		}
@@ -288,15 +287,15 @@
 	now := time.Unix(1e9, 0)
 	ok, _ := l.Allow("unlimited", 1<<30, now)
 	is.True(ok)
-	ok, _ = l.Allow("w", 80, now) // more than the allowance of 50: into debt
+	ok, _ = l.Allow("w", 80, now) // more than the allowance of 50: a debt
 	is.True(ok)
 	ok, after := l.Allow("w", 80, now)
 	is.True(!ok && after > time.Second)
 	is.Equal(testing.AllocsPerRun(100, func() { l.Allow("w", 3, now) }), 0.0)
 }
 
-// The same package keeps limits in requests, with a cost of one: an entry then
-// sees a request in some seconds, and its demand must not be rounded away.
+// Limits in requests use a cost of one: an entry then sees one request in several seconds.
+// Guards against rounding its demand to zero.
 func TestLimitInRequests(t *testing.T) {
 	is := is.New(t)
 	h, now := NewHome(), time.Unix(1e9, 0)
@@ -304,7 +303,7 @@
 	for second := range 60 {
 		for entry := range uint64(40) { // each a request in ten seconds: 4/s
 			if second%10 == int(entry%10) {
-				h.take(entry, record{id: ID("w"), offered: 1, fraction: fractionUnit, span: 10 * time.Second}, now)
+				h.apply(entry, record{id: ID("w"), offered: 1, fraction: fractionUnit, span: 10 * time.Second}, now)
 			}
 		}
 		now = now.Add(time.Second)
@@ -312,7 +311,7 @@
 	is.True(math.Abs(h.accounts[ID("w")].demand-4) < 0.1)
 }
 
-// When an agent goes, only the workspaces whose home it was move.
+// Guards against moving the home of other workspaces than those of an agent that is removed.
 func TestHomeOfMovesLittle(t *testing.T) {
 	is := is.New(t)
 	agents := []string{"a", "b", "c", "d", "e"}
@@ -350,8 +349,8 @@
 	})
 }
 
-// A quiet workspace is used at all entries. If each of them reported every
-// second, one home would answer hundreds of reports a second for nothing.
+// A quiet workspace is used at all entries. Guards against reports of each entry every second,
+// hundreds a second at one home.
 func TestManyEntriesReportSeldom(t *testing.T) {
 	is := is.New(t)
 	h, now := newTestHome(), time.Unix(1e9, 0)
--- a/core/request/quota/report.go
+++ b/core/request/quota/report.go
@@ -10,41 +10,39 @@
 )
 
 const (
-	// MaxRecords bounds the records of one digest or reply; the rest waits
-	// for the next one.
+	// MaxRecords bounds the records of one report or reply; the rest waits for the next one.
 	MaxRecords = 64
-	// earlyPart is the part of the slack at which an entry reports early.
-	earlyPart = 0.5
-	// fellAfter is the shortest time over which a demand is seen to fall.
-	fellAfter = 2 * time.Second
-	// toldPart is the part of the limit up to which a demand that has ended is
-	// left to expire at the home.
-	toldPart = 0.02
-	// fractionUnit is how a fraction is written.
+	// earlyReportShare is the used part of the headroom at which an entry reports early.
+	earlyReportShare = 0.5
+	// minFallTime is the shortest time over which a fall of the demand is detected.
+	minFallTime = 2 * time.Second
+	// negligibleShare is the part of the limit up to which a demand that has ended is left to
+	// expire at the home.
+	negligibleShare = 0.02
+	// fractionUnit is the fixed-point scale of an encoded fraction.
 	fractionUnit = 1 << 12
-	// maxTokens and maxSpan bound what one record may say, against a corrupt
-	// peer.
+	// maxTokens and maxSpan bound the values of one record, against a corrupt peer.
 	maxTokens = 1 << 40
 	maxSpan   = 2 * time.Minute
 )
 
-// MalformedError says that a digest or a reply could not be decoded.
+// MalformedError reports a report or a reply that could not be decoded.
 type MalformedError struct {
 	// Offset is where decoding stopped, in bytes.
 	Offset int
 }
 
-// Error returns where the decoding stopped.
+// Error returns where decoding stopped.
 func (e *MalformedError) Error() string {
 	return errors.Errorf("malformed quota digest at byte %d", e.Offset).Error()
 }
 
-// record is one workspace in a digest.
+// record is one workspace in a report.
 type record struct {
 	id       uint64
 	offered  int64
 	admitted int64
-	// fraction is what the entry last heard.
+	// fraction is the last one that the entry received.
 	fraction uint64
 	// span is the time over which the demand came, in whole milliseconds.
 	span time.Duration
@@ -58,16 +56,15 @@
 	interval time.Duration
 }
 
-// Due returns the homes that are owed a report. The slice is valid until the
-// next call.
+// Due returns the homes to which a report is due. The slice is valid until the next call.
 func (l *Limiter) Due(now time.Time) []string {
 	l.due = l.due[:0]
 	l.active = slices.DeleteFunc(l.active, func(s *state) bool {
-		s.active = !s.silent() || !s.sentAt.IsZero()
+		s.active = !s.nothingToReport() || !s.sentAt.IsZero()
 		return !s.active
 	})
 	for _, s := range l.active {
-		if l.owes(s, now) && !slices.Contains(l.due, s.home) {
+		if l.reportDue(s, now) && !slices.Contains(l.due, s.home) {
 			l.due = append(l.due, s.home)
 		}
 	}
@@ -75,109 +72,108 @@
 	return l.due
 }
 
-// owes reports whether the workspace's report is due: after the time that the
-// home has asked for, or as soon as most of what may be admitted beyond the
-// usual rate is used.
-func (l *Limiter) owes(s *state, now time.Time) bool {
-	if s.silent() || s.home == "" || !s.sentAt.IsZero() {
+// reportDue reports whether the workspace's report is due: after the time that the home has
+// asked for, or as soon as most of the headroom is used.
+func (l *Limiter) reportDue(s *state, now time.Time) bool {
+	if s.nothingToReport() || s.home == "" || !s.sentAt.IsZero() {
 		return false
 	}
 	spacing := MinReportInterval
-	if !s.asked.IsZero() {
-		spacing = ReportInterval // the last report was lost: do not insist
+	if !s.pendingSince.IsZero() {
+		spacing = ReportInterval // the last report was lost: retry more slowly
 	}
-	if now.Sub(s.reported) < spacing {
+	if now.Sub(s.reportedAt) < spacing {
 		return false
 	}
-	from := s.from
-	if from.IsZero() {
-		from = s.since
+	answeredUntil := s.answeredUntil
+	if answeredUntil.IsZero() {
+		answeredUntil = s.demandSince
 	}
-	return now.Sub(from) >= s.interval || s.admitted > 0 && s.room <= (1-earlyPart)*l.slack(s) || s.fell(now)
+	return now.Sub(answeredUntil) >= s.interval || s.admitted > 0 && s.headroomLeft <= (1-earlyReportShare)*l.headroom(s) || s.demandFell(now)
 }
 
-// fell reports whether the demand is far below what was last told, while a
-// part of it is refused. It guards against a limit that stays half used for
-// the time of a long interval after a burst has ended.
-func (s *state) fell(now time.Time) bool {
-	span := now.Sub(s.from)
-	return s.fraction < 1 && span >= fellAfter && float64(s.offered) < s.told*span.Seconds()/2
+// demandFell reports whether the demand is far below the last reported one, while a part of it
+// is refused. It guards against a limit that stays half used for the time of a long interval
+// after a burst has ended.
+func (s *state) demandFell(now time.Time) bool {
+	span := now.Sub(s.answeredUntil)
+	return s.fraction < 1 && span >= minFallTime && float64(s.offered) < s.reportedDemand*span.Seconds()/2
 }
 
-// silent reports whether there is nothing to tell: no demand, and the last told
-// was small. A large one must be taken back as soon as it ends, or the home
-// counts it twice when it has moved to another entry.
-func (s *state) silent() bool {
-	return s.offered == 0 && s.told <= toldPart*s.Rate
+// nothingToReport reports whether there is no demand and the last reported one was small. A
+// large one must be withdrawn as soon as it ends, or the home counts it twice when it has moved
+// to another entry.
+func (s *state) nothingToReport() bool {
+	return s.offered == 0 && s.reportedDemand <= negligibleShare*s.Rate
 }
 
-// AppendReport appends the report for a home to dst: the workspaces that owe one,
-// and those of the same home that have anything new. The caller passes the
-// answer to Merge, or calls Lost, before it asks for the home's next digest.
+// AppendReport appends the report for a home to dst: the workspaces whose report is due, and
+// those of the same home that have anything new. The caller passes the reply to Merge, or calls
+// ReportFailed, before it requests the home's next report.
 func (l *Limiter) AppendReport(dst []byte, home string, now time.Time) []byte {
 	dst = binary.LittleEndian.AppendUint64(dst, l.id)
 	n := 0
 	for _, s := range l.active {
-		if n == MaxRecords || s.home != home || s.silent() || !s.sentAt.IsZero() {
+		if n == MaxRecords || s.home != home || s.nothingToReport() || !s.sentAt.IsZero() {
 			continue
 		}
-		s.send(now)
+		s.markSent(now)
 		dst = appendRecord(dst, record{s.id, s.sentOffered, s.sentAdmitted, toUnits(s.fraction), s.sentSpan})
 		n++
 	}
 	return dst
 }
 
-func (s *state) send(now time.Time) {
-	s.sentSpan = now.Sub(s.from)
-	if s.from.IsZero() {
-		s.sentSpan = max(ReportInterval, now.Sub(s.since))
+func (s *state) markSent(now time.Time) {
+	s.sentSpan = now.Sub(s.answeredUntil)
+	if s.answeredUntil.IsZero() {
+		s.sentSpan = max(ReportInterval, now.Sub(s.demandSince))
 	}
 	s.sentSpan = min(max(MinReportInterval, s.sentSpan), maxSpan)
 	s.sentOffered, s.sentAdmitted = s.offered, s.admitted
 	s.offered, s.admitted = 0, 0
-	s.sentAt, s.reported, s.sentSince = now, now, s.since
-	if s.asked.IsZero() {
-		s.asked = now
+	s.sentAt, s.reportedAt, s.sentSince = now, now, s.demandSince
+	if s.pendingSince.IsZero() {
+		s.pendingSince = now
 	}
 }
 
-// hear takes the home's word. What may be admitted until the next one follows
-// the rate of the last interval, and at most doubles.
-func (l *Limiter) hear(s *state, r reply, now time.Time) {
-	s.recent = math.Min(float64(s.sentAdmitted)/s.sentSpan.Seconds(), l.slack(s))
-	s.fraction, s.heard = fromUnits(r.fraction), now
-	// The spread keeps the entries from reporting all at once for ever.
+// applyReply records the home's reply. What may be admitted until the next one follows the rate
+// of the last interval, and at most doubles.
+func (l *Limiter) applyReply(s *state, r reply, now time.Time) {
+	s.recentRate = math.Min(float64(s.sentAdmitted)/s.sentSpan.Seconds(), l.headroom(s))
+	s.fraction, s.receivedAt = fromUnits(r.fraction), now
+	// The jitter prevents the entries from reporting all at once for ever.
 	s.interval = time.Duration((0.75 + 0.25*l.rnd.Float64()) * float64(r.interval))
-	s.room = l.slack(s)
-	s.from, s.told = s.sentAt, float64(s.sentOffered)/s.sentSpan.Seconds()
-	s.sentOffered, s.sentAdmitted, s.sentAt, s.asked = 0, 0, time.Time{}, time.Time{}
+	s.headroomLeft = l.headroom(s)
+	s.answeredUntil, s.reportedDemand = s.sentAt, float64(s.sentOffered)/s.sentSpan.Seconds()
+	s.sentOffered, s.sentAdmitted, s.sentAt, s.pendingSince = 0, 0, time.Time{}, time.Time{}
 }
 
-// giveBack puts what was sent without a reply back among what is to report.
-func (s *state) giveBack() {
+// restoreSent adds what was sent without a reply back to what is to be reported.
+func (s *state) restoreSent() {
 	if s.sentAt.IsZero() {
 		return
 	}
-	s.since = s.sentSince
+	s.demandSince = s.sentSince
 	s.offered += s.sentOffered
 	s.admitted += s.sentAdmitted
 	s.sentOffered, s.sentAdmitted, s.sentAt = 0, 0, time.Time{}
 }
 
-// ReportFailed tells that a report got no answer. It is sent again; if the home did
-// get it, the workspace is charged twice, which errs on the strict side.
+// ReportFailed records that a report got no reply. It is sent again; if the home did receive
+// it, the workspace is charged twice, which errs on the strict side.
 func (l *Limiter) ReportFailed(home string) {
 	for _, s := range l.active {
 		if s.home == home {
-			s.giveBack()
+			s.restoreSent()
 		}
 	}
 }
 
-// Merge takes in b, the reply of a home. What the reply leaves out, since the
-// home does not know the workspace yet, counts as lost. A malformed reply
-// counts as lost from the fault on.
+// Merge applies b, the reply of a home. A workspace that the reply leaves out, since the home
+// does not know it yet, counts as not replied. So does everything from the fault on in a
+// malformed reply.
 func (l *Limiter) Merge(home string, b []byte, now time.Time) error {
 	defer l.ReportFailed(home)
 	for at := 0; at < len(b); {
@@ -187,7 +183,7 @@
 		}
 		at += n
 		if s, ok := l.byID[r.id]; ok && s.home == home && !s.sentAt.IsZero() {
-			l.hear(s, r, now)
+			l.applyReply(s, r, now)
 		}
 	}
 	return nil
@@ -236,8 +232,8 @@
 	return r, at + n
 }
 
-// readEntry returns the entry that sent a report, and where the records begin;
-// 0 means malformed.
+// readEntry returns the entry that sent a report, and the offset of the first record; 0 means
+// malformed.
 func readEntry(b []byte) (entry uint64, length int) {
 	if len(b) < 8 {
 		return 0, 0
