--- a/core/request/retry/after.go
+++ b/core/request/retry/after.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// longestAfter bounds the pause that a Retry-After may ask for.
-const longestAfter = 24 * time.Hour
+// maxParsedAfter bounds the delay that a Retry-After may ask for.
+const maxParsedAfter = 24 * time.Hour
 
-// ParseAfter decodes a Retry-After in seconds, with or without a fraction. It returns 0 for
-// anything else, dates included.
+// ParseAfter parses a Retry-After in seconds, with or without a fraction. It returns 0 for
+// anything else, including dates.
 func ParseAfter(s string) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
 	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(min(seconds, longestAfter.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, maxParsedAfter.Seconds()) * float64(time.Second))
 }
--- a/core/request/retry/budget.go
+++ b/core/request/retry/budget.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// ratio is the part of requests that may be tried again. With ratio 0.08
-	// the calls to targets stay below 1.1 of the requests, bursts included.
-	ratio = 0.08
-	// floorEvery lets a workspace with few requests have a retry now and
-	// then, and a hop as well. It is long because it counts for each entry:
-	// 390 entries give 39 retries a second by it, beside 6,200 requests.
-	floorEvery = 10 * time.Second
-	// keyBurst and hopBurst are the most retries saved up for one workspace
-	// and for one hop.
-	keyBurst = 5
-	hopBurst = 20
-	// hopStart is what a hop may spend before its first requests.
-	hopStart = 1
+	// defaultRatio is the share of requests that may be retried. At 0.08 the calls to targets
+	// stay below 1.1 times the requests, bursts included.
+	defaultRatio = 0.08
+	// floorInterval is how often a workspace with few requests, and a hop, may retry
+	// regardless of what they have earned. It is long because it applies to each entry: with
+	// 390 entries it allows 39 retries a second, beside 6,200 requests.
+	floorInterval = 10 * time.Second
+	// defaultKeyBurst and defaultHopBurst are the most retries that one workspace and one hop
+	// may accumulate.
+	defaultKeyBurst = 5
+	defaultHopBurst = 20
+	// defaultHopStart is what a hop may spend before its first requests.
+	defaultHopStart = 1
 )
 
-// bucket holds the retries saved up.
+// bucket is a token bucket of retries.
 type bucket struct {
-	saved float64
-	// used is when a workspace last had a request, or a hop's floor was last
-	// counted.
-	used time.Time
+	tokens float64
+	// lastUsed is when a workspace last had a request, or when a hop's floor was last
+	// credited.
+	lastUsed time.Time
 }
 
-// Key names a budget: retries of one workspace must not spend another's.
+// Key identifies a budget. Each workspace has its own, so that its retries do not spend those
+// of another.
 type Key struct {
 	Workspace string
 	// Hop names the step of the path that is retried, such as "target".
@@ -41,34 +42,34 @@
 	hops   map[string]*bucket
 }
 
-// Limits are the figures of budgets. Zero fields take the defaults.
+// Limits configure budgets. Zero fields take the defaults.
 type Limits struct {
-	// Ratio is the part of requests that may be tried again.
+	// Ratio is the share of requests that may be retried.
 	Ratio float64
-	// KeyBurst and HopBurst are the most retries saved up for one workspace
-	// and for one hop.
+	// KeyBurst and HopBurst are the most retries that one workspace and one hop may
+	// accumulate.
 	KeyBurst, HopBurst float64
-	// KeyStart and HopStart are what a workspace and a hop may spend before
-	// their first requests.
+	// KeyStart and HopStart are what a workspace and a hop may spend before their first
+	// requests.
 	KeyStart, HopStart float64
-	// Window, if it is set, is the span over which retries are bounded: by Ratio of its
-	// requests and KeyBurst. Nothing is saved up beyond it, and one moment may use all
-	// of it. The hops are not bounded apart then.
+	// Window, if set, is the time span over which retries are limited to Ratio of its requests
+	// plus KeyBurst. Nothing accumulates beyond the span, and a single moment may use all of
+	// it. Hops are not limited separately in this mode.
 	Window time.Duration
 }
 
 func (l Limits) withDefaults() Limits {
 	if l.Ratio <= 0 {
-		l.Ratio = ratio
+		l.Ratio = defaultRatio
 	}
 	if l.KeyBurst <= 0 {
-		l.KeyBurst = keyBurst
+		l.KeyBurst = defaultKeyBurst
 	}
 	if l.HopBurst <= 0 {
-		l.HopBurst = hopBurst
+		l.HopBurst = defaultHopBurst
 	}
 	if l.HopStart <= 0 {
-		l.HopStart = hopStart
+		l.HopStart = defaultHopStart
 	}
 	return l
 }
@@ -76,12 +77,12 @@
 // Budget limits the retries of one workspace at one hop.
 type Budget struct {
 	limits *Limits
-	// window is nil unless the limits have one; then it replaces the buckets.
+	// window is nil unless the limits have one; it then replaces the buckets.
 	window *window
 	own    bucket
 	hop    *bucket
-	// floorAt is when the floor last gave a retry.
-	floorAt time.Time
+	// lastFloorAt is when the floor last allowed a retry.
+	lastFloorAt time.Time
 }
 
 // NewBudgets returns empty budgets.
@@ -89,39 +90,39 @@
 	return &Budgets{limits: limits.withDefaults(), keys: map[Key]*Budget{}, hops: map[string]*bucket{}}
 }
 
-// SetKeyBurst changes the most retries that one workspace may save up, or has beside its
-// part of the requests where a window bounds them.
+// SetKeyBurst changes the most retries that one workspace may accumulate or, where a window
+// limits them, may make in addition to its share of the requests.
 func (b *Budgets) SetKeyBurst(n float64) {
 	if n > 0 {
 		b.limits.KeyBurst = n
 	}
 }
 
-// Request records a new request, which earns its workspace and its hop a part
-// of a retry.
+// Request records a new request, which credits its workspace and its hop with a fraction of a
+// retry.
 func (b *Budgets) Request(key Key, now time.Time) {
 	g := b.For(key)
 	if g.window != nil {
 		g.window.at(now).requests++
-		g.own.used = now
+		g.own.lastUsed = now
 		return
 	}
-	g.own.saved = min(b.limits.KeyBurst, g.own.saved+b.limits.Ratio)
-	g.own.used = now
-	g.hop.saved = min(b.limits.HopBurst, g.hop.saved+b.limits.Ratio)
+	g.own.tokens = min(b.limits.KeyBurst, g.own.tokens+b.limits.Ratio)
+	g.own.lastUsed = now
+	g.hop.tokens = min(b.limits.HopBurst, g.hop.tokens+b.limits.Ratio)
 }
 
-// For returns the budget of a key, and makes it on first use.
+// For returns the budget of a key, creating it on first use.
 func (b *Budgets) For(key Key) *Budget {
 	if g := b.keys[key]; g != nil {
 		return g
 	}
 	hop := b.hops[key.Hop]
 	if hop == nil {
-		hop = &bucket{saved: b.limits.HopStart}
+		hop = &bucket{tokens: b.limits.HopStart}
 		b.hops[key.Hop] = hop
 	}
-	g := &Budget{limits: &b.limits, hop: hop, own: bucket{saved: b.limits.KeyStart}}
+	g := &Budget{limits: &b.limits, hop: hop, own: bucket{tokens: b.limits.KeyStart}}
 	if b.limits.Window > 0 {
 		g.window = newWindow(b.limits.Window)
 	}
@@ -129,18 +130,18 @@
 	return g
 }
 
-// Forget drops the budgets that had no request since a time.
+// Forget removes the budgets that have had no request since the given time.
 func (b *Budgets) Forget(before time.Time) {
 	for key, g := range b.keys {
-		if g.own.used.Before(before) {
+		if g.own.lastUsed.Before(before) {
 			delete(b.keys, key)
 		}
 	}
 }
 
-// Take spends one retry and reports whether there was one. Both the workspace
-// and the hop must have it saved up: the floors of many workspaces together
-// would otherwise be the storm that the budget is to prevent.
+// Take spends one retry and reports whether one was available. Both the workspace and the hop
+// must have one: otherwise the floors of many workspaces together could cause the retry storm
+// that the budget prevents.
 func (g *Budget) Take(now time.Time) bool {
 	if g.window != nil {
 		if g.Left(now) < 1 {
@@ -149,19 +150,19 @@
 		g.window.at(now).retries++
 		return true
 	}
-	g.hop.earn(now)
-	if g.hop.saved < 1 {
+	g.hop.refillFloor(now)
+	if g.hop.tokens < 1 {
 		return false
 	}
 	switch {
-	case g.own.saved >= 1:
-		g.own.saved--
-	case now.Sub(g.floorAt) >= floorEvery:
-		g.floorAt = now
+	case g.own.tokens >= 1:
+		g.own.tokens--
+	case now.Sub(g.lastFloorAt) >= floorInterval:
+		g.lastFloorAt = now
 	default:
 		return false
 	}
-	g.hop.saved--
+	g.hop.tokens--
 	return true
 }
 
@@ -170,13 +171,13 @@
 	if g.window != nil {
 		return g.window.left(g.limits.Ratio, g.limits.KeyBurst, now)
 	}
-	return min(g.own.saved, g.hop.saved)
+	return min(g.own.tokens, g.hop.tokens)
 }
 
-// earn adds the retries of the floor to a hop, which never exceed one.
-func (b *bucket) earn(now time.Time) {
-	if b.saved < 1 && !b.used.IsZero() {
-		b.saved = min(1, b.saved+now.Sub(b.used).Seconds()/floorEvery.Seconds())
+// refillFloor credits a hop with the retries of the floor, up to one.
+func (b *bucket) refillFloor(now time.Time) {
+	if b.tokens < 1 && !b.lastUsed.IsZero() {
+		b.tokens = min(1, b.tokens+now.Sub(b.lastUsed).Seconds()/floorInterval.Seconds())
 	}
-	b.used = now
+	b.lastUsed = now
 }
--- a/core/request/retry/losses.go
+++ b/core/request/retry/losses.go
@@ -3,46 +3,44 @@
 import "time"
 
 const (
-	// lossWindow is how long after the first broken attempt at a target the
-	// others that were in flight there may be seen to break. Resets arrive
-	// within milliseconds; a busy process reads them some hundreds later.
-	lossWindow = time.Second
-	// lossEvery is how long a target that was lost gives no second window. A
-	// target that crashes again and again must not free its retries from the
-	// budget each time.
-	lossEvery = 10 * time.Second
+	// crashWindow is how long after the first broken attempt at a target the other attempts in
+	// flight there may be seen to break. Resets arrive within milliseconds, but a busy process
+	// may read them some hundreds of milliseconds later.
+	crashWindow = time.Second
+	// crashInterval is how long a crashed target gets no second window. A target in a crash
+	// loop must not exempt its retries from the budget each time.
+	crashInterval = 10 * time.Second
 )
 
-// TargetCrashes tells the attempts that broke because their target died. All that was
-// in flight there breaks at once, which is more than a budget of retries has
-// saved up, and each of these requests would end as unknown though other
-// targets are well. To send them elsewhere adds no more than what the dead
-// target had in flight, once in lossEvery. The zero value is ready. It is not
-// safe for concurrent use.
+// TargetCrashes recognizes the attempts that broke because their target crashed. All attempts
+// in flight at the target break at once, which is more than the retry budget has accumulated,
+// and each of these requests would end as unknown although other targets are healthy. Retrying
+// them elsewhere adds at most what the crashed target had in flight, once per crashInterval.
+// The zero value is ready to use. It is not safe for concurrent use.
 type TargetCrashes struct {
-	first map[string]time.Time
+	firstBreak map[string]time.Time
 }
 
-// AttemptBroke records that an attempt at a target broke which had begun at started,
-// and reports whether its retry is free of the budget.
+// AttemptBroke records that an attempt at a target, begun at started, broke. It reports whether
+// its retry is exempt from the budget.
 func (l *TargetCrashes) AttemptBroke(target string, started, now time.Time) bool {
-	first, known := l.first[target]
-	if !known || now.Sub(first) >= lossEvery {
-		l.forget(now)
-		l.first[target] = now
+	first, known := l.firstBreak[target]
+	if !known || now.Sub(first) >= crashInterval {
+		l.expire(now)
+		l.firstBreak[target] = now
 		return true
 	}
-	return started.Before(first) && now.Sub(first) <= lossWindow
+	return started.Before(first) && now.Sub(first) <= crashWindow
 }
 
-// forget drops the losses that no longer matter.
-func (l *TargetCrashes) forget(now time.Time) {
-	if l.first == nil {
-		l.first = make(map[string]time.Time)
+// expire removes the crashes older than crashInterval.
+func (l *TargetCrashes) expire(now time.Time) {
+	if l.firstBreak == nil {
+		l.firstBreak = make(map[string]time.Time)
 	}
-	for target, first := range l.first {
-		if now.Sub(first) >= lossEvery {
-			delete(l.first, target)
+	for target, first := range l.firstBreak {
+		if now.Sub(first) >= crashInterval {
+			delete(l.firstBreak, target)
 		}
 	}
 }
--- a/core/request/retry/patience_test.go
+++ b/core/request/retry/patience_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against taking callers at their first try, who differ in patience, for those who come
-// back.
+// Guards against mistaking callers at their first attempt, whose timeouts differ, for returning
+// ones.
 func TestPatienceTellsWhoComesBack(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
@@ -35,18 +35,18 @@
 	}
 }
 
-// Guards against taking the callers of a process that has just started, most of which have
-// lost an attempt to the one before, for callers at their first try.
+// Guards against treating the callers of a process that has just started as being at their
+// first attempt: most of them have lost an attempt to the process before.
 func TestTimeoutTellsBeforeCallersDo(t *testing.T) {
 	const bound = 8 * time.Second
 	is := is.New(t)
 	var p ReturnDetector
 	is.True(p.Returning(6200*time.Millisecond, bound))
 	is.True(!p.Returning(6900*time.Millisecond, bound))
-	for range enoughSeen {
+	for range minSamples {
 		p.Returning(6900*time.Millisecond, bound)
 	}
-	is.True(!p.Returning(6200*time.Millisecond, bound)) // they only wait as long here
+	is.True(!p.Returning(6200*time.Millisecond, bound)) // here callers wait no longer than this
 	var brief ReturnDetector
-	is.True(!brief.Returning(2*time.Second, bound)) // the timeout says nothing of them
+	is.True(!brief.Returning(2*time.Second, bound)) // too far below the timeout to be compared with it
 }
--- a/core/request/retry/retry_test.go
+++ b/core/request/retry/retry_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2026, 1, 31, 12, 0, 0, 0, time.UTC)
 
-// rich returns a budget that allows a few retries.
-func rich(key Key) *Budget {
+// fundedBudget returns a budget that allows a few retries.
+func fundedBudget(key Key) *Budget {
 	b := NewBudgets(Limits{})
 	for range 200 {
 		b.Request(key, start)
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			rng := rand.New(rand.NewPCG(1, 1))
-			budget, returns := rich(Key{"erie", "target"}), &ReturnScheduler{}
+			budget, returns := fundedBudget(Key{"erie", "target"}), &ReturnScheduler{}
 			var d Decision
 			for _, kind := range tt.kinds {
 				d = Decide(&tt.state, kind, budget, returns, tt.deadline, start, rng)
@@ -58,7 +58,7 @@
 			if !d.Retry {
 				is.Equal(d.Err.Outcome, tt.want)
 				is.Equal(d.Err.Reason, tt.reason)
-				is.True(d.Err.RetryAfter >= minReturn)
+				is.True(d.Err.RetryAfter >= minRetryAfter)
 			}
 		})
 	}
@@ -82,10 +82,10 @@
 		}
 	}
 	is.True(float64(calls) <= 1.1*float64(requests))
-	is.True(calls > requests) // but some are
+	is.True(calls > requests) // some are retried
 }
 
-// Guards against one workspace that spends the others' retries.
+// Guards against one workspace spending the retries of others.
 func TestBudgetIsPerWorkspace(t *testing.T) {
 	is := is.New(t)
 	budgets := NewBudgets(Limits{})
@@ -103,16 +103,16 @@
 	is.Equal(len(budgets.keys), 0)
 }
 
-// Guards against a quiet workspace that has earned no retry for a dropped packet.
+// Guards against a workspace with few requests that cannot retry after a lost packet.
 func TestFloorGivesQuietWorkspaceARetry(t *testing.T) {
 	is := is.New(t)
 	g := NewBudgets(Limits{}).For(Key{"quiet", "target"})
 	is.True(g.Take(start))
 	is.True(!g.Take(start.Add(time.Second)))
-	is.True(g.Take(start.Add(floorEvery)))
+	is.True(g.Take(start.Add(floorInterval)))
 }
 
-// Guards against refused callers that come back as a second wave.
+// Guards against refused callers that return together and overload the targets again.
 func TestReturnIsNoSecondWave(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -129,7 +129,7 @@
 	for _, n := range back {
 		is.True(n <= 35) // callers in one second; 1000 were refused in one
 	}
-	idle := &ReturnScheduler{} // nothing completes: a minute, evenly
+	idle := &ReturnScheduler{} // nothing completes: spread evenly over a minute
 	is.True(idle.NextRetryAfter(start, rng) != idle.NextRetryAfter(start, rng))
 }
 
@@ -138,19 +138,19 @@
 	is := is.New(t)
 	key := Key{"bole", "target"}
 	hedges := 0
-	budget := rich(key)
+	budget := fundedBudget(key)
 	for range 100 {
 		if Hedge(&Attempts{Urgent: true}, time.Second, 100*time.Millisecond, budget, start) {
 			hedges++
 		}
 	}
-	is.True(hedges > 0 && hedges <= keyBurst+1)
-	is.True(!Hedge(&Attempts{Urgent: true}, 200*time.Millisecond, 100*time.Millisecond, rich(key), start))
-	is.True(!Hedge(&Attempts{Urgent: true, MayNotRepeat: true}, time.Second, 100*time.Millisecond, rich(key), start))
-	is.True(!Hedge(&Attempts{}, time.Second, 100*time.Millisecond, rich(key), start))
+	is.True(hedges > 0 && hedges <= defaultKeyBurst+1)
+	is.True(!Hedge(&Attempts{Urgent: true}, 200*time.Millisecond, 100*time.Millisecond, fundedBudget(key), start))
+	is.True(!Hedge(&Attempts{Urgent: true, MayNotRepeat: true}, time.Second, 100*time.Millisecond, fundedBudget(key), start))
+	is.True(!Hedge(&Attempts{}, time.Second, 100*time.Millisecond, fundedBudget(key), start))
 }
 
-// Guards against sending the few callers of an idle entry away for long.
+// Guards against a long Retry-After for the few callers of an idle entry.
 func TestFewCallersComeBackSoon(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -162,7 +162,8 @@
 	}
 }
 
-// Guards against more retries in some span than a deployment allows, also just after a start.
+// Guards against more retries within a time span than a deployment allows, also just after a
+// start.
 func TestLimitsOfADeployment(t *testing.T) {
 	is := is.New(t)
 	b := NewBudgets(Limits{Ratio: 0.17, KeyBurst: 4, HopBurst: 4, KeyStart: 2, HopStart: 2})
--- a/core/request/retry/window.go
+++ b/core/request/retry/window.go
@@ -2,65 +2,64 @@
 
 import "time"
 
-// windowSteps is in how many steps a window is counted. Retries are remembered for
-// extraSteps more: counted in whole steps, some would otherwise be forgotten a step too
-// soon, and a span of the window's length could hold those of both ends.
+// windowSteps is the number of steps in which a window is counted. Retries are kept for
+// extraSteps more: as counting is in whole steps, some would otherwise expire a step too soon,
+// and a span of the length of the window could hold the retries of both ends.
 const (
 	windowSteps = 20
 	extraSteps  = 2
 )
 
-// tally is what happened in one step.
-type tally struct {
+// stepCounts holds the requests and retries of one step.
+type stepCounts struct {
 	requests, retries float64
 }
 
-// window counts requests and retries of the last span of time.
+// window counts requests and retries over a sliding time span.
 //
-// The load pattern it answers is the loss of many attempts at one moment: a server or
-// a whole group dies, all that was in progress there breaks off, and a bucket that saves
-// up a few retries sends most of the callers away although hardly any retry was made in
-// the seconds before. The bound on retries is one over a span of time, so that one moment
-// may use all of it.
+// It serves the loss of many attempts at once: a server or a whole group crashes and everything
+// in flight there breaks. A token bucket with a few retries would refuse most of these callers,
+// although hardly any retry was made in the seconds before. As the limit applies to a time
+// span, a single moment may use all of it.
 type window struct {
 	step time.Duration
-	// began is when the first step began, by the clock that is never set.
-	began   time.Time
-	newest  int64
-	tallies [windowSteps + extraSteps]tally
+	// startedAt is when the first step began, on the monotonic clock.
+	startedAt time.Time
+	newest    int64
+	steps     [windowSteps + extraSteps]stepCounts
 }
 
-// newWindow returns an empty window of a span.
+// newWindow returns an empty window over the given span.
 func newWindow(span time.Duration) *window { return &window{step: span / windowSteps} }
 
-// at returns the tally of now, and forgets those that are too old.
-func (w *window) at(now time.Time) *tally {
-	if w.began.IsZero() {
-		w.began = now
+// at returns the counts of the step that contains now, and clears the steps that have expired.
+func (w *window) at(now time.Time) *stepCounts {
+	if w.startedAt.IsZero() {
+		w.startedAt = now
 	}
-	n := int64(now.Sub(w.began) / w.step)
-	size := int64(len(w.tallies))
+	n := int64(now.Sub(w.startedAt) / w.step)
+	size := int64(len(w.steps))
 	for w.newest < n {
 		if n-w.newest > size {
 			w.newest = n - size
 		}
 		w.newest++
-		w.tallies[w.newest%size] = tally{}
+		w.steps[w.newest%size] = stepCounts{}
 	}
-	// What is told late counts in the newest step.
-	return &w.tallies[w.newest%size]
+	// A report with an earlier time counts in the newest step.
+	return &w.steps[w.newest%size]
 }
 
-// left returns how many retries may be made now, if a part of the requests may be
-// repeated and so many beside them.
-func (w *window) left(part, beside float64, now time.Time) float64 {
+// left returns how many retries may be made now, given the share of the requests that may be
+// retried and the number allowed in addition.
+func (w *window) left(ratio, extra float64, now time.Time) float64 {
 	w.at(now)
-	size := int64(len(w.tallies))
-	left := beside
+	size := int64(len(w.steps))
+	left := extra
 	for i := range size {
-		t := &w.tallies[(w.newest-i+size)%size]
+		t := &w.steps[(w.newest-i+size)%size]
 		if i < windowSteps {
-			left += part * t.requests
+			left += ratio * t.requests
 		}
 		left -= t.retries
 	}
--- a/core/request/retry/window_test.go
+++ b/core/request/retry/window_test.go
@@ -7,13 +7,13 @@
 	"github.com/matryer/is"
 )
 
-// windowed returns budgets over ten seconds.
+// windowed returns budgets with a window of ten seconds.
 func windowed() *Budgets {
 	return NewBudgets(Limits{Ratio: 0.2, KeyBurst: 4, Window: 10 * time.Second})
 }
 
-// Guards against losing what breaks off at one moment although hardly any retry was made
-// before.
+// Guards against refusing retries of attempts that break at one moment although hardly any
+// retry was made before.
 func TestMomentMayUseTheWholeWindow(t *testing.T) {
 	is := is.New(t)
 	key := Key{Workspace: "pool", Hop: "pool"}
@@ -37,7 +37,8 @@
 	is.True(tookSaved <= 5)
 }
 
-// Guards against more retries in some span than its requests allow, wherever the span begins.
+// Guards against more retries within a time span than its requests allow, wherever the span
+// begins.
 func TestNoSpanHoldsMore(t *testing.T) {
 	is := is.New(t)
 	key := Key{Workspace: "pool", Hop: "pool"}
@@ -48,7 +49,7 @@
 	for at := time.Duration(0); at < 45*time.Second; at += step {
 		now := start.Add(at)
 		b.Request(key, now) // 100 a second
-		// Greedy for seconds, then nothing.
+		// Alternates between taking all that is allowed and nothing, for seven seconds each.
 		for at/(7*time.Second)%2 == 0 && b.For(key).Take(now) {
 			retries = append(retries, at)
 		}
@@ -68,8 +69,7 @@
 	is.True(len(retries) > 400)
 }
 
-// Guards against counting what is long past, or losing what is told late, after a pause of the
-// process.
+// Guards against counting expired steps, or losing late reports, after the process was paused.
 func TestWindowAfterAPause(t *testing.T) {
 	is := is.New(t)
 	key := Key{Workspace: "pool", Hop: "pool"}
