--- a/core/request/relay/event.go
+++ b/core/request/relay/event.go
@@ -6,91 +6,91 @@
 	"verbenashift/core/request/outcome"
 )
 
-// ActionKind is what the entry has to do next.
+// ActionKind is the kind of the next step of the entry.
 type ActionKind int
 
 // The actions.
 const (
-	// Pick chooses a target that was not tried yet; reply Picked or NoTarget.
+	// Pick chooses a target that was not tried yet. The reply is Picked or NoTarget.
 	Pick ActionKind = iota + 1
-	// Claim asks the key's home for the picked target, or, after NoTarget,
-	// only whether an earlier attempt holds the key; reply Granted, Held,
+	// Claim requests a grant from the key's home for the picked target or, after NoTarget,
+	// only queries whether an earlier attempt holds the key. The reply is Granted, Held,
 	// Mismatch, Uncertain, ClaimFailed or Free.
 	Claim
-	// Submit sends the request to the picked target and relays its frames;
-	// reply Ended or Broke.
+	// Submit sends the request to the picked target and relays its frames. The reply is Ended
+	// or Disconnected.
 	Submit
-	// Attach reads the answer of an earlier attempt; reply Ended, Broke or
+	// Attach reads the answer of an earlier attempt. The reply is Ended, Disconnected or
 	// NotSeen.
 	Attach
-	// Seal makes the executor refuse an attempt for ever; reply Sealed,
-	// Seen or Broke.
+	// Seal makes the executor refuse an attempt from now on. The reply is Sealed, Seen or
+	// Disconnected.
 	Seal
-	// Release gives the key back to its home; reply Released.
+	// Release returns the key to its home. The reply is Released.
 	Release
-	// Finish ends the request with Err, nil for complete.
+	// Finish ends the request with Err, which is nil for a complete answer.
 	Finish
 )
 
 // Action is one step for the entry to take.
 type Action struct {
 	Kind ActionKind
-	// Wait is how long to pause before the step.
+	// Wait is the delay before the step.
 	Wait time.Duration
-	// Resume says that a Submit continues an answer that broke.
+	// Resume means that a Submit continues an interrupted answer.
 	Resume bool
-	// Err is the end of the request when Kind is Finish.
+	// Err is the final error of the request if Kind is Finish.
 	Err *outcome.Error
 }
 
-// EventKind is what happened.
+// EventKind is the kind of an event that the entry reports.
 type EventKind int
 
 // The events.
 const (
-	// Picked says that a target was chosen.
+	// Picked means that a target was chosen.
 	Picked EventKind = iota + 1
-	// NoTarget says that there is none left to try.
+	// NoTarget means that no target is left to try.
 	NoTarget
-	// Granted says that the key is this request's to run.
+	// Granted means that this request may run the key.
 	Granted
-	// Held says that an earlier attempt holds the key.
+	// Held means that an earlier attempt holds the key.
 	Held
-	// Mismatch says that the key was used with another body.
+	// Mismatch means that the key was used with another body.
 	Mismatch
-	// Uncertain says that an earlier attempt may have run.
+	// Uncertain means that an earlier attempt may have run.
 	Uncertain
-	// ClaimFailed says that the home gave no decision.
+	// ClaimFailed means that the home returned no decision.
 	ClaimFailed
-	// Free says that the home knows no attempt that holds the key, in answer
-	// to a Claim without a target.
+	// Free means that the home knows of no attempt that holds the key. It is a reply to a
+	// Claim without a target.
 	Free
-	// Ended says that the answer came to an explicit end.
+	// Ended means that the answer came to an explicit end.
 	Ended
-	// Disconnected says that the connection ended without one.
+	// Disconnected means that the connection ended without an explicit end of the answer.
 	Disconnected
-	// NotSeen says that the executor never saw the request.
+	// NotSeen means that the executor has not received the request.
 	NotSeen
-	// RecordLost says that the executor has lost its memory of the request.
+	// RecordLost means that the executor has lost its record of the request.
 	RecordLost
-	// Sealed says that the attempt never ran and never will.
+	// Sealed means that the attempt never ran and never will.
 	Sealed
-	// Seen says that the executor has the attempt after all.
+	// Seen means that the executor has received the attempt after all.
 	Seen
-	// Released says that the home was told.
+	// Released means that the home has received the release.
 	Released
 )
 
-// Event reports how a step ended.
+// Event reports the result of a step.
 type Event struct {
 	Kind EventKind
-	// Ending is set with Ended.
+	// Outcome, Reason, RetryAfter and Handover are set with Ended.
 	Outcome    outcome.Outcome
 	Reason     string
 	RetryAfter time.Duration
 	Handover   bool
-	// NotSent is set with Broke when the request surely never left.
+	// NotSent is set with Disconnected if it is certain that the request was never sent.
 	NotSent bool
-	// Progress says that the attempt brought a piece of the answer.
+	// Progress means that the attempt delivered a piece of the answer.
 	Progress bool
 }
--- a/core/request/relay/relay.go
+++ b/core/request/relay/relay.go
@@ -1,10 +1,10 @@
 // Package relay decides what an entry does for one request, step by step.
 //
-// A Relay is a pure state machine: the entry carries out one Action at a time
-// and reports what happened as an Event. The machine keeps the promises of a
-// single request: a request that may not be repeated is submitted again only
-// after an agent has said that the earlier attempt never will run; an answer
-// that broke is continued where it stopped; and every request ends with
+// A Relay is a state machine without side effects: the entry carries out one
+// Action at a time and reports the result as an Event. The machine guarantees
+// for each request that one that may not be repeated is submitted again only
+// after an agent has stated that the earlier attempt will never run, that an
+// interrupted answer continues where it stopped, and that the request ends with
 // exactly one outcome.
 //
 // # Usage
@@ -24,7 +24,7 @@
 	"verbenashift/core/request/outcome"
 )
 
-// Reasons that the machine gives for an end. Callers see them.
+// The reasons for the end of a request. They are returned to callers.
 const (
 	ReasonNoTarget       = "no-target"
 	ReasonRegister       = "register-unavailable"
@@ -36,37 +36,37 @@
 	ReasonOverDeadline   = "deadline-exceeded"
 )
 
-// maxLooks is how often an earlier attempt is looked for before it is sealed.
-const maxLooks = 2
+// maxLookups is how often an earlier attempt is looked up before it is sealed.
+const maxLookups = 2
 
-// Request is what the machine has to know of a request.
+// Request holds the properties of a request that the machine depends on.
 type Request struct {
-	// Repeatable says that running it twice does no harm.
+	// Repeatable means that running the request twice does no harm.
 	Repeatable bool
-	// CallerKey says that the caller gave the idempotency key, so that an
-	// earlier try with the same key may exist.
+	// CallerKey means that the caller set the idempotency key, so that an earlier attempt with
+	// the same key may exist.
 	CallerKey bool
-	// Refused, if set, is why the entry does not run the request. With a
-	// caller's key the home is asked first: an earlier try may have run, and
-	// its answer is given all the same.
+	// Refused, if set, is the error with which the entry refuses to run the request. If the
+	// caller set the key, its home is queried first: an earlier attempt may have run, and its
+	// answer is then returned nevertheless.
 	Refused *outcome.Error
 }
 
-// Limits bound the tries of one request.
+// Limits bound the attempts of one request.
 type Limits struct {
-	// Tries is how many targets may be asked in a row, the first included,
-	// without a piece of the answer from any of them.
+	// Tries is how many targets in a row, including the first, may be tried without a piece of
+	// the answer from any of them.
 	Tries int
-	// Submits bounds the attempts in all.
+	// Submits bounds the total number of attempts.
 	Submits int
-	// Claims is how often the home of a key is asked.
+	// Claims is how often the home of a key is queried.
 	Claims int
-	// Attaches is how often a broken answer of a request that may not be
-	// repeated is asked for again.
+	// Attaches is how often an interrupted answer of a request that may not be repeated is
+	// requested again.
 	Attaches int
-	// Backoff is the pause before a second claim or attach; it doubles.
+	// Backoff is the delay before a second claim or attach. It doubles each time.
 	Backoff time.Duration
-	// RetryAfter is what callers are told when nothing better is known.
+	// RetryAfter is returned to callers if no better value is known.
 	RetryAfter time.Duration
 }
 
@@ -76,52 +76,52 @@
 	lim Limits
 
 	tries, claims, attaches, submits int
-	// looks counts how often an earlier attempt was not there yet.
-	looks int
-	// progressed says that a piece of the answer came.
+	// lookups counts how often an earlier attempt was not found yet.
+	lookups int
+	// progressed means that a piece of the answer was received.
 	progressed bool
-	// asked says that the home has decided on the key for this request.
-	asked bool
-	// granted says that this request holds its key.
+	// decided means that the home has decided on the key for this request.
+	decided bool
+	// granted means that this request holds its key.
 	granted bool
-	// held says that the request reads an earlier attempt's answer.
+	// held means that the request reads an earlier attempt's answer.
 	held bool
-	// reader says that the request only reads an earlier answer.
-	reader bool
-	// started says that a target may have begun to run it.
+	// readOnly means that the request only reads an earlier answer.
+	readOnly bool
+	// started means that a target may have begun to run the request.
 	started bool
-	// last is the latest refusal, given to the caller if no target is left.
-	last *outcome.Error
+	// lastRefusal is the latest refusal. It is returned to the caller if no target is left.
+	lastRefusal *outcome.Error
 	// afterRelease is the step that follows a Release.
 	afterRelease Action
 }
 
-// New returns the machine of one request.
+// New returns the state machine of one request.
 func New(req Request, lim Limits) *Relay {
 	return &Relay{req: req, lim: lim}
 }
 
-// refusedAtEntry ends a refused request, or asks the key's home first.
+// refusedAtEntry ends a refused request, or queries the key's home first.
 func (r *Relay) refusedAtEntry() Action {
 	if r.req.CallerKey {
 		return Action{Kind: Claim}
 	}
-	return Action{Kind: Finish, Err: r.last}
+	return Action{Kind: Finish, Err: r.lastRefusal}
 }
 
-// NewReader returns the machine of a caller that asks again for the answer of
-// an earlier request: it reads and runs nothing.
+// NewReader returns the state machine for a caller that requests the answer of an earlier
+// request again. It only reads and runs nothing.
 func NewReader(lim Limits) *Relay {
-	return &Relay{lim: lim, held: true, started: true, reader: true}
+	return &Relay{lim: lim, held: true, started: true, readOnly: true}
 }
 
 // Start returns the first step.
 func (r *Relay) Start() Action {
-	if r.reader {
+	if r.readOnly {
 		return Action{Kind: Attach}
 	}
 	if r.req.Refused != nil {
-		r.last = r.req.Refused
+		r.lastRefusal = r.req.Refused
 		return r.refusedAtEntry()
 	}
 	return Action{Kind: Pick}
@@ -138,10 +138,10 @@
 	case NoTarget:
 		return r.noTarget(e)
 	case Granted:
-		r.asked, r.granted = true, true
+		r.decided, r.granted = true, true
 		return r.submit()
 	case Held:
-		r.asked, r.held = true, true
+		r.decided, r.held = true, true
 		return Action{Kind: Attach}
 	case Mismatch:
 		a := finish(outcome.NotRun, ReasonKeyReused, 0)
@@ -152,21 +152,21 @@
 	case ClaimFailed:
 		return r.claimFailed(e)
 	case Free:
-		r.asked = true
+		r.decided = true
 		return r.noTarget(e)
 	case Ended:
 		return r.ended(e)
 	case Disconnected:
-		return r.broke(e)
+		return r.disconnected(e)
 	case NotSeen:
 		return r.notSeen()
 	case RecordLost:
-		return r.gone()
+		return r.recordLost()
 	case Sealed:
 		return r.sealed()
 	case Seen:
 		r.started = true
-		return r.goOn()
+		return r.continueAnswer()
 	case Released:
 		return r.afterRelease
 	}
