--- a/core/request/caller/caller.go
+++ b/core/request/caller/caller.go
@@ -1,7 +1,7 @@
-// Package caller is the edge towards callers: it reads their requests and
+// Package caller implements the API for callers: it reads their requests and
 // writes their answers.
 //
-// Requests have the shape that model clients speak (JSON bodies on
+// Requests either follow the API of model clients (JSON bodies on
 // /v1/completions and /v1/chat/completions, answers as JSON or server-sent
 // events) or are plain HTTP calls for a service under /services/NAME/.
 // An answer that is not complete is a JSON object with the outcome and the
@@ -56,8 +56,8 @@
 	BestEffort
 )
 
-// The estimate of a request's work: a token is about four bytes of prompt, and
-// a prompt token costs less than a generated one.
+// Parameters of the cost estimate of a request: a token is about four bytes of
+// prompt, and a prompt token costs less than a generated one.
 const (
 	bytesPerToken       = 4
 	promptTokensPerCost = 8
@@ -66,7 +66,7 @@
 	maxIdempotencyKey   = 256
 )
 
-// Limits bound what one request may hold.
+// Limits bound the size of one request.
 type Limits struct {
 	// Body is in bytes.
 	Body int64
@@ -77,24 +77,23 @@
 // Request is one request of a caller.
 type Request struct {
 	Method string
-	// Path is what the target is asked for, with the query.
+	// Path is the path sent to the target, including the query.
 	Path   string
 	Header http.Header
 	Body   []byte
-	// Model is empty for a plain service, Service for a model.
+	// Model is empty for a request to a plain service, Service for one to a model.
 	Model   string
 	Service string
 	Stream  bool
 	// Prefix is a hash of the start of the prompt, for prefix affinity.
 	Prefix uint64
-	// Cost is the expected work in tokens, Generated the part of it that is the
-	// answer of a model.
+	// Cost is the expected work in tokens, of which Generated is the answer of a model.
 	Cost           uint64
 	Generated      uint64
 	Priority       int
 	IdempotencyKey string
 	MayNotRepeat   bool
-	// Deadline is the time left that the caller gives; zero means none.
+	// Deadline is the time that the caller has left; zero means no limit.
 	Deadline time.Duration
 }
 
@@ -215,10 +214,10 @@
 	return nil
 }
 
-// Resume is how a caller asks again for an answer.
+// Resume is a request for the answer of an earlier request.
 type Resume struct {
 	RequestID string
-	// After is the last event that the caller has had.
+	// After is the last event that the caller has received.
 	After uint64
 }
 
@@ -241,7 +240,7 @@
 	return res, nil
 }
 
-// Token returns the bearer token of a request, "" if there is none.
+// Token returns the bearer token of a request, or "" if there is none.
 func Token(h http.Header) string {
 	scheme, token, ok := strings.Cut(h.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "bearer") {
@@ -250,7 +249,7 @@
 	return token
 }
 
-// String shows a request without any of its contents.
+// String describes a request without any of its contents.
 func (r Request) String() string {
 	return fmt.Sprintf("%s model=%q service=%q body=%d", r.Method, r.Model, r.Service, len(r.Body))
 }
--- a/core/request/caller/caller_test.go
+++ b/core/request/caller/caller_test.go
@@ -76,8 +76,8 @@
 	is.True(a.Stream && !b.Stream)
 }
 
-// A caller reads a stream whose answer broke off. The last thing it sees must
-// be an event that says so: without one, half an obituary looks whole.
+// Guards against a truncated answer that looks complete: the last event of an interrupted
+// stream must state the error.
 func TestStreamEndsAreExplicit(t *testing.T) {
 	is := is.New(t)
 	w := httptest.NewRecorder()
@@ -92,8 +92,8 @@
 	is.Equal(w.Body.String(), "data: [DONE]\n\n")
 }
 
-// An error of the entry's own may hold a part of a request in its text. The
-// caller of another workspace must never see it.
+// Guards against leaking parts of a request to another workspace's caller through the text of
+// an internal error.
 func TestForeignErrorTextStaysInside(t *testing.T) {
 	is := is.New(t)
 	w := httptest.NewRecorder()
--- a/core/request/caller/failure.go
+++ b/core/request/caller/failure.go
@@ -11,7 +11,7 @@
 	"verbenashift/core/request/outcome"
 )
 
-// errorBody is the JSON of an answer that is not complete.
+// errorBody is the JSON body of an answer that is not complete.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -22,8 +22,8 @@
 	RequestID string `json:"request-id,omitempty"`
 }
 
-// WriteError writes the final answer of a request that is not complete. An
-// error of another type is answered as unknown, without its text.
+// WriteError writes the final answer of a request that is not complete. An error of a type
+// other than *outcome.Error is reported as unknown, without its text.
 func WriteError(w http.ResponseWriter, requestID string, err error) {
 	e := asOutcome(err)
 	h := w.Header()
@@ -51,7 +51,7 @@
 	return append(b, '\n')
 }
 
-// retryAfter rounds up to whole seconds, as RFC 9110 section 10.2.3 has it.
+// retryAfter rounds up to whole seconds, as RFC 9110 section 10.2.3 requires.
 func retryAfter(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
--- a/core/request/caller/stream.go
+++ b/core/request/caller/stream.go
@@ -8,18 +8,18 @@
 	"verbenashift/core/request/outcome"
 )
 
-// Stream writes server-sent events to one caller. Its buffer is reused, so
-// that an event costs no allocation.
+// Stream writes server-sent events to one caller. It reuses its buffer, so that an event needs
+// no allocation.
 type Stream struct {
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	buf     []byte
-	timeout time.Duration
-	renewed time.Time
+	w          http.ResponseWriter
+	rc         *http.ResponseController
+	buf        []byte
+	timeout    time.Duration
+	extendedAt time.Time
 }
 
-// NewStream starts an event stream with the status 200. A write that a slow
-// caller does not take within timeout fails.
+// NewStream starts an event stream with the status 200. A write that a slow caller does not
+// accept within timeout fails.
 func NewStream(w http.ResponseWriter, requestID string, timeout time.Duration) *Stream {
 	h := w.Header()
 	h.Set("Content-Type", "text/event-stream")
@@ -39,8 +39,8 @@
 	return s.flush()
 }
 
-// Comment writes a line that clients ignore; it shows that the request is
-// still alive while nothing else can be said.
+// Comment writes a line that clients ignore. It shows that the request is still alive while
+// there is nothing else to send.
 func (s *Stream) Comment(text string) error {
 	s.buf = append(s.buf[:0], ": "...)
 	s.buf = append(s.buf, text...)
@@ -54,8 +54,8 @@
 	return s.flush()
 }
 
-// Error ends an answer that is not complete. Retry-After goes into the event,
-// since the headers have left.
+// Error ends an answer that is not complete. The retry delay goes into the event, since the
+// headers have already been sent.
 func (s *Stream) Error(requestID string, err error) error {
 	e := asOutcome(err)
 	s.buf = s.buf[:0]
@@ -70,8 +70,8 @@
 	return s.flush()
 }
 
-// Handover ends this connection but not the answer: the caller reads on at
-// another entry with the request identifier.
+// Handover ends this connection but not the answer: the caller continues to read at another
+// entry with the request identifier.
 func (s *Stream) Handover(requestID string) error {
 	s.buf = append(s.buf[:0], "event: handover\ndata: {\"request-id\":"...)
 	s.buf = strconv.AppendQuote(s.buf, requestID)
@@ -80,26 +80,25 @@
 }
 
 func (s *Stream) flush() error {
-	s.extend()
+	s.extendDeadline()
 	if _, err := s.w.Write(s.buf); err != nil {
 		return err
 	}
 	return s.rc.Flush()
 }
 
-// extend moves the write deadline, at most a few times per timeout, since each
-// move costs a timer.
-func (s *Stream) extend() {
+// extendDeadline moves the write deadline, at most a few times per timeout, since each move
+// needs a timer.
+func (s *Stream) extendDeadline() {
 	now := time.Now()
-	if now.Sub(s.renewed) < s.timeout/4 {
+	if now.Sub(s.extendedAt) < s.timeout/4 {
 		return
 	}
-	s.renewed = now
+	s.extendedAt = now
 	_ = s.rc.SetWriteDeadline(now.Add(s.timeout))
 }
 
-// WriteHandover tells a caller that waits for a whole answer to ask for it at
-// another entry.
+// WriteHandover makes a caller that waits for a complete answer request it at another entry.
 func WriteHandover(w http.ResponseWriter, requestID string) {
 	w.Header().Set("Retry-After", "0")
 	WriteError(w, requestID, &outcome.Error{Outcome: outcome.Unknown, Reason: "handover", Status: http.StatusServiceUnavailable})
--- a/core/request/draft/draft.go
+++ b/core/request/draft/draft.go
@@ -1,10 +1,10 @@
-// Package draft keeps one answer while it grows, so that it can be read more
+// Package draft buffers one answer while it grows, so that it can be read more
 // than once.
 //
-// An agent writes what its target sends into a Log; each caller that reads the
-// answer has a Reader of its own, which may start anywhere. The answer goes on
-// growing when a reader's connection breaks, and a second reader gets the same
-// bytes. Frames are numbered from 1 without gaps: the head, the pieces, the
+// An agent appends what its target sends to a Log. Each caller that reads the
+// answer has its own Reader, which may start at any frame. The answer continues
+// to grow when the connection of a reader breaks, and a second reader gets the
+// same bytes. Frames are numbered from 1 without gaps: the head, the pieces, the
 // end.
 //
 // # Usage
@@ -31,10 +31,10 @@
 	"verbenashift/core/request/outcome"
 )
 
-// Kind tells what a frame carries.
+// Kind is the kind of a frame.
 type Kind int
 
-// The kinds of frames, in the order in which they stand in an answer.
+// The kinds of frames, in the order in which they appear in an answer.
 const (
 	// Head carries the status and the headers of the answer.
 	Head Kind = iota + 1
@@ -55,7 +55,7 @@
 	// Sequence numbers the frames from 1.
 	Sequence uint64
 	Kind     Kind
-	// Data is valid for ever and must not be changed.
+	// Data remains valid and must not be modified.
 	Data []byte
 	// Status and Headers are set in a Head.
 	Status  int
@@ -64,22 +64,22 @@
 	Ending Ending
 }
 
-// Ending is how an answer ended.
+// Ending describes how an answer ended.
 type Ending struct {
 	Outcome    outcome.Outcome
 	Reason     string
 	RetryAfter time.Duration
-	// Handover says that the answer goes on at another agent.
+	// Handover means that the answer continues at another agent.
 	Handover bool
 }
 
-// FullError is returned by Append when the answer has outgrown its limit.
+// FullError is returned by Append when the answer exceeds its limit.
 type FullError struct {
 	// Limit is in bytes.
 	Limit int
 }
 
-// Error returns the limit.
+// Error returns a message with the limit.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("answer is over the limit of %d bytes", e.Limit)
 }
@@ -88,14 +88,14 @@
 type Log struct {
 	limit int
 
-	mu      sync.Mutex
-	status  int
-	headers []Header
-	headed  bool
-	buf     []byte
-	ends    []int
-	ending  *Ending
-	readers map[*Reader]struct{}
+	mu        sync.Mutex
+	status    int
+	headers   []Header
+	hasHead   bool
+	buf       []byte
+	pieceEnds []int
+	ending    *Ending
+	readers   map[*Reader]struct{}
 }
 
 // New returns an empty answer that may grow to limit bytes.
@@ -103,20 +103,20 @@
 	return &Log{limit: limit, readers: make(map[*Reader]struct{}, 1)}
 }
 
-// Head sets the status and the headers. Only the first call counts.
+// Head sets the status and the headers. Calls after the first have no effect.
 func (l *Log) Head(status int, headers []Header) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.headed {
+	if l.hasHead {
 		return
 	}
-	l.headed = true
+	l.hasHead = true
 	l.status, l.headers = status, headers
-	l.wake()
+	l.notify()
 }
 
-// Append copies one piece of the answer in. It returns *FullError once the
-// limit is reached and does nothing after End.
+// Append copies one piece into the answer. It returns *FullError if the piece would exceed the
+// limit, and does nothing after End.
 func (l *Log) Append(data []byte) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -127,12 +127,12 @@
 		return &FullError{Limit: l.limit}
 	}
 	l.buf = append(l.buf, data...)
-	l.ends = append(l.ends, len(l.buf))
-	l.wake()
+	l.pieceEnds = append(l.pieceEnds, len(l.buf))
+	l.notify()
 	return nil
 }
 
-// End closes the answer. Only the first call counts.
+// End closes the answer. Calls after the first have no effect.
 func (l *Log) End(e Ending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -140,11 +140,11 @@
 		return
 	}
 	l.ending = &e
-	l.headed = true
-	l.wake()
+	l.hasHead = true
+	l.notify()
 }
 
-// Ended returns the ending, and false while the answer still grows.
+// Ended returns the ending, and false while the answer is still growing.
 func (l *Log) Ended() (Ending, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +154,7 @@
 	return *l.ending, true
 }
 
-// Size returns the bytes held.
+// Size returns the number of buffered bytes.
 func (l *Log) Size() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,8 +178,8 @@
 	return r
 }
 
-// wake tells the readers that there is more. The caller holds mu.
-func (l *Log) wake() {
+// notify wakes up the readers after a change. The caller holds mu.
+func (l *Log) notify() {
 	for r := range l.readers {
 		select {
 		case r.changed <- struct{}{}:
@@ -188,36 +188,36 @@
 	}
 }
 
-// frame returns frame n, and false if it is not there yet.
+// frame returns frame n, and false if it does not exist yet.
 func (l *Log) frame(n uint64) (Frame, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n == 1 {
-		return Frame{Sequence: 1, Kind: Head, Status: l.status, Headers: l.headers}, l.headed
+		return Frame{Sequence: 1, Kind: Head, Status: l.status, Headers: l.headers}, l.hasHead
 	}
 	piece := int(n) - 2
-	if piece < len(l.ends) {
+	if piece < len(l.pieceEnds) {
 		start := 0
 		if piece > 0 {
-			start = l.ends[piece-1]
+			start = l.pieceEnds[piece-1]
 		}
-		return Frame{Sequence: n, Kind: Data, Data: l.buf[start:l.ends[piece]:l.ends[piece]]}, true
+		return Frame{Sequence: n, Kind: Data, Data: l.buf[start:l.pieceEnds[piece]:l.pieceEnds[piece]]}, true
 	}
 	if l.ending == nil {
 		return Frame{}, false
 	}
-	return Frame{Sequence: uint64(len(l.ends)) + 2, Kind: End, Ending: *l.ending}, true
+	return Frame{Sequence: uint64(len(l.pieceEnds)) + 2, Kind: End, Ending: *l.ending}, true
 }
 
-// Reader reads one answer from some frame on.
+// Reader reads one answer, starting at some frame.
 type Reader struct {
 	log     *Log
 	next    uint64
 	changed chan struct{}
 }
 
-// Next returns the next frame and waits for it if need be. After an End frame
-// it returns the same End again. The error is that of ctx.
+// Next returns the next frame, waiting for it if necessary. After an End frame it returns the
+// same End again. The error is that of ctx.
 func (r *Reader) Next(ctx context.Context) (Frame, error) {
 	for {
 		f, ok := r.log.frame(r.next)
@@ -233,7 +233,7 @@
 	}
 }
 
-// Close lets go of the answer.
+// Close detaches the reader from the answer.
 func (r *Reader) Close() {
 	r.log.mu.Lock()
 	defer r.log.mu.Unlock()
--- a/core/request/draft/draft_test.go
+++ b/core/request/draft/draft_test.go
@@ -12,9 +12,8 @@
 	"verbenashift/core/request/outcome"
 )
 
-// A caller's connection breaks in the middle of an obituary; the caller comes
-// back and asks for what follows frame 2. The answer has grown meanwhile and
-// must read on without a gap, a repeat or an end that looks whole too early.
+// Guards against a gap, a repetition or a premature end when a caller whose connection broke
+// requests what follows frame 2 and the answer has grown in the meantime.
 func TestReadersStartAnywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -46,8 +45,8 @@
 	})
 }
 
-// A target sends without end. The answer stops at its limit with an error, so
-// that one caller cannot take the memory of all.
+// Guards against one caller exhausting the memory of the agent: a target that sends without end
+// gets an error at the limit of the answer.
 func TestLimit(t *testing.T) {
 	is := is.New(t)
 	log := draft.New(3)
--- a/core/request/outcome/outcome.go
+++ b/core/request/outcome/outcome.go
@@ -1,7 +1,7 @@
-// Package outcome names the four ways in which a request can end.
+// Package outcome defines the four outcomes of a request.
 //
-// Every answer to a caller is exactly one of them: Complete, NotRun, Unknown
-// or Failed. A caller decides from the outcome alone whether a retry is safe.
+// Every answer to a caller has exactly one of them: Complete, NotRun, Unknown
+// or Failed. The outcome alone tells a caller whether a retry is safe.
 //
 // # Usage
 //
@@ -16,20 +16,20 @@
 	"time"
 )
 
-// Outcome is the final word on a request.
+// Outcome is the final result of a request.
 type Outcome int
 
-// The outcomes. The zero value means that no outcome is known yet.
+// The outcomes of a request.
 const (
 	// None is the zero value: the request has not ended.
 	None Outcome = iota
-	// Complete says that the caller got the whole answer.
+	// Complete means that the caller got the complete answer.
 	Complete
-	// NotRun says that no target ran the request, so that a retry is safe.
+	// NotRun means that no target ran the request, so that a retry is safe.
 	NotRun
-	// Unknown says that the request may have run and will not be run again.
+	// Unknown means that the request may have run and will not be run again.
 	Unknown
-	// Failed says that the request ran and failed.
+	// Failed means that the request ran and failed.
 	Failed
 )
 
@@ -48,15 +48,15 @@
 	return []byte(o.String()), nil
 }
 
-// Error is the end of a request other than Complete.
+// Error is the result of a request whose outcome is not Complete.
 type Error struct {
 	Outcome Outcome
-	// Reason is a stable kebab-case word such as "queue-full". It never holds
-	// any part of a request or an answer.
+	// Reason is a stable kebab-case identifier such as "queue-full". It never contains any
+	// part of a request or an answer.
 	Reason string
-	// RetryAfter is when to come back; zero means that no time is known.
+	// RetryAfter is the delay before a retry; zero means unknown.
 	RetryAfter time.Duration
-	// Status is the HTTP status for the caller; zero lets the edge choose.
+	// Status is the HTTP status for the caller; zero selects the default of the outcome.
 	Status int
 }
 
