--- a/core/request/booking/booking_test.go
+++ b/core/request/booking/booking_test.go
@@ -14,8 +14,8 @@
 	four  = Generation{Revision: 2, Names: []string{"a", "b", "c", "d"}}
 )
 
-// keyOf returns a key whose home is the first name before and the second after
-// target d has joined; from is where the search starts.
+// keyOf returns a key whose home is the first name before and the second name after target d
+// joins. The search starts at from.
 func keyOf(before, after string, from int) Key {
 	for i := from; ; i++ {
 		key := KeyOf("lakeshore", fmt.Sprint(i))
@@ -40,9 +40,9 @@
 	return Submission{Grant: a.Grant, RequestID: id, Incarnation: a.ExecutorIncarnation}
 }
 
-// An arranger's booking is granted, but the answer is lost, and the caller
-// tries again at another entry while the first submission is still on its way.
-// If the second try did not seal the first, the chapel would be booked twice.
+// Guards against a second run when the answer to a granted claim is lost: the caller retries at
+// another entry while the first submission is still in transit. The second attempt must seal
+// the first.
 func TestSecondTrySealsTheFirst(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(1, three)
@@ -59,12 +59,12 @@
 	other.Body[0] = 1
 	is.Equal(home.Claim(other, 0).Kind, Mismatch)
 
-	settled := b.Resolve(Query{Grant: second.Grant, Incarnation: 1}, 0)
-	is.Equal(settled.Kind, NeverRan)
+	resolved := b.Resolve(Query{Grant: second.Grant, Incarnation: 1}, 0)
+	is.Equal(resolved.Kind, NeverRan)
 	is.Equal(b.Accept(submission(first, "r1"), 0).Reason, ReasonSealed)
-	is.True(!home.Release(Proof{key, 1, "c", 1}, 0)) // another executor's word is no proof
-	is.True(home.Release(settled.Proof, 0))
-	is.True(!home.Release(settled.Proof, 0))
+	is.True(!home.Release(Proof{key, 1, "c", 1}, 0)) // a statement of another executor is no proof
+	is.True(home.Release(resolved.Proof, 0))
+	is.True(!home.Release(resolved.Proof, 0))
 	again := home.Claim(claimFor(key, "r2", "b"), 0)
 	is.Equal(again.Grant.Attempt, uint64(2))
 	is.Equal(b.Accept(submission(again, "r2"), 0).Kind, Run)
@@ -77,10 +77,9 @@
 	is.Equal(crashed.Resolve(Query{Grant: again.Grant, Incarnation: 1}, 0).Kind, RecordLost)
 }
 
-// A home is killed and its successor knows nothing. A grant of the dead home
-// runs at b, another is still on its way to c, and b answers late. A second run
-// would start if the new home granted before it had heard of the first, or if
-// c still took the old grant.
+// Guards against a second run after a home crashed and restarted without records. One of its
+// grants runs at b, another is in transit to c, and b answers late: the new home must not grant
+// before it knows of the first, and c must refuse the old grant.
 func TestHomeRestartsEmpty(t *testing.T) {
 	is := is.New(t)
 	key := keyOf("a", "a", 0)
@@ -108,9 +107,9 @@
 	is.Equal(home.Claim(claimFor(key, "r2", "c"), after).Reason, ReasonSuperseded)
 }
 
-// A home and the executor of its grant are killed together. The executor's new
-// process answers with an empty list, which must not pass for "never ran"; an
-// attempt that another executor sealed must not pass for the last one either.
+// Guards against a second run after a home and the executor of its grant crashed together. The
+// empty list of the new executor process must not count as "never ran", and an attempt sealed
+// at another executor must not count as the last one.
 func TestExecutorLostItsMemory(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(2, three)
@@ -120,13 +119,12 @@
 	home.SealAnswered("c", c, 0)
 	end := Limits{}.Window()
 	is.Equal(home.Claim(claimFor(key, "r1", "c"), end-1).Kind, Unknown)
-	is.Equal(home.Claim(claimFor(key, "r1", "c"), end).Grant.Attempt, uint64(1)) // all earlier tries are forgotten
+	is.Equal(home.Claim(claimFor(key, "r1", "c"), end).Grant.Attempt, uint64(1)) // all earlier attempts have expired
 }
 
-// An executor lists a seal of long ago, with a higher number than the attempt
-// that another holds, as numbers start again when a key was forgotten. Another
-// answers late, after the home has granted the key. If either replaced the
-// attempt that is out, a further try would run beside it.
+// Guards against a second run when seal answers replace the attempt that holds a key: one
+// executor lists an old seal with a higher number than the held attempt, as numbering restarts
+// when a key was forgotten, and another answers after the home has granted the key.
 func TestLateSealAnswer(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(2, three)
@@ -141,9 +139,9 @@
 	is.Equal(home.Claim(claimFor(key, "r1", "c"), 0).Executor, "b")
 }
 
-// A target joins and takes over keys. The old home has not heard of it and the
-// new one has no record: a retry at the new home, or a late try at the old one,
-// would run the key again if the new home did not take the record first.
+// Guards against a second run when a target joins and takes over keys: the old home has not
+// received the change and the new one has no record, so the new home must get the record before
+// it grants a key.
 func TestTargetsChange(t *testing.T) {
 	is := is.New(t)
 	held, free := keyOf("a", "d", 0), keyOf("a", "d", 1000)
@@ -164,7 +162,7 @@
 	is.Equal(d.Claim(claimFor(held, "r2", "a"), 0).Kind, Held)
 	late := a.Transfer(Transfer{free, 2}, 0)
 	late.Kind, late.Attempt, late.Executor = TransferRecord, 9, "b"
-	d.Transferred(free, "a", late, 0) // an answer that comes again is no news
+	d.Transferred(free, "a", late, 0) // a repeated answer changes nothing
 	is.Equal(d.Claim(claimFor(free, "r3", "b"), 0).Executor, "c")
 	back := claimFor(held, "r4", "c")
 	back.Revision = 3
@@ -177,9 +175,9 @@
 	is.Equal(a.Claim(back, 0).RequestID, "r1")
 }
 
-// An agent is restarted as planned with one key granted, one queued and one
-// running. Its successor must know all three, and a successor of a process that
-// worked without the handover must not take it for the whole truth.
+// Guards against losing keys in a planned restart with one key granted, one queued and one
+// running: the next process must know all three. A register must not count as complete after a
+// process has run without it.
 func TestDrainHandsOver(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(1, three)
@@ -211,20 +209,20 @@
 	is.Equal(next.Accept(Submission{Grant: Grant{Key{2}, "b", 6, 1}, Incarnation: 2}, 0).Reason, ReasonStaleGrant)
 	is.Equal(next.SealHome(Seal{"c", 1}, 0).Age, Forever)
 
-	for heard, kind := range map[uint64]AnswerKind{1: Granted, 2: Unknown} {
+	for highest, kind := range map[uint64]AnswerKind{1: Granted, 2: Unknown} {
 		home := &Home{Name: "a", Incarnation: 3}
 		home.Configure(three, 0)
 		home.Import(h.Home, 0)
 		home.Rebuild(0)
-		home.SealAnswered("b", SealAnswer{HighestHomeIncarnation: heard, Age: Forever}, 0)
-		home.SealAnswered("c", SealAnswer{HighestHomeIncarnation: 1}, 0) // c restarted: a gap, but for the handover
+		home.SealAnswered("b", SealAnswer{HighestHomeIncarnation: highest, Age: Forever}, 0)
+		home.SealAnswered("c", SealAnswer{HighestHomeIncarnation: 1}, 0) // c restarted: records would be missing without the handover
 		is.Equal(home.Claim(claimFor(key, "r1", "b"), 0).Executor, "b")
 		is.Equal(home.Claim(claimFor(keyOf("a", "a", 1000), "r2", "b"), 0).Kind, kind)
 	}
 }
 
-// A flood of keys fills the registers. Live keys must stay, or their second try
-// would run again; new ones are refused as not run, and time makes room.
+// Guards against a full register that drops stored keys, whose next attempt would run again.
+// New keys are refused as not run until older ones expire.
 func TestFullRegister(t *testing.T) {
 	is := is.New(t)
 	limits := Limits{MaxKeys: 1}
@@ -246,8 +244,8 @@
 	is.Equal(home.Len()+exec.Len(), 2)
 }
 
-// The agents of 19 names share the keys evenly, whatever the order of names,
-// and a name that joins takes keys to itself only.
+// Checks that 19 agents share the keys evenly, whatever the order of names, and that a name
+// that joins only takes keys over itself.
 func TestHomeOf(t *testing.T) {
 	is := is.New(t)
 	count := map[string]int{}
--- a/core/request/booking/custody.go
+++ b/core/request/booking/custody.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// DefaultMaxHandovers bounds how many registers an agent keeps for others.
+// DefaultMaxHandovers bounds how many registers an agent stores for others.
 const DefaultMaxHandovers = 16
 
-// Handover is all that an agent hands over when it is shut down.
+// Handover holds the registers that an agent hands over when it shuts down.
 type Handover struct {
 	Home     HomeExport
 	Executor ExecutorExport
 }
 
-// Backups keeps the registers of other agents between their processes.
+// Backups stores the registers of other agents while these restart.
 type Backups struct {
 	Limits Limits
-	// Max bounds the registers kept; 0 means DefaultMaxHandovers.
+	// Max bounds the number of stored registers; 0 means DefaultMaxHandovers.
 	Max int
 
-	items map[string]*deposit
+	backups map[string]*backup
 }
 
-type deposit struct {
+type backup struct {
 	handover Handover
 	until    time.Duration
-	// after is the first newer incarnation of the name that was heard of.
-	after uint64
+	// firstNewer is the first newer incarnation of the name that was observed.
+	firstNewer uint64
 }
 
-// BackupHolderOf returns the agent that keeps the register of name: the next one
-// in rendezvous order among the others. Skip holds names that could not be
-// reached or refused; one agent only ever gets a register.
+// BackupHolderOf returns the agent that stores the register of name: the next one in rendezvous
+// order among the others. Skip lists the names that could not be reached or that refused; only
+// one agent ever gets a register.
 func BackupHolderOf(name string, names, skip []string) string {
 	others := make([]string, 0, len(names))
 	for _, other := range names {
@@ -43,57 +43,57 @@
 	return HomeOf(KeyOf("", name), others)
 }
 
-// Put takes a register. It reports false if there is no place; the agent then
-// tries the next custodian.
+// Put stores a register. It reports false if there is no capacity; the agent then tries the
+// next backup holder.
 func (c *Backups) Put(h Handover, now time.Duration) bool {
-	for name, d := range c.items {
-		if d.until <= now {
-			delete(c.items, name)
+	for name, b := range c.backups {
+		if b.until <= now {
+			delete(c.backups, name)
 		}
 	}
 	limit := c.Max
 	if limit <= 0 {
 		limit = DefaultMaxHandovers
 	}
-	if _, ok := c.items[h.Home.Name]; !ok && len(c.items) >= limit {
+	if _, ok := c.backups[h.Home.Name]; !ok && len(c.backups) >= limit {
 		return false
 	}
-	if c.items == nil {
-		c.items = make(map[string]*deposit)
+	if c.backups == nil {
+		c.backups = make(map[string]*backup)
 	}
-	c.items[h.Home.Name] = &deposit{handover: h, until: now + c.Limits.Window()}
+	c.backups[h.Home.Name] = &backup{handover: h, until: now + c.Limits.Window()}
 	return true
 }
 
-// Observe notes that a process of a name is at work, from its heartbeat.
+// Observe records from a heartbeat that a process of a name is running.
 func (c *Backups) Observe(name string, incarnation uint64) {
-	d, ok := c.items[name]
-	if ok && incarnation > d.handover.Home.Incarnation && d.after == 0 {
-		d.after = incarnation
+	b, ok := c.backups[name]
+	if ok && incarnation > b.handover.Home.Incarnation && b.firstNewer == 0 {
+		b.firstNewer = incarnation
 	}
 }
 
-// Take gives a register to the next process of its name, again if the answer
-// was lost. A process that worked without the register has made it old: it may
-// have run keys that the register lacks, so that no later one gets it.
+// Take returns a register to the next process of its name, repeatedly if the reply was lost. If
+// a process ran without the register, the register is outdated and no later process gets it:
+// that process may have run keys that are not in it.
 func (c *Backups) Take(name string, incarnation uint64, now time.Duration) (Handover, bool) {
 	c.Observe(name, incarnation)
-	d, ok := c.items[name]
-	if !ok || d.until <= now || d.after != incarnation {
+	b, ok := c.backups[name]
+	if !ok || b.until <= now || b.firstNewer != incarnation {
 		return Handover{}, false
 	}
-	return d.handover, true
+	return b.handover, true
 }
 
-// Drain empties the custody and returns what it held, for the next custodian
-// when this agent is shut down itself.
+// Drain removes all registers and returns them, for the next backup holder when this agent
+// shuts down itself.
 func (c *Backups) Drain() []Handover {
 	var out []Handover
-	for _, d := range c.items {
-		if d.after == 0 {
-			out = append(out, d.handover)
+	for _, b := range c.backups {
+		if b.firstNewer == 0 {
+			out = append(out, b.handover)
 		}
 	}
-	c.items = nil
+	c.backups = nil
 	return out
 }
--- a/core/request/booking/doc.go
+++ b/core/request/booking/doc.go
@@ -1,19 +1,20 @@
 // Package booking decides who may run a request that must not run twice.
 //
-// A key names such a request. Its home is one agent, chosen by rendezvous
+// A key identifies such a request. Its home is one agent, chosen by rendezvous
 // hashing over the target names of the configuration, and Home is that agent's
 // register of grants. The agent beside the target that runs the request is the
-// executor, and Executor is its register of what it was given. A key runs only
-// with a grant of its home, at the one executor incarnation that the grant was
-// made for, and home and executor are different agents, so that one crash never
-// loses both records.
-//
-// Home and Executor are plain state machines: each method takes an event and
-// the time, and returns the decision. They start no goroutine, read no clock
-// and do no I/O. One goroutine owns each; neither is safe for concurrent use.
-//
-// Times are monotonic: now is the time since the owning process started. It
-// must never go back. Incarnations of one agent name must grow from process to
+// executor, and Executor is its register of accepted submissions. A key runs
+// only with a grant of its home, at the one executor incarnation that the grant
+// was issued for. Home and executor are different agents, so that a single crash
+// never loses both records.
+//
+// Home and Executor are state machines without side effects: each method takes
+// an event and the time, and returns the decision. They start no goroutines,
+// read no clock and do no I/O. Each is owned by one goroutine; neither is safe
+// for concurrent use.
+//
+// Times are monotonic: now is the time since the owning process started and must
+// never decrease. Incarnations of one agent name must increase from process to
 // process.
 //
 // # Usage
@@ -36,7 +37,7 @@
 //		executor.End(key, now)   // after the last
 //	}
 //
-// A key whose earlier attempt never ran is set free by the executor's proof:
+// The executor's proof that an earlier attempt never ran releases its key:
 //
 //	if s := executor.Resolve(query, now); s.Kind == booking.NeverRan {
 //		home.Release(s.Proof, now)
--- a/core/request/booking/executor.go
+++ b/core/request/booking/executor.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Forever is the age of a memory that has nothing before it.
+// Forever is the age of records with no earlier process before them.
 const Forever = time.Duration(math.MaxInt64)
 
-// RunState is how far an executor got with a key.
+// RunState is the state of a key at its executor.
 type RunState uint8
 
 // The states of a key at its executor.
 const (
-	// Sealed keys were not run and their attempt will be refused.
+	// Sealed keys were not run, and their attempt will be refused.
 	Sealed RunState = iota + 1
-	// Queued keys were accepted; the target has not seen them.
+	// Queued keys were accepted but not yet sent to the target.
 	Queued
-	// Running keys were given to the target.
+	// Running keys were sent to the target.
 	Running
-	// Ended keys ran to an end.
+	// Ended keys have finished running.
 	Ended
-	// AnswerLost keys ran in an earlier process whose answers are gone.
+	// AnswerLost keys ran in an earlier process, and their answers are lost.
 	AnswerLost
 )
 
@@ -35,11 +35,11 @@
 
 // The decisions on a submission.
 const (
-	// Run says: queue the request.
+	// Run means that the request is to be queued.
 	Run VerdictKind = iota + 1
-	// Attach says: the key is held by RequestID, give its answer.
+	// Attach means that RequestID holds the key and that its answer is to be returned.
 	Attach
-	// Refuse says: not run, for Reason.
+	// Refuse means that the request was not run, for the given Reason.
 	Refuse
 )
 
@@ -54,12 +54,12 @@
 	ReasonFull         = "register-full"
 )
 
-// Submission is a request with its grant as it reaches the executor.
+// Submission is a request and its grant as received by the executor.
 type Submission struct {
 	Grant     Grant
 	Body      Digest
 	RequestID string
-	// Incarnation is the executor incarnation that the grant was made for.
+	// Incarnation is the executor incarnation that the grant was issued for.
 	Incarnation uint64
 }
 
@@ -71,13 +71,13 @@
 	Reason    string
 }
 
-// run is an executor's record of a key. The home is an index into names.
-type run struct {
+// runRecord is an executor's record of a key. The home is an index into Executor.names.
+type runRecord struct {
 	body      Digest
 	requestID string
 	attempt   uint64
-	// until is the latest start for a queued key, the latest end for a running
-	// one and the time to forget any other.
+	// until is the latest start for a queued key, the latest end for a running one and the
+	// expiry time for any other.
 	until time.Duration
 	home  uint32
 	state RunState
@@ -88,54 +88,52 @@
 	// Name is the agent's name; Incarnation identifies its process.
 	Name        string
 	Incarnation uint64
-	// First says that no earlier process had this name, so that the empty
-	// memory of this one lacks nothing.
+	// First means that no earlier process had this name, so that no records can be missing.
 	First  bool
 	Limits Limits
 
-	runs     table[run]
-	names    []string
-	indexes  map[string]uint32
-	floors   map[string]uint64
-	earlier  map[uint64]bool
-	age      time.Duration
-	draining bool
+	runs       table[runRecord]
+	names      []string
+	indexes    map[string]uint32
+	floors     map[string]uint64
+	earlier    map[uint64]bool
+	ageAtStart time.Duration
+	draining   bool
 }
 
-// Accept decides whether a submission may run. The answer Run is given at most
-// once for a key.
+// Accept decides whether a submission may run. It returns Run at most once for a key.
 func (e *Executor) Accept(s Submission, now time.Duration) Verdict {
-	e.forget(now)
+	e.expire(now)
 	if r, ok := e.runs.records[s.Grant.Key]; ok && r.state != Sealed {
 		return r.attach(s)
 	}
-	// A submission that was meant for an earlier process may have run there
-	// before the crash and come again by a resend; only that process knew.
+	// A submission intended for an earlier process may have run there before the crash and be
+	// delivered again by a resend; only that process knew.
 	if s.Incarnation != e.Incarnation {
 		return refuse(ReasonIncarnation)
 	}
 	if e.draining {
 		return refuse(ReasonDraining)
 	}
-	// A home that lost its memory has sealed its earlier grants here: one that
-	// is still on its way would run beside the new home's grant.
+	// A home that lost its records has sealed its earlier grants here: one that is still in
+	// transit would run beside a grant of the new home process.
 	if s.Grant.HomeIncarnation < e.floors[s.Grant.Home] {
 		return refuse(ReasonStaleGrant)
 	}
-	// A second try was told that this attempt never ran; it may be late only.
+	// A second attempt was told that this one never ran; this one is only late.
 	if r, ok := e.runs.records[s.Grant.Key]; ok && s.Grant.Attempt <= r.attempt {
 		return refuse(ReasonSealed)
 	}
 	if len(e.runs.records) >= e.Limits.withDefaults().MaxKeys {
 		return refuse(ReasonFull)
 	}
-	e.raise(s.Grant.Home, s.Grant.HomeIncarnation)
-	r := run{body: s.Body, requestID: s.RequestID, attempt: s.Grant.Attempt, home: e.index(s.Grant.Home)}
-	e.keep(s.Grant.Key, r, Queued, now+e.Limits.withDefaults().MaxRun)
+	e.raiseFloor(s.Grant.Home, s.Grant.HomeIncarnation)
+	r := runRecord{body: s.Body, requestID: s.RequestID, attempt: s.Grant.Attempt, home: e.index(s.Grant.Home)}
+	e.store(s.Grant.Key, r, Queued, now+e.Limits.withDefaults().MaxRun)
 	return Verdict{Kind: Run, RequestID: s.RequestID, State: Queued}
 }
 
-func (r run) attach(s Submission) Verdict {
+func (r runRecord) attach(s Submission) Verdict {
 	if r.body != s.Body {
 		return refuse(ReasonBodyMismatch)
 	}
@@ -147,10 +145,10 @@
 
 func refuse(reason string) Verdict { return Verdict{Kind: Refuse, Reason: reason} }
 
-// Start records that the target is about to be given the key. It reports false
-// if the key is not queued any more; the agent must not send it then.
+// Start records that the key is about to be sent to the target. It reports false if the key is
+// no longer queued; the agent must not send it then.
 func (e *Executor) Start(key Key, now time.Duration) bool {
-	e.forget(now)
+	e.expire(now)
 	r, ok := e.runs.records[key]
 	if !ok || r.state != Queued {
 		return false
@@ -160,17 +158,17 @@
 	return true
 }
 
-// End records that the run of a key is over, well or badly.
+// End records that the run of a key has ended, with or without success.
 func (e *Executor) End(key Key, now time.Duration) {
 	r, ok := e.runs.records[key]
 	if !ok || r.state != Running {
 		return
 	}
-	e.keep(key, r, Ended, now+e.Limits.withDefaults().Retention)
+	e.store(key, r, Ended, now+e.Limits.withDefaults().Retention)
 }
 
-// UndoStart takes a started key back that surely never reached the target, since
-// no connection to it could be made. It reports false if the key does not run.
+// UndoStart withdraws a started key that certainly never reached the target, because no
+// connection to it could be made. It reports false if the key is not running.
 func (e *Executor) UndoStart(key Key, now time.Duration) (Proof, bool) {
 	r, ok := e.runs.records[key]
 	if !ok || r.state != Running {
@@ -179,8 +177,8 @@
 	return e.withdraw(key, r, now), true
 }
 
-// Withdraw takes a queued key back, for a request that is shed before the
-// target saw it. It reports false if the key was started: then it may run.
+// Withdraw takes back a queued key, for a request that is shed before it was sent to the
+// target. It reports false if the key was started, as it may then run.
 func (e *Executor) Withdraw(key Key, now time.Duration) (Proof, bool) {
 	r, ok := e.runs.records[key]
 	if !ok || r.state != Queued {
@@ -189,36 +187,36 @@
 	return e.withdraw(key, r, now), true
 }
 
-func (e *Executor) withdraw(key Key, r run, now time.Duration) Proof {
-	e.keep(key, r, Sealed, now+e.Limits.Window())
+func (e *Executor) withdraw(key Key, r runRecord, now time.Duration) Proof {
+	e.store(key, r, Sealed, now+e.Limits.Window())
 	return Proof{Key: key, Attempt: r.attempt, Executor: e.Name, Incarnation: e.Incarnation}
 }
 
-func (e *Executor) keep(key Key, r run, state RunState, until time.Duration) {
+func (e *Executor) store(key Key, r runRecord, state RunState, until time.Duration) {
 	r.state, r.until = state, until
 	e.runs.put(key, r, until)
 }
 
-// Len returns how many keys the executor remembers.
+// Len returns the number of keys that the executor stores.
 func (e *Executor) Len() int { return len(e.runs.records) }
 
-func (e *Executor) forget(now time.Duration) {
-	e.runs.expire(now, func(key Key, r run) bool {
+func (e *Executor) expire(now time.Duration) {
+	e.runs.expire(now, func(key Key, r runRecord) bool {
 		if r.until > now || r.state == Running {
 			return false
 		}
-		// The home forgets a key after the window, which counts the queue as
-		// part of the run. A key that waited longer would run beside a second
-		// try, or would be listed to the home as if it still held the key.
+		// The home forgets a key after the window, which counts the time in the queue as part
+		// of the run. A key that waited longer would run beside a second attempt, or would be
+		// listed to the home as if it still held the key.
 		if r.state == Queued {
-			e.keep(key, r, Sealed, now+e.Limits.Window())
+			e.store(key, r, Sealed, now+e.Limits.Window())
 			return false
 		}
 		return true
 	})
 }
 
-func (e *Executor) raise(home string, incarnation uint64) {
+func (e *Executor) raiseFloor(home string, incarnation uint64) {
 	if e.floors == nil {
 		e.floors = make(map[string]uint64)
 	}
--- a/core/request/booking/fuzz_test.go
+++ b/core/request/booking/fuzz_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// A caller's key runs twice, or "not run" turns out false, after some order of
-// lost answers, tries at other entries, crashes with empty memory, drains with
-// handover, late and doubled submissions and changes of the target list. The
-// oracle sees the executors' runs of each key and nothing of the registers.
+// Guards against running a key twice, or a false "not run", under random orders of lost
+// answers, attempts at other entries, crashes without records, drains with handover, late and
+// duplicate submissions and changes of the target list. The oracle observes only the runs at
+// the executors, not the registers.
 func TestAtMostOneRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		t.Repeat(w.actions())
 	})
 }
 
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"try":     w.doTry,
 		"step":    w.doStep,
@@ -41,7 +41,7 @@
 	}
 }
 
-// pick draws one of the items that a condition holds for.
+// pick draws one of the items that satisfy a condition.
 func pick[T any](t *rapid.T, items []T, ok func(T) bool) T {
 	var fit []T
 	for _, item := range items {
@@ -57,27 +57,27 @@
 
 func isUp(n *node) bool { return n.up }
 
-func (w *world) doTry(t *rapid.T) {
+func (w *simulation) doTry(t *rapid.T) {
 	key := KeyOf("lightbox", rapid.SampledFrom([]string{"1", "2", "3"}).Draw(t, "key"))
 	body := Digest{byte(rapid.IntRange(0, 5).Draw(t, "body") / 5)}
-	y := &try{key: key, body: body, id: fmt.Sprintf("r%d", len(w.tries)), before: len(w.runs[key]), call: w.tick()}
-	w.tries = append(w.tries, y)
+	y := &attempt{key: key, body: body, id: fmt.Sprintf("r%d", len(w.attempts)), before: len(w.runs[key]), call: w.tick()}
+	w.attempts = append(w.attempts, y)
 	w.bodies[y.id] = body
 }
 
-func (w *world) doStep(t *rapid.T) {
-	w.step(pick(t, w.tries, func(y *try) bool { return y.phase < submitted }))
+func (w *simulation) doStep(t *rapid.T) {
+	w.step(pick(t, w.attempts, func(y *attempt) bool { return y.phase < submitted }))
 }
 
-func (w *world) doGiveUp(t *rapid.T) {
-	pick(t, w.tries, func(y *try) bool { return y.phase == submitted }).phase = over
+func (w *simulation) doGiveUp(t *rapid.T) {
+	pick(t, w.attempts, func(y *attempt) bool { return y.phase == submitted }).phase = finished
 }
 
-func (w *world) doDeliver(t *rapid.T) {
-	w.deliver(pick(t, w.net, func(l *letter) bool { return l.copies > 0 }))
+func (w *simulation) doDeliver(t *rapid.T) {
+	w.deliver(pick(t, w.net, func(l *message) bool { return l.copies > 0 }))
 }
 
-func (w *world) doStart(t *rapid.T) {
+func (w *simulation) doStart(t *rapid.T) {
 	n := pick(t, w.nodes, func(n *node) bool { return n.up && len(keysIn(n.exec, Queued)) > 0 })
 	for _, key := range keysIn(n.exec, Queued) {
 		id := n.exec.runs.records[key].requestID
@@ -91,14 +91,14 @@
 	}
 }
 
-func (w *world) doEnd(t *rapid.T) {
+func (w *simulation) doEnd(t *rapid.T) {
 	n := pick(t, w.nodes, func(n *node) bool { return n.up && len(keysIn(n.exec, Running)) > 0 })
 	for _, key := range keysIn(n.exec, Running) {
 		w.end(n, key)
 	}
 }
 
-func (w *world) end(n *node, key Key) {
+func (w *simulation) end(n *node, key Key) {
 	n.exec.End(key, w.clock(n))
 	for _, r := range w.runs[key] {
 		if r.end == Forever && r.at == n.name {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (w *world) doSeal(t *rapid.T) {
+func (w *simulation) doSeal(t *rapid.T) {
 	n := pick(t, w.nodes, func(n *node) bool { return n.up && len(n.seals) > 0 })
 	name := rapid.SampledFrom(n.seals).Draw(t, "executor")
 	if e := w.node(name); e.up {
@@ -120,14 +120,14 @@
 	}
 }
 
-func (w *world) doCrash(t *rapid.T) {
+func (w *simulation) doCrash(t *rapid.T) {
 	n := pick(t, w.nodes, isUp)
 	if w.chance("crash") {
 		w.stop(n)
 	}
 }
 
-func (w *world) doDrain(t *rapid.T) {
+func (w *simulation) doDrain(t *rapid.T) {
 	n := pick(t, w.nodes, isUp)
 	if !w.chance("drain") {
 		return
@@ -136,15 +136,15 @@
 	w.stop(n)
 	to := pick(t, w.nodes, func(*node) bool { return true })
 	if to.up {
-		to.custody.Put(h, w.clock(to))
+		to.backups.Put(h, w.clock(to))
 	}
 }
 
-func (w *world) doBoot(t *rapid.T) {
+func (w *simulation) doBoot(t *rapid.T) {
 	w.boot(pick(t, w.nodes, func(n *node) bool { return !n.up }), false)
 }
 
-func (w *world) doList(t *rapid.T) {
+func (w *simulation) doList(t *rapid.T) {
 	if len(w.lists) > 4 || !w.chance("list") {
 		return
 	}
@@ -153,9 +153,9 @@
 	w.lists = append(w.lists, Generation{Revision: uint64(len(w.lists) + 1), Names: names})
 }
 
-func (w *world) doLearn(t *rapid.T) { w.configure(pick(t, w.nodes, isUp)) }
+func (w *simulation) doLearn(t *rapid.T) { w.configure(pick(t, w.nodes, isUp)) }
 
-func (w *world) doTime(t *rapid.T) {
+func (w *simulation) doTime(t *rapid.T) {
 	until := w.now + rapid.SampledFrom([]time.Duration{time.Second, time.Second, 3 * time.Second, 15 * time.Second, 3 * time.Minute}).Draw(t, "time")
 	for _, n := range w.nodes {
 		for _, key := range keysIn(n.exec, Running) {
--- a/core/request/booking/grant.go
+++ b/core/request/booking/grant.go
@@ -6,53 +6,56 @@
 	"verbenashift/core/request/outcome"
 )
 
-// Grant is the right to run a key once, given by its home.
+// Grant is the right to run a key once, issued by its home.
 type Grant struct {
 	Key Key
-	// Home is the agent that gave the grant. It is empty for a key that only
-	// the submitting entry knows, such as a fresh request id: there the entry
-	// itself answers for the single try.
+	// Home is the agent that issued the grant. It is empty for a key that only the submitting
+	// entry knows, such as a new request ID: the entry itself then ensures that there is only
+	// one attempt.
 	Home            string
 	HomeIncarnation uint64
 	// Attempt numbers the grants of one key, from 1.
 	Attempt uint64
 }
 
-// Claim asks the home of a key for a grant.
+// Claim requests a grant from the home of a key.
 type Claim struct {
 	Key       Key
 	Body      Digest
 	RequestID string
-	// Executor and ExecutorIncarnation are where the entry means to run it.
+	// Executor and ExecutorIncarnation are where the entry intends to run the request.
 	Executor            string
 	ExecutorIncarnation uint64
-	// Revision is the configuration that the entry acts on.
+	// Revision is the configuration revision that the entry acts on.
 	Revision uint64
 }
 
-// AnswerKind is the home's decision on a claim.
+// AnswerKind is the decision of a home on a claim.
 type AnswerKind int
 
 // The decisions on a claim.
 const (
-	// Granted says: submit Grant to Executor at ExecutorIncarnation.
+	// Granted means that Grant is to be submitted to Executor at ExecutorIncarnation.
 	Granted AnswerKind = iota + 1
-	// Held says that RequestID has the key at Executor; settle it there.
+	// Held means that RequestID holds the key at Executor, where the attempt is to be
+	// resolved.
 	Held
-	// Mismatch says that the key was used with another body.
+	// Mismatch means that the key was used with another body.
 	Mismatch
-	// Unknown says that an earlier attempt may have run and cannot be asked.
+	// Unknown means that an earlier attempt may have run and that no record of it is
+	// available.
 	Unknown
-	// Rebuilding says: not granted now, come back after RetryAfter.
+	// Rebuilding means that the claim can be decided only after RetryAfter.
 	Rebuilding
-	// Moved says that this agent is not the key's home.
+	// Moved means that this agent is not the key's home.
 	Moved
-	// Full says: not granted, the register is at its bound.
+	// Full means that the key was not granted because the register is at its bound.
 	Full
-	// BadExecutor says: not granted, choose another executor than the home.
+	// BadExecutor means that the key was not granted because the home may not be its own
+	// executor or the executor is not in the target list; choose another one.
 	BadExecutor
-	// NeedTransfer is for the home's own agent: call Transfer at each of From,
-	// report it with Transferred, then claim again.
+	// NeedTransfer is for the home's own agent: it must call Transfer at each of From, report
+	// the results with Transferred, and then claim again.
 	NeedTransfer
 )
 
@@ -71,25 +74,25 @@
 	return names[i]
 }
 
-// Answer is the home's answer to a claim.
+// Answer is the answer of a home to a claim.
 type Answer struct {
 	Kind AnswerKind
-	// Grant is set for Granted and Held; Held names the attempt to settle.
+	// Grant is set for Granted and Held; for Held it identifies the attempt to resolve.
 	Grant               Grant
 	RequestID           string
 	Executor            string
 	ExecutorIncarnation uint64
 	RetryAfter          time.Duration
-	// Reason tells why, for Unknown, Rebuilding and Moved.
+	// Reason explains Unknown, Rebuilding and Moved.
 	Reason string
-	// From lists the previous homes to ask, for NeedTransfer.
+	// From lists the previous homes to query, for NeedTransfer.
 	From []string
 }
 
-// Outcome returns what the caller is told if the entry gives up at this answer
-// without submitting. Only a home that knows all of a key's attempts can say
-// that none ran; where an earlier try of the key may have run, the outcome is
-// Unknown and the caller may ask again with the same key.
+// Outcome returns the outcome for the caller if the entry ends the request at this answer
+// without submitting it. Only a home that knows all attempts of a key can state that none ran;
+// where an earlier attempt may have run, the outcome is Unknown and the caller may retry with
+// the same key.
 func (a Answer) Outcome() outcome.Outcome {
 	switch a.Kind {
 	case Granted, Full, BadExecutor, Mismatch:
@@ -99,8 +102,8 @@
 	}
 }
 
-// Proof says that an attempt never ran and never will: its executor has sealed
-// it, or its only holder got a refusal and gave it up.
+// Proof states that an attempt never ran and never will: its executor has sealed it, or its
+// only holder was refused and gave it up.
 type Proof struct {
 	Key         Key
 	Attempt     uint64
--- a/core/request/booking/handover.go
+++ b/core/request/booking/handover.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// HomeExport is the register of a home that is shut down, for its next process.
+// HomeExport is the register of a home that shuts down, for its next process.
 type HomeExport struct {
 	Name        string
 	Incarnation uint64
-	// Gap is how much longer the exporting home lacked records.
+	// Gap is for how much longer the exporting home may lack records.
 	Gap  time.Duration
 	Keys []BookedKey
 }
 
-// BookedKey is a home's record of a key. Left is how long it still matters.
+// BookedKey is a home's record of a key. Left is how long it is still needed.
 type BookedKey struct {
 	Key                 Key
 	Body                Digest
@@ -20,17 +20,17 @@
 	Executor            string
 	ExecutorIncarnation uint64
 	MovedAt             uint64
-	// Inherited says that the exporting home did not grant the attempt itself.
+	// Inherited means that the exporting home did not grant the attempt itself.
 	Inherited bool
 	Left      time.Duration
 }
 
-// Export closes the home and returns its register. Claims are answered
-// Rebuilding from then on: a grant after the export would be in neither.
+// Export closes the home and returns its register. Claims are answered with Rebuilding from
+// then on: a grant after the export would be missing from it.
 func (h *Home) Export(now time.Duration) HomeExport {
-	h.forget(now)
+	h.expire(now)
 	h.exported = true
-	out := HomeExport{Name: h.Name, Incarnation: h.Incarnation, Gap: h.gapLeft(now)}
+	out := HomeExport{Name: h.Name, Incarnation: h.Incarnation, Gap: h.gapRemaining(now)}
 	for key, r := range h.keys.records {
 		k := BookedKey{
 			Key: key, Body: r.body, RequestID: r.requestID, Attempt: r.attempt,
@@ -44,15 +44,15 @@
 	return out
 }
 
-func (h *Home) gapLeft(now time.Duration) time.Duration {
+func (h *Home) gapRemaining(now time.Duration) time.Duration {
 	if h.rebuilding(now) {
 		return h.Limits.Window()
 	}
 	if !h.gap(now) {
 		return 0
 	}
-	left := h.rebuild.lost - now
-	for _, until := range h.rebuild.gaps {
+	left := h.rebuild.importedGapEnd - now
+	for _, until := range h.rebuild.gapEnds {
 		left = max(left, until-now)
 	}
 	if len(h.rebuild.pending) > 0 {
@@ -61,57 +61,56 @@
 	return left
 }
 
-// Import takes the register of the process before. Call it before Rebuild;
-// the rebuild then checks that no process came in between.
+// Import loads the register of the previous process. Call it before Rebuild, which then checks
+// that no other process ran in between.
 func (h *Home) Import(x HomeExport, now time.Duration) {
 	if x.Name != h.Name || x.Incarnation >= h.Incarnation {
 		return
 	}
 	h.rebuild.imported = x.Incarnation
-	h.rebuild.lost = now + x.Gap
+	h.rebuild.importedGapEnd = now + x.Gap
 	for _, k := range x.Keys {
-		r := booked{
+		r := grantRecord{
 			body: k.Body, requestID: k.RequestID, attempt: k.Attempt,
 			incarnation: k.ExecutorIncarnation, movedAt: k.MovedAt, inherited: k.Inherited,
 		}
 		if k.Executor != "" {
 			r.executor = h.index(k.Executor)
 		}
-		h.keep(k.Key, r, now+k.Left)
+		h.store(k.Key, r, now+k.Left)
 	}
 }
 
-// ExecutorExport is the register of an executor that is shut down.
+// ExecutorExport is the register of an executor that shuts down.
 type ExecutorExport struct {
 	Name        string
 	Incarnation uint64
-	// Earlier are the incarnations whose registers this one includes.
+	// Earlier are the incarnations whose registers are included in this one.
 	Earlier []uint64
-	// Age is how long the register goes back; see SealAnswer.
+	// Age is how far the register goes back; see SealAnswer.
 	Age    time.Duration
 	Floors []Seal
 	Keys   []ExecutedKey
 }
 
-// ExecutedKey is an executor's record of a key. Left is how long it still
-// matters.
+// ExecutedKey is an executor's record of a key. Left is how long it is still needed.
 type ExecutedKey struct {
 	SealedKey
 	Home string
 	Left time.Duration
 }
 
-// Drain refuses new keys from now on; what is queued and running goes on.
+// Drain refuses new keys from now on; queued and running keys continue.
 func (e *Executor) Drain() { e.draining = true }
 
-// Export drains the executor and returns its register. Call it when the last
-// run has ended or the drain's time is up: keys that still run are exported as
-// Cut, since their answers end with this process, and queued ones as Sealed,
-// since Start refuses them from now on.
+// Export drains the executor and returns its register. Call it when the last run has ended or
+// the drain has timed out: keys that are still running are exported as AnswerLost, since their
+// answers end with this process, and queued ones as Sealed, since Start refuses them from now
+// on.
 func (e *Executor) Export(now time.Duration) ExecutorExport {
-	e.forget(now)
+	e.expire(now)
 	e.draining = true
-	out := ExecutorExport{Name: e.Name, Incarnation: e.Incarnation, Age: e.memory(now)}
+	out := ExecutorExport{Name: e.Name, Incarnation: e.Incarnation, Age: e.memoryAge(now)}
 	for incarnation := range e.earlier {
 		out.Earlier = append(out.Earlier, incarnation)
 	}
@@ -122,7 +121,7 @@
 		k := ExecutedKey{SealedKey{key, r.body, r.requestID, r.attempt, r.state}, e.names[r.home], r.until - now}
 		switch r.state {
 		case Queued:
-			e.keep(key, r, Sealed, now+e.Limits.Window())
+			e.store(key, r, Sealed, now+e.Limits.Window())
 			k.State, k.Left = Sealed, e.Limits.Window()
 		case Running:
 			k.State, k.Left = AnswerLost, e.Limits.Window()
@@ -132,30 +131,30 @@
 	return out
 }
 
-// Import takes the register of the process before, so that this one answers
-// for both. Call it before the first Accept. Ended keys are taken as Cut: the
-// answers are gone, that they ran is not.
+// Import loads the register of the previous process, so that this one can answer for both. Call
+// it before the first Accept. Ended keys are imported as AnswerLost: it is known that they ran,
+// but their answers are lost.
 func (e *Executor) Import(x ExecutorExport, now time.Duration) {
 	if x.Name != e.Name || x.Incarnation >= e.Incarnation {
 		return
 	}
-	e.age = Forever
+	e.ageAtStart = Forever
 	if x.Age != Forever {
-		e.age = x.Age - now
+		e.ageAtStart = x.Age - now
 	}
 	e.earlier = map[uint64]bool{x.Incarnation: true}
 	for _, incarnation := range x.Earlier {
 		e.earlier[incarnation] = true
 	}
 	for _, floor := range x.Floors {
-		e.raise(floor.Home, floor.Incarnation)
+		e.raiseFloor(floor.Home, floor.Incarnation)
 	}
 	for _, k := range x.Keys {
-		r := run{body: k.Body, requestID: k.RequestID, attempt: k.Attempt, home: e.index(k.Home)}
+		r := runRecord{body: k.Body, requestID: k.RequestID, attempt: k.Attempt, home: e.index(k.Home)}
 		state := k.State
 		if state != Sealed {
 			state = AnswerLost
 		}
-		e.keep(k.Key, r, state, now+k.Left)
+		e.store(k.Key, r, state, now+k.Left)
 	}
 }
--- a/core/request/booking/home.go
+++ b/core/request/booking/home.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The reasons that a home gives with its answers.
+// The reasons in the answers of a home.
 const (
 	ReasonRecordsLost         = "records-lost"
 	ReasonUnreachable         = "previous-home-unreachable"
@@ -14,11 +14,10 @@
 	ReasonHomeDraining        = "home-draining"
 )
 
-// Generation is one target list of the configuration.
+// Generation is one revision of the target list in the configuration.
 type Generation struct {
 	Revision uint64
-	// Names are the names of the targets whose agents are homes, drained ones
-	// too.
+	// Names are the names of the targets whose agents are homes, including drained ones.
 	Names []string
 	// Executors are the names of all targets; nil means Names.
 	Executors []string
@@ -31,44 +30,44 @@
 	return g.Executors
 }
 
-// booked is a home's record of a key. The executor is a number of index; 0
-// means that no attempt is out. Attempt 0 marks a key that was never granted
-// here and that moved to another home.
-type booked struct {
+// grantRecord is a home's record of a key. The executor is a 1-based index into Home.names; 0
+// means that no attempt holds the key. Attempt 0 marks a key that was never granted here and
+// that moved to another home.
+type grantRecord struct {
 	body        Digest
 	requestID   string
 	attempt     uint64
 	incarnation uint64
 	until       time.Duration
-	// movedAt is the revision whose home took the key over; 0 for none.
+	// movedAt is the configuration revision whose home took over the key; 0 means none.
 	movedAt  uint64
 	executor uint32
-	// inherited says that this process did not grant the attempt itself: it
-	// learned of it from an executor or a previous home.
+	// inherited means that this process did not grant the attempt itself, but learned of it
+	// from an executor or a previous home.
 	inherited bool
 }
 
-// hearsay reports whether all that is known of a key is that an attempt of
-// another process never ran. Later attempts may exist elsewhere.
-func (r booked) hearsay() bool { return r.inherited && r.executor == 0 }
+// inheritedFree reports whether all that is known of a key is that an attempt of another
+// process never ran. Later attempts may exist elsewhere.
+func (r grantRecord) inheritedFree() bool { return r.inherited && r.executor == 0 }
 
 // Home is the register of grants of one agent.
 type Home struct {
 	// Name is the agent's name; Incarnation identifies its process.
 	Name        string
 	Incarnation uint64
-	// First says that no earlier process had this name: there are no earlier
-	// grants, so that nothing need be rebuilt.
+	// First means that no earlier process had this name, so that there are no earlier grants
+	// and nothing has to be rebuilt.
 	First  bool
 	Limits Limits
 
 	current  Generation
 	previous []pastGeneration
-	keys     table[booked]
+	keys     table[grantRecord]
 	names    []string
 	indexes  map[string]uint32
 	rebuild  rebuild
-	asked    map[Key][]string
+	answered map[Key][]string
 	exported bool
 }
 
@@ -77,9 +76,9 @@
 	until time.Duration
 }
 
-// Configure puts a target list in force. Lists of an older revision are
-// ignored. The list before stays a source of records for the window. A process
-// that missed lists must be given each of them in order.
+// Configure puts a target list in force. Lists with an older revision are ignored. The list in
+// force until now remains a source of records for the window. A process that missed lists must
+// be given each of them in order.
 func (h *Home) Configure(g Generation, now time.Duration) {
 	if g.Revision <= h.current.Revision {
 		return
@@ -88,85 +87,84 @@
 		h.AddPrevious(h.current, now)
 	}
 	h.current = g
-	clear(h.asked)
+	clear(h.answered)
 }
 
-// AddPrevious adds a list that was in force until now, for a process that started
-// after the change and learned of it from the configuration or a peer. Older
-// lists come first.
+// AddPrevious adds a list that was in force until now, for a process that started after the
+// change and learned of the list from the configuration or a peer. Lists must be added from
+// oldest to newest.
 func (h *Home) AddPrevious(g Generation, now time.Duration) {
 	lag := h.Limits.withDefaults().ConfigLag
 	h.previous = append(h.previous, pastGeneration{g, now + h.Limits.Window() + lag})
 }
 
-// Claim decides on a claim. Repeating a claim with the same request id gives
-// the same grant again.
+// Claim decides on a claim. Repeating a claim with the same request ID returns the same grant.
 func (h *Home) Claim(c Claim, now time.Duration) Answer {
-	h.forget(now)
-	if refusal, ok := h.turnAway(c, now); ok {
+	h.expire(now)
+	if refusal, ok := h.reject(c, now); ok {
 		return refusal
 	}
 	r, ok := h.keys.records[c.Key]
-	if ok && r.movedAt == 0 && !r.hearsay() {
-		return h.again(c, r, now)
+	if ok && r.movedAt == 0 && !r.inheritedFree() {
+		return h.decideRecorded(c, r, now)
 	}
 	if from := h.sources(c.Key, now); len(from) > 0 {
 		return Answer{Kind: NeedTransfer, From: from}
 	}
-	delete(h.asked, c.Key)
+	delete(h.answered, c.Key)
 	if r.attempt == 0 {
-		return h.first(c, now)
+		return h.decideNew(c, now)
 	}
 	r.movedAt = 0
 	h.keys.records[c.Key] = r
-	return h.again(c, r, now)
+	return h.decideRecorded(c, r, now)
 }
 
-// turnAway answers the claims that this home may not decide.
-func (h *Home) turnAway(c Claim, now time.Duration) (Answer, bool) {
+// reject answers the claims that this home may not decide.
+func (h *Home) reject(c Claim, now time.Duration) (Answer, bool) {
 	if h.exported {
-		return h.wait(Rebuilding, ReasonHomeDraining), true
+		return h.retryLater(Rebuilding, ReasonHomeDraining), true
 	}
 	if h.rebuild.superseded {
 		return Answer{Kind: Moved, Reason: ReasonSuperseded}, true
 	}
 	if c.Revision > h.current.Revision {
-		return h.wait(Rebuilding, ReasonConfigurationBehind), true
+		return h.retryLater(Rebuilding, ReasonConfigurationBehind), true
 	}
 	if HomeOf(c.Key, h.current.Names) != h.Name {
 		return Answer{Kind: Moved}, true
 	}
 	if r, ok := h.keys.records[c.Key]; ok && r.movedAt >= h.current.Revision && r.movedAt > 0 {
-		return h.wait(Moved, ReasonConfigurationBehind), true
+		return h.retryLater(Moved, ReasonConfigurationBehind), true
 	}
-	// A home that started empty does not know what it granted before. Granting
-	// now would run a key again whose first run is still under way.
+	// A home that started empty does not know its earlier grants. Granting now could run a key
+	// again whose first run is still in progress.
 	if h.rebuilding(now) {
-		return h.wait(Rebuilding, ""), true
+		return h.retryLater(Rebuilding, ""), true
 	}
 	return Answer{}, false
 }
 
-// first decides on a key without an attempt.
-func (h *Home) first(c Claim, now time.Duration) Answer {
-	// While an executor's record is missing, a key that nobody lists may have
-	// run there: it must not run again, and "not run" would be a guess.
+// decideNew decides on a key without an attempt.
+func (h *Home) decideNew(c Claim, now time.Duration) Answer {
+	// While an executor's records are missing, a key that no executor lists may have run
+	// there: it must not run again, and "not run" would be a guess.
 	if h.gap(now) {
 		return Answer{Kind: Unknown, Reason: ReasonRecordsLost}
 	}
 	return h.grant(c, 1, now)
 }
 
-// again decides on a key with a record.
-func (h *Home) again(c Claim, r booked, now time.Duration) Answer {
-	// The same key with another body is another request: its caller must not
-	// get the first one's answer.
+// decideRecorded decides on a key that has a record.
+func (h *Home) decideRecorded(c Claim, r grantRecord, now time.Duration) Answer {
+	// The same key with another body is another request: its caller must not get the first
+	// request's answer.
 	if r.body != c.Body {
 		return Answer{Kind: Mismatch}
 	}
-	// That an inherited attempt never ran says nothing of a later one, granted
-	// by the process before and run where the record is missing.
-	if r.hearsay() && h.gap(now) {
+	// That an inherited attempt never ran does not rule out a later one, granted by the
+	// previous process and run where the records are missing.
+	if r.inheritedFree() && h.gap(now) {
 		return Answer{Kind: Unknown, Reason: ReasonRecordsLost}
 	}
 	if r.executor == 0 {
@@ -184,16 +182,16 @@
 }
 
 func (h *Home) grant(c Claim, attempt uint64, now time.Duration) Answer {
-	// Home and executor in one process would lose both records in one crash,
-	// and a rebuild asks only the executors of the list.
+	// Home and executor in one process would lose both records in one crash, and a rebuild
+	// queries only the executors of the list.
 	executors := h.current.executors()
 	if !h.mayExecute(c.Executor, executors) || !slices.Contains(executors, c.Executor) {
 		return Answer{Kind: BadExecutor}
 	}
 	if attempt == 1 && len(h.keys.records) >= h.Limits.withDefaults().MaxKeys {
-		return h.wait(Full, "")
+		return h.retryLater(Full, "")
 	}
-	h.keep(c.Key, booked{
+	h.store(c.Key, grantRecord{
 		body: c.Body, requestID: c.RequestID, attempt: attempt,
 		incarnation: c.ExecutorIncarnation, executor: h.index(c.Executor),
 	}, now+h.Limits.Window())
@@ -203,8 +201,8 @@
 	}
 }
 
-// Release sets a key free whose attempt never ran. It reports false if the
-// proof is not about the attempt that holds the key.
+// Release frees a key whose attempt never ran. It reports false if the proof is not for the
+// attempt that holds the key.
 func (h *Home) Release(p Proof, now time.Duration) bool {
 	r, ok := h.keys.records[p.Key]
 	if !ok || h.exported || r.executor == 0 || r.attempt != p.Attempt {
@@ -214,30 +212,30 @@
 		return false
 	}
 	r.executor, r.requestID = 0, ""
-	h.keep(p.Key, r, now+h.Limits.Window())
+	h.store(p.Key, r, now+h.Limits.Window())
 	return true
 }
 
-// Len returns how many keys the home remembers.
+// Len returns the number of keys that the home stores.
 func (h *Home) Len() int { return len(h.keys.records) }
 
-func (h *Home) wait(kind AnswerKind, reason string) Answer {
+func (h *Home) retryLater(kind AnswerKind, reason string) Answer {
 	return Answer{Kind: kind, Reason: reason, RetryAfter: h.Limits.withDefaults().RebuildTimeout}
 }
 
-func (h *Home) keep(key Key, r booked, until time.Duration) {
+func (h *Home) store(key Key, r grantRecord, until time.Duration) {
 	r.until = until
 	h.keys.put(key, r, until)
 }
 
-func (h *Home) forget(now time.Duration) {
-	h.keys.expire(now, func(_ Key, r booked) bool { return r.until <= now })
+func (h *Home) expire(now time.Duration) {
+	h.keys.expire(now, func(_ Key, r grantRecord) bool { return r.until <= now })
 	for len(h.previous) > 0 && h.previous[0].until <= now {
 		h.previous = h.previous[1:]
 	}
 }
 
-// index returns the number of a name, from 1.
+// index returns the 1-based index of a name.
 func (h *Home) index(name string) uint32 {
 	if i, ok := h.indexes[name]; ok {
 		return i
--- a/core/request/booking/key.go
+++ b/core/request/booking/key.go
@@ -7,16 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key is the SHA-256 digest of a workspace and an idempotency key. The digest
-// keeps callers' text out of the registers.
+// Key is the SHA-256 digest of a workspace and an idempotency key. Using the digest keeps text
+// of callers out of the registers.
 type Key [sha256.Size]byte
 
 // Digest is the SHA-256 digest of a request body.
 type Digest [sha256.Size]byte
 
-// KeyOf returns the key of a workspace's idempotency key. The length of the
-// workspace is part of the digest, so that no two pairs share a key by moving
-// bytes from one string to the other.
+// KeyOf returns the key of a workspace's idempotency key. The length of the workspace is part
+// of the digest, so that two pairs whose concatenations are equal have different keys.
 func KeyOf(workspace, idempotencyKey string) Key {
 	buf := make([]byte, 0, 128)
 	buf = binary.AppendUvarint(buf, uint64(len(workspace)))
--- a/core/request/booking/late_test.go
+++ b/core/request/booking/late_test.go
@@ -6,9 +6,9 @@
 	"github.com/matryer/is"
 )
 
-// A request waits in the queue for as long as a run may take, and is given up;
-// another is shed only after its start. A late copy of the first must not run
-// beside the second try, and nobody may say that the other never ran.
+// Guards against a second run when a request waits in the queue for as long as a run may take,
+// and against a false "never ran" when a request is shed after its start. A late copy of the
+// expired request must be refused.
 func TestQueueOutlastsTheKey(t *testing.T) {
 	is := is.New(t)
 	home := newHome(1, three)
@@ -22,11 +22,11 @@
 	is.True(!ok)
 	is.True(!b.Start(waits, DefaultMaxRun))
 	is.Equal(b.Accept(submission(first, "r1"), DefaultMaxRun).Reason, ReasonSealed)
-	is.Equal(b.Accept(submission(Answer{Grant: Grant{Key: runs, Home: "a", HomeIncarnation: 1, Attempt: 2}, ExecutorIncarnation: 1}, "r3"), DefaultMaxRun).Kind, Attach) // it runs still
+	is.Equal(b.Accept(submission(Answer{Grant: Grant{Key: runs, Home: "a", HomeIncarnation: 1, Attempt: 2}, ExecutorIncarnation: 1}, "r3"), DefaultMaxRun).Kind, Attach) // it is still running
 }
 
-// A key is used again with another body, or a copy of an earlier attempt comes
-// late. Neither may be given the answer of the attempt that runs.
+// Guards against returning the answer of a running attempt to a request with another body under
+// the same key, or to a late copy of an earlier attempt.
 func TestOtherRequestDoesNotAttach(t *testing.T) {
 	is := is.New(t)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
@@ -38,8 +38,8 @@
 	is.Equal(b.Accept(late, 0).Reason, ReasonOtherAttempt)
 }
 
-// A paused home wakes after it was replaced and seals again. Executors tell it
-// nothing, or it would take itself for the home and grant beside its successor.
+// Guards against a replaced home that was paused, resumes and seals again. If executors listed
+// keys to it, it would act as the home and grant beside its successor.
 func TestOldHomeSealsNothing(t *testing.T) {
 	is := is.New(t)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
@@ -48,16 +48,16 @@
 	is.Equal(len(b.SealHome(Seal{"a", 2}, 0).Keys), 1)
 }
 
-// A home that rebuilds is asked for a key's record by the home of a newer list,
-// and so is one that was paused and replaced. "None" would let the key run again.
+// Guards against a rebuilding or replaced home that answers a transfer with "none", which would
+// let the key run again.
 func TestRebuildingHomeTransfersNothing(t *testing.T) {
 	is := is.New(t)
 	home := newHome(2, three)
 	is.Equal(home.Transfer(Transfer{keyOf("a", "d", 0), 2}, 0).Kind, TransferWait)
 }
 
-// Seals are kept in a full register too, up to its reserve; beyond it the
-// answer is that nothing is decided, since memory has an end.
+// Guards against unbounded memory for seals: a full register stores seals up to its reserve and
+// then answers that nothing is decided.
 func TestSealsAreBounded(t *testing.T) {
 	is := is.New(t)
 	b := &Executor{Name: "b", Incarnation: 1, First: true, Limits: Limits{MaxKeys: 8}}
@@ -69,9 +69,8 @@
 	is.Equal(b.Len(), 9)
 }
 
-// A register comes back from a peer after a later process has used the name. It
-// lacks that one's keys and must not count as whole; and a running key's answer
-// is gone with the process that had it.
+// Guards against importing a register after a later process has used the name, whose keys it
+// lacks, and against reporting an answer as available that ended with its process.
 func TestOldRegisterIsNotTaken(t *testing.T) {
 	is := is.New(t)
 	home := newHome(2, three)
--- a/core/request/booking/limits.go
+++ b/core/request/booking/limits.go
@@ -12,30 +12,28 @@
 	DefaultMaxKeys        = 32768
 )
 
-// Limits bound what the registers remember. Zero fields take the defaults.
+// Limits bound what the registers store. Zero fields take the defaults.
 type Limits struct {
-	// Retention is how long a key is remembered after its run ended.
+	// Retention is how long a key is stored after its run ended.
 	Retention time.Duration
 	// MaxRun is the longest time from acceptance to the end of the run; the
 	// agent ends a request that takes longer.
 	MaxRun time.Duration
-	// GrantLife is how long an entry may act on an answer of a home: submit
-	// the grant, settle the attempt or release it. Later it must claim again.
+	// GrantLife is how long an entry may act on an answer of a home: submit the grant, resolve
+	// the attempt or release it. After that it must claim again.
 	GrantLife time.Duration
-	// ConfigLag is how long a home may act on an older target list than the
-	// newest. A node that hears of no configuration for longer must stop
-	// serving claims.
+	// ConfigLag is how long a home may act on a target list that is not the newest. A node
+	// that receives no configuration for longer must stop serving claims.
 	ConfigLag time.Duration
-	// RebuildTimeout is how long a home that started empty waits for the
-	// executors before it serves with a gap.
+	// RebuildTimeout is how long a home that started empty waits for the executors before it
+	// serves claims with records missing.
 	RebuildTimeout time.Duration
-	// MaxKeys bounds each register. At the bound new keys are refused and
-	// live keys stay.
+	// MaxKeys bounds each register. At the bound new keys are refused and stored keys stay.
 	MaxKeys int
 }
 
-// Window returns how long after a claim its key may still matter: the life of
-// the grant, the longest run and the retention.
+// Window returns how long after a claim its key may still be needed: the sum of the grant
+// lifetime, the longest run and the retention.
 func (l Limits) Window() time.Duration {
 	l = l.withDefaults()
 	return l.GrantLife + l.MaxRun + l.Retention
--- a/core/request/booking/linear_test.go
+++ b/core/request/booking/linear_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// effect is what a caller learns of a key, or what its target saw.
+// effect is what a caller learns of a key, or what its target observed.
 type effect int
 
 const (
@@ -24,20 +24,20 @@
 	owner  string
 }
 
-// tick counts events, as the time axis of the history.
-func (w *world) tick() int64 {
+// tick returns the next event number, used as the time axis of the history.
+func (w *simulation) tick() int64 {
 	w.next++
 	return int64(w.next)
 }
 
-func (w *world) record(id string, key Key, e effect, owner string) {
-	i := slices.IndexFunc(w.tries, func(y *try) bool { return y.id == id })
+func (w *simulation) record(id string, key Key, e effect, owner string) {
+	i := slices.IndexFunc(w.attempts, func(y *attempt) bool { return y.id == id })
 	w.ops = append(w.ops, porcupine.Operation{
-		ClientId: i, Input: operation{key, e, owner}, Call: w.tries[i].call, Return: w.tick(),
+		ClientId: i, Input: operation{key, e, owner}, Call: w.attempts[i].call, Return: w.tick(),
 	})
 }
 
-// register is a key that goes from no owner to one, for good.
+// register models a key that gets at most one owner, permanently.
 var register = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := map[Key][]porcupine.Operation{}
@@ -61,19 +61,19 @@
 	},
 }
 
-// A caller is told "not run" after another had the key's answer, or is given
-// the answer of a request that did not run it. Each answer must fit a single
-// order of all tries of the key that agrees with real time.
+// Guards against answers that contradict each other: "not run" after another attempt got the
+// answer of the key, or the answer of a request that did not run it. The answers must fit one
+// order of all attempts of the key that is consistent with real time.
 func TestAnswersAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newSimulation(t)
 		w.limits.Retention = 24 * time.Hour
 		for _, n := range w.nodes {
-			n.home.Limits, n.exec.Limits, n.custody.Limits = w.limits, w.limits, w.limits
+			n.home.Limits, n.exec.Limits, n.backups.Limits = w.limits, w.limits, w.limits
 		}
 		t.Repeat(w.actions())
 		if !porcupine.CheckOperations(register, w.ops) {
-			t.Fatalf("no order of the tries explains the answers: %v", w.ops)
+			t.Fatalf("no order of the attempts explains the answers: %v", w.ops)
 		}
 	})
 }
--- a/core/request/booking/rebuild.go
+++ b/core/request/booking/rebuild.go
@@ -2,34 +2,33 @@
 
 import "time"
 
-// rebuild is the state of a home that started with an empty memory.
+// rebuild is the state of a home that started without records.
 type rebuild struct {
 	started bool
 	since   time.Duration
 	// pending are the executors that have not answered.
 	pending map[string]struct{}
-	// gaps give, for each executor with a young memory, when the keys that it
-	// has forgotten no longer matter.
-	gaps map[string]time.Duration
-	// lost is when the gap that the exporting process had closes.
-	lost       time.Duration
-	superseded bool
-	// imported is the incarnation whose register was handed over; heard is the
-	// highest that an executor has heard of.
-	imported uint64
-	heard    uint64
-	answered bool
+	// gapEnds holds, for each executor whose records do not go back far enough, when its
+	// missing keys are no longer needed.
+	gapEnds map[string]time.Duration
+	// importedGapEnd is when the gap of the exporting process ends.
+	importedGapEnd time.Duration
+	superseded     bool
+	// imported is the incarnation whose register was imported; highestIncarnation is the
+	// highest that an executor has reported.
+	imported           uint64
+	highestIncarnation uint64
+	answered           bool
 }
 
-// Rebuild starts the rebuild and returns the executors to seal with Seal{Name,
-// Incarnation}; report each answer with SealAnswered. Call it once, after
-// Configure and after Import if there is a register to import. A first process
-// of its name has nothing to rebuild.
+// Rebuild starts the rebuild and returns the executors to seal with Seal{Name, Incarnation}.
+// Report each answer with SealAnswered. Call Rebuild once, after Configure and, if there is a
+// register to import, after Import. The first process of a name has nothing to rebuild.
 func (h *Home) Rebuild(now time.Duration) []string {
 	h.rebuild.started, h.rebuild.since = true, now
 	h.rebuild.pending = make(map[string]struct{})
-	if h.rebuild.gaps == nil {
-		h.rebuild.gaps = make(map[string]time.Duration)
+	if h.rebuild.gapEnds == nil {
+		h.rebuild.gapEnds = make(map[string]time.Duration)
 	}
 	if h.First {
 		return nil
@@ -46,20 +45,19 @@
 	return names
 }
 
-// mayExecute reports whether a name can have run this home's keys: any other,
-// and the home itself only in a list of one.
+// mayExecute reports whether a name can have run this home's keys: any other name can, and the
+// home itself only in a list of one.
 func (h *Home) mayExecute(name string, names []string) bool {
 	return name != h.Name || len(names) == 1
 }
 
-// SealAnswered takes an executor's answer to the seal. Answers may come late
-// and twice.
+// SealAnswered processes an executor's answer to the seal. Answers may be late or duplicated.
 func (h *Home) SealAnswered(executor string, a SealAnswer, now time.Duration) {
 	if a.HighestHomeIncarnation > h.Incarnation {
 		h.rebuild.superseded = true
 		return
 	}
-	h.rebuild.heard = max(h.rebuild.heard, a.HighestHomeIncarnation)
+	h.rebuild.highestIncarnation = max(h.rebuild.highestIncarnation, a.HighestHomeIncarnation)
 	h.rebuild.answered = true
 	for _, k := range a.Keys {
 		h.merge(executor, a.Incarnation, k, now)
@@ -69,25 +67,25 @@
 	}
 	delete(h.rebuild.pending, executor)
 	if window := h.Limits.Window(); a.Age < window {
-		h.rebuild.gaps[executor] = now + window - a.Age
+		h.rebuild.gapEnds[executor] = now + window - a.Age
 	}
 }
 
-// merge takes a listed key.
+// merge adds a key that an executor listed.
 func (h *Home) merge(executor string, incarnation uint64, k SealedKey, now time.Duration) {
-	// A late answer must not replace what this home granted since, or a proof
-	// about an older attempt would set the key free beside it.
+	// A late answer must not replace a later grant of this home, or a proof about an older
+	// attempt would free the key while the granted one runs.
 	if r, ok := h.keys.records[k.Key]; ok && !r.inherited && r.movedAt == 0 {
 		return
 	}
-	next := booked{body: k.Body, attempt: k.Attempt, inherited: true}
+	next := grantRecord{body: k.Body, attempt: k.Attempt, inherited: true}
 	if k.State != Sealed {
 		next.requestID, next.incarnation, next.executor = k.RequestID, incarnation, h.index(executor)
 	}
 	h.inherit(k.Key, next, now)
 }
 
-// rebuilding reports whether claims must wait for the executors.
+// rebuilding reports whether claims must wait for answers of the executors.
 func (h *Home) rebuilding(now time.Duration) bool {
 	if h.First {
 		return false
@@ -98,7 +96,7 @@
 	return len(h.rebuild.pending) > 0 && now-h.rebuild.since < h.Limits.withDefaults().RebuildTimeout
 }
 
-// RecordsMissing reports whether records may be missing, so that new keys are answered
+// RecordsMissing reports whether records may be missing, so that new keys are answered with
 // Unknown.
 func (h *Home) RecordsMissing(now time.Duration) bool { return h.gap(now) }
 
@@ -106,30 +104,29 @@
 	if h.First {
 		return false
 	}
-	if now < h.rebuild.lost {
+	if now < h.rebuild.importedGapEnd {
 		return true
 	}
-	if h.covered() {
+	if h.coveredByImport() {
 		return false
 	}
 	if len(h.rebuild.pending) > 0 && now-h.rebuild.since < h.Limits.Window() {
 		return true
 	}
-	for name, until := range h.rebuild.gaps {
+	for name, until := range h.rebuild.gapEnds {
 		if now < until {
 			return true
 		}
-		delete(h.rebuild.gaps, name)
+		delete(h.rebuild.gapEnds, name)
 	}
 	return false
 }
 
-// covered reports whether an imported register replaces the missing records.
-// It does only if no process came between the exporting one and this: such a
-// process seals every executor before its first grant, so that they would have
-// heard of it.
-func (h *Home) covered() bool {
-	if h.rebuild.imported == 0 || h.rebuild.heard > h.rebuild.imported {
+// coveredByImport reports whether an imported register replaces the missing records. It does so
+// only if no process ran between the exporting one and this one: such a process seals every
+// executor before its first grant, so that the executors would know its incarnation.
+func (h *Home) coveredByImport() bool {
+	if h.rebuild.imported == 0 || h.rebuild.highestIncarnation > h.rebuild.imported {
 		return false
 	}
 	return h.rebuild.answered
--- a/core/request/booking/settle.go
+++ b/core/request/booking/settle.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Query asks an executor about an earlier attempt of a key, for a second try.
+// Query asks an executor about an earlier attempt of a key, on behalf of a later one.
 type Query struct {
-	// Grant is the attempt that the home named with Held.
+	// Grant is the attempt that the home returned with Held.
 	Grant Grant
 	// Incarnation is the executor process that the attempt was granted for.
 	Incarnation uint64
-	// Body is the asking request's own.
+	// Body is the body of the querying request.
 	Body Digest
 }
 
@@ -17,17 +17,17 @@
 
 // The answers to a query.
 const (
-	// Known says that RequestID holds the key here, in State.
+	// Known means that RequestID holds the key here, in State.
 	Known ResolutionKind = iota + 1
-	// NeverRan says that the attempt did not run and will be refused.
+	// NeverRan means that the attempt did not run and will be refused.
 	NeverRan
-	// RecordLost says that the process which was asked about is gone with its
-	// memory: the attempt may have run.
+	// RecordLost means that the queried process has ended and its records are lost: the
+	// attempt may have run.
 	RecordLost
-	// Undecided says that the register is full, so that the attempt can't be
-	// sealed now: it may still run.
+	// Undecided means that the register is full, so that the attempt cannot be sealed now: it
+	// may still run.
 	Undecided
-	// OtherBody says that the key is held for a request with another body.
+	// OtherBody means that the key is held for a request with another body.
 	OtherBody
 )
 
@@ -39,11 +39,11 @@
 	Proof     Proof
 }
 
-// Resolve answers what became of an attempt. If it never came, it is sealed
-// first: a submission that was only late is refused from then on, so that the
-// home may grant the key again.
+// Resolve returns what became of an attempt. An attempt that was not received is sealed first:
+// a submission that is only late is refused from then on, so that the home may grant the key
+// again.
 func (e *Executor) Resolve(q Query, now time.Duration) Resolution {
-	e.forget(now)
+	e.expire(now)
 	r, ok := e.runs.records[q.Grant.Key]
 	if ok && r.state != Sealed && r.body != q.Body {
 		return Resolution{Kind: OtherBody}
@@ -51,26 +51,26 @@
 	if ok && r.state != Sealed {
 		return Resolution{Kind: Known, RequestID: r.requestID, State: r.state}
 	}
-	// An earlier process may have run the key and crashed; only its register,
-	// if it was handed over, can say that it did not.
+	// An earlier process may have run the key and crashed; only its register, if it was handed
+	// over, can prove that it did not.
 	if q.Incarnation != e.Incarnation && !e.earlier[q.Incarnation] {
 		return Resolution{Kind: RecordLost}
 	}
-	// Some places stay in reserve for seals: a full register must still be
-	// able to settle the keys that it refused.
+	// Some capacity is reserved for seals: a full register must still be able to resolve the
+	// keys that it refused.
 	limit := e.Limits.withDefaults().MaxKeys
 	if !ok && len(e.runs.records) >= limit+limit/8 {
 		return Resolution{Kind: Undecided}
 	}
 	r.attempt = max(r.attempt, q.Grant.Attempt)
 	r.home = e.index(q.Grant.Home)
-	e.keep(q.Grant.Key, r, Sealed, now+e.Limits.Window())
+	e.store(q.Grant.Key, r, Sealed, now+e.Limits.Window())
 	proof := Proof{Key: q.Grant.Key, Attempt: q.Grant.Attempt, Executor: e.Name, Incarnation: q.Incarnation}
 	return Resolution{Kind: NeverRan, Proof: proof}
 }
 
-// Seal asks an executor to refuse a home's grants below an incarnation and to
-// list the keys it holds by them.
+// Seal makes an executor refuse grants of a home below an incarnation and list the keys that it
+// holds by such grants.
 type Seal struct {
 	Home        string
 	Incarnation uint64
@@ -89,24 +89,24 @@
 type SealAnswer struct {
 	// Incarnation is the executor's own.
 	Incarnation uint64
-	// HighestHomeIncarnation is the home's highest incarnation before this seal. If it is above
-	// the sealing one, the seal had no effect and the home is superseded.
+	// HighestHomeIncarnation is the home's highest incarnation known before this seal. If it
+	// is above the sealing one, the seal had no effect and the home is superseded.
 	HighestHomeIncarnation uint64
-	// Age is how long the executor has remembered keys without a hole; Forever
-	// if there was no process of its name before.
+	// Age is how far back the records of the executor go without a gap; it is Forever if there
+	// was no earlier process of its name.
 	Age  time.Duration
 	Keys []SealedKey
 }
 
-// SealHome refuses the home's grants below the incarnation from now on and
-// lists what the executor holds for that home.
+// SealHome refuses the home's grants below the incarnation from now on and lists the keys that
+// the executor holds for that home.
 func (e *Executor) SealHome(s Seal, now time.Duration) SealAnswer {
-	e.forget(now)
-	answer := SealAnswer{Incarnation: e.Incarnation, HighestHomeIncarnation: e.floors[s.Home], Age: e.memory(now)}
+	e.expire(now)
+	answer := SealAnswer{Incarnation: e.Incarnation, HighestHomeIncarnation: e.floors[s.Home], Age: e.memoryAge(now)}
 	if answer.HighestHomeIncarnation > s.Incarnation {
 		return answer
 	}
-	e.raise(s.Home, s.Incarnation)
+	e.raiseFloor(s.Home, s.Incarnation)
 	home := e.index(s.Home)
 	for key, r := range e.runs.records {
 		if r.home == home {
@@ -116,9 +116,9 @@
 	return answer
 }
 
-func (e *Executor) memory(now time.Duration) time.Duration {
-	if e.First || e.age == Forever {
+func (e *Executor) memoryAge(now time.Duration) time.Duration {
+	if e.First || e.ageAtStart == Forever {
 		return Forever
 	}
-	return now + e.age
+	return now + e.ageAtStart
 }
--- a/core/request/booking/table.go
+++ b/core/request/booking/table.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// table maps keys to records and forgets a record when its time has come.
+// table maps keys to records, each with an expiry time.
 type table[V any] struct {
 	records map[Key]V
-	// queue is a heap with the earliest time first. A key may be in it more
-	// than once; the record's own time decides.
-	queue []due
+	// queue is a min-heap by time. A key may be in it more than once; the record's own time
+	// decides.
+	queue []expiry
 }
 
-type due struct {
+type expiry struct {
 	at  time.Duration
 	key Key
 }
 
-// put stores a record and visits it in expire at the given time.
+// put stores a record that expire visits at the given time.
 func (t *table[V]) put(key Key, v V, at time.Duration) {
 	if t.records == nil {
 		t.records = make(map[Key]V)
 	}
 	t.records[key] = v
-	t.queue = append(t.queue, due{at, key})
+	t.queue = append(t.queue, expiry{at, key})
 	for i := len(t.queue) - 1; i > 0; {
 		parent := (i - 1) / 2
 		if t.queue[parent].at <= t.queue[i].at {
--- a/core/request/booking/transfer.go
+++ b/core/request/booking/transfer.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Transfer asks a previous home of a key for its record.
+// Transfer requests the record of a key from a previous home.
 type Transfer struct {
 	Key Key
-	// Revision is the configuration under which the asking home acts.
+	// Revision is the configuration revision on which the requesting home acts.
 	Revision uint64
 }
 
-// TransferKind is a previous home's answer.
+// TransferKind is the answer of a previous home.
 type TransferKind int
 
 // The answers to a transfer.
 const (
-	// TransferNone says that no attempt is known and none will be granted.
+	// TransferNone means that no attempt is known and that none will be granted.
 	TransferNone TransferKind = iota + 1
-	// TransferRecord hands the record over.
+	// TransferRecord means that the answer contains the record.
 	TransferRecord
-	// TransferWait says: ask again, the home rebuilds or knows a newer list.
+	// TransferWait means that the request must be repeated later: the home is rebuilding, is
+	// shutting down, or acts on a newer list.
 	TransferWait
-	// TransferUnknown says that records may be missing. The adapter also
-	// reports it for a home that it can't reach.
+	// TransferUnknown means that records may be missing. The adapter also reports it for a
+	// home that it cannot reach.
 	TransferUnknown
 )
 
@@ -38,17 +39,17 @@
 	ExecutorIncarnation uint64
 }
 
-// Transfer seals a key at this home and returns its record. From then on
-// claims of the key are answered Moved under the asking home's revision, so
-// that a home which has not heard of the change can't grant beside the new
-// one. The record stays, so that a lost answer can be asked for again.
+// Transfer seals a key at this home and returns its record. From then on claims of the key are
+// answered with Moved up to the requesting home's revision, so that a home which has not yet
+// received the change cannot grant the key beside the new one. The record stays, so that a lost
+// answer can be requested again.
 func (h *Home) Transfer(t Transfer, now time.Duration) TransferAnswer {
-	h.forget(now)
+	h.expire(now)
 	if h.exported || h.rebuild.superseded || h.rebuilding(now) || t.Revision < h.current.Revision {
 		return TransferAnswer{Kind: TransferWait}
 	}
 	r, ok := h.keys.records[t.Key]
-	if (!ok || r.hearsay()) && h.gap(now) {
+	if (!ok || r.inheritedFree()) && h.gap(now) {
 		return TransferAnswer{Kind: TransferUnknown}
 	}
 	if !ok && len(h.keys.records) >= h.Limits.withDefaults().MaxKeys {
@@ -56,7 +57,7 @@
 	}
 	r.movedAt = max(r.movedAt, t.Revision)
 	if !ok {
-		h.keep(t.Key, r, now+h.Limits.Window())
+		h.store(t.Key, r, now+h.Limits.Window())
 	} else {
 		h.keys.records[t.Key] = r
 	}
@@ -70,57 +71,56 @@
 	return answer
 }
 
-// Transferred takes a previous home's answer. Until all sources have answered
-// TransferNone or TransferRecord the key is not granted here.
+// Transferred processes a previous home's answer. The key is not granted here until all sources
+// have answered with TransferNone or TransferRecord.
 func (h *Home) Transferred(key Key, from string, a TransferAnswer, now time.Duration) {
 	if a.Kind != TransferNone && a.Kind != TransferRecord {
 		return
 	}
-	if h.asked == nil {
-		h.asked = make(map[Key][]string)
+	if h.answered == nil {
+		h.answered = make(map[Key][]string)
 	}
-	if len(h.asked) < h.Limits.withDefaults().MaxKeys && !slices.Contains(h.asked[key], from) {
-		h.asked[key] = append(h.asked[key], from)
+	if len(h.answered) < h.Limits.withDefaults().MaxKeys && !slices.Contains(h.answered[key], from) {
+		h.answered[key] = append(h.answered[key], from)
 	}
 	r, ok := h.keys.records[key]
-	// A late answer must not replace what this home granted since.
+	// A late answer must not replace a later grant of this home.
 	if ok && !r.inherited && r.movedAt == 0 {
 		return
 	}
 	if a.Kind == TransferNone {
 		return
 	}
-	next := booked{body: a.Body, requestID: a.RequestID, attempt: a.Attempt, incarnation: a.ExecutorIncarnation, inherited: true}
+	next := grantRecord{body: a.Body, requestID: a.RequestID, attempt: a.Attempt, incarnation: a.ExecutorIncarnation, inherited: true}
 	if a.Executor != "" {
 		next.executor = h.index(a.Executor)
 	}
 	h.inherit(key, next, now)
 }
 
-// inherit takes another process's record of a key beside what is known here.
-// A held attempt wins over a free one whatever their numbers: the numbers start
-// again once a key was forgotten, so that a seal of long ago can carry a higher
-// one than an attempt that runs. That the held one is stale is for its executor
-// to say. Of two held ones the later wins, and the highest number is kept, so
-// that the next attempt is above every seal.
-func (h *Home) inherit(key Key, next booked, now time.Duration) {
+// inherit merges another process's record of a key with what is known here. A held attempt
+// takes precedence over a free one whatever their numbers: numbering restarts once a key was
+// forgotten, so that an old seal can have a higher number than a running attempt. If the held
+// attempt is stale, its executor reports that. Of two held attempts the later one takes
+// precedence, and the highest number is kept, so that the next attempt is above every seal.
+func (h *Home) inherit(key Key, next grantRecord, now time.Duration) {
 	r := h.keys.records[key]
 	highest := max(r.attempt, next.attempt)
 	if r.executor != 0 && (next.executor == 0 || r.attempt >= next.attempt) {
 		next = r
 	}
 	next.attempt, next.movedAt = highest, r.movedAt
-	h.keep(key, next, now+h.Limits.Window())
+	h.store(key, next, now+h.Limits.Window())
 }
 
-// sources returns the previous homes that still have to hand over a key. A
-// key that came back to this home counts as here once all have answered.
+// sources returns the previous homes that still have to transfer a key. A key that returned to
+// this home counts as held here once all of them have answered.
 func (h *Home) sources(key Key, now time.Duration) []string {
 	var from []string
-	asked := h.asked[key]
+	answered := h.answered[key]
 	for _, g := range slices.Backward(h.previous) {
 		name := HomeOf(key, g.Names)
-		if g.until <= now || name == h.Name || slices.Contains(asked, name) || slices.Contains(from, name) {
+		if g.until <= now || name == h.Name || slices.Contains(answered, name) || slices.Contains(from, name) {
 			continue
 		}
 		from = append(from, name)
--- a/core/request/booking/world_test.go
+++ b/core/request/booking/world_test.go
@@ -13,8 +13,8 @@
 	"verbenashift/core/request/outcome"
 )
 
-// TestMain fixes the seed and the size of the fuzzing; flags of the command
-// line come after and win, as in go test -rapid.seed=0 -rapid.checks=100000.
+// TestMain fixes the seed and the size of the random tests. Command-line flags take precedence,
+// as in go test -rapid.seed=0 -rapid.checks=100000.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{
 		"rapid.seed": "7", "rapid.checks": "5000", "rapid.steps": "120", "rapid.nofailfile": "true", "rapid.shrinktime": "10s",
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// node is one agent, process after process.
+// node is one agent with its successive processes.
 type node struct {
 	name    string
 	inc     uint64
@@ -33,13 +33,13 @@
 	started time.Duration
 	home    *Home
 	exec    *Executor
-	custody *Backups
+	backups *Backups
 	revised int
 	seals   []string
 }
 
-// try is one request at an entry. The entry sends each grant once.
-type try struct {
+// attempt is one request at an entry. The entry submits each grant once.
+type attempt struct {
 	key    Key
 	body   Digest
 	id     string
@@ -54,17 +54,17 @@
 
 const (
 	claiming phase = iota
-	settling
+	resolving
 	submitted
-	over
+	finished
 )
 
-type letter struct {
+type message struct {
 	to     string
 	s      Submission
 	until  time.Duration
 	copies int
-	from   *try
+	from   *attempt
 }
 
 type execution struct {
@@ -73,25 +73,26 @@
 	end    time.Duration
 }
 
-// world holds a fleet and the oracle: the runs of each key, nothing else.
-type world struct {
-	t      *rapid.T
-	now    time.Duration
-	limits Limits
-	lists  []Generation
-	listed []time.Duration
-	nodes  []*node
-	tries  []*try
-	net    []*letter
-	bodies map[string]Digest
-	runs   map[Key][]*execution
-	notRun map[string]bool
-	ops    []porcupine.Operation
-	next   uint64
+// simulation holds the agents, the network and the oracle, which knows only the runs of each
+// key.
+type simulation struct {
+	t        *rapid.T
+	now      time.Duration
+	limits   Limits
+	lists    []Generation
+	listed   []time.Duration
+	nodes    []*node
+	attempts []*attempt
+	net      []*message
+	bodies   map[string]Digest
+	runs     map[Key][]*execution
+	notRun   map[string]bool
+	ops      []porcupine.Operation
+	next     uint64
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{
+func newSimulation(t *rapid.T) *simulation {
+	w := &simulation{
 		t: t, bodies: map[string]Digest{}, runs: map[Key][]*execution{}, notRun: map[string]bool{},
 		limits: Limits{Retention: 2 * time.Minute, MaxRun: 30 * time.Second, GrantLife: 20 * time.Second, ConfigLag: 15 * time.Second, MaxKeys: rapid.SampledFrom([]int{3, 64}).Draw(t, "max-keys")},
 		lists:  []Generation{{Revision: 1, Names: []string{"a", "b", "c"}}},
@@ -105,17 +106,17 @@
 	return w
 }
 
-func (w *world) clock(n *node) time.Duration { return w.now - n.started }
+func (w *simulation) clock(n *node) time.Duration { return w.now - n.started }
 
-func (w *world) boot(n *node, first bool) {
+func (w *simulation) boot(n *node, first bool) {
 	w.next++
-	n.inc, n.up, n.started, n.custody = w.next, true, w.now, &Backups{Limits: w.limits}
+	n.inc, n.up, n.started, n.backups = w.next, true, w.now, &Backups{Limits: w.limits}
 	n.home = &Home{Name: n.name, Incarnation: n.inc, First: first, Limits: w.limits}
 	n.exec = &Executor{Name: n.name, Incarnation: n.inc, First: first, Limits: w.limits}
 	n.revised = 0
 	w.configure(n)
 	for _, other := range w.nodes {
-		if h, ok := other.custody.Take(n.name, n.inc, w.clock(other)); ok && other.up && !first {
+		if h, ok := other.backups.Take(n.name, n.inc, w.clock(other)); ok && other.up && !first {
 			n.home.Import(h.Home, 0)
 			n.exec.Import(h.Executor, 0)
 		}
@@ -124,19 +125,19 @@
 	w.t.Logf("%v boot %s/%d imported %d", w.now, n.name, n.inc, n.home.rebuild.imported)
 }
 
-func (w *world) configure(n *node) {
+func (w *simulation) configure(n *node) {
 	for _, g := range w.lists[n.revised:] {
 		n.home.Configure(g, w.clock(n))
 	}
 	n.revised = len(w.lists)
 }
 
-func (w *world) node(name string) *node {
+func (w *simulation) node(name string) *node {
 	return w.nodes[slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == name })]
 }
 
-// stop ends what runs at a node; its process is gone.
-func (w *world) stop(n *node) {
+// stop ends the process of a node and everything that runs there.
+func (w *simulation) stop(n *node) {
 	n.up = false
 	for _, runs := range w.runs {
 		for _, r := range runs {
@@ -147,8 +148,8 @@
 	}
 }
 
-// ran is the oracle: it judges a start by the earlier runs of the key alone.
-func (w *world) ran(n *node, key Key, id string) {
+// ran is the oracle: it checks a start against the earlier runs of the key.
+func (w *simulation) ran(n *node, key Key, id string) {
 	if w.recent(w.runs[key]) {
 		w.t.Fatalf("key %x runs twice, now by %s at %s", key[0], id, n.name)
 	}
@@ -161,14 +162,14 @@
 }
 
 // recent reports whether one of the runs is still within its retention.
-func (w *world) recent(runs []*execution) bool {
+func (w *simulation) recent(runs []*execution) bool {
 	return slices.ContainsFunc(runs, func(r *execution) bool {
 		return r.end == Forever || w.now-r.end < w.limits.Retention
 	})
 }
 
-func (w *world) finish(y *try, o outcome.Outcome, why string) {
-	y.phase = over
+func (w *simulation) finish(y *attempt, o outcome.Outcome, why string) {
+	y.phase = finished
 	w.t.Logf("%v over %x %s %s %s", w.now, y.key[0], y.id, o, why)
 	if o != outcome.NotRun {
 		return
@@ -187,8 +188,8 @@
 	}
 }
 
-// claim is the adapter of a home: it fetches records of previous homes.
-func (w *world) claim(n *node, c Claim) Answer {
+// claim is the adapter of a home: it fetches the records of previous homes.
+func (w *simulation) claim(n *node, c Claim) Answer {
 	answer := n.home.Claim(c, w.clock(n))
 	if answer.Kind != NeedTransfer {
 		return answer
@@ -212,18 +213,18 @@
 }
 
 // chance draws a rare fault.
-func (w *world) chance(label string) bool { return rapid.IntRange(0, 7).Draw(w.t, label) == 7 }
+func (w *simulation) chance(label string) bool { return rapid.IntRange(0, 7).Draw(w.t, label) == 7 }
 
-// step moves a try on by one call, whose answer may be lost.
-func (w *world) step(y *try) {
+// step advances an attempt by one call, whose answer may be lost.
+func (w *simulation) step(y *attempt) {
 	if y.phase == claiming {
 		w.stepClaim(y)
 		return
 	}
-	w.stepSettle(y)
+	w.stepResolve(y)
 }
 
-func (w *world) stepClaim(y *try) {
+func (w *simulation) stepClaim(y *attempt) {
 	list := w.lists[len(w.lists)-1]
 	if len(w.lists) > 1 && w.chance("entry-behind") {
 		list = w.lists[len(w.lists)-2]
@@ -246,15 +247,15 @@
 	case Granted:
 		y.phase = submitted
 		s := Submission{Grant: answer.Grant, Body: y.body, RequestID: y.id, Incarnation: answer.ExecutorIncarnation}
-		w.net = append(w.net, &letter{to: answer.Executor, s: s, until: y.until, copies: 2, from: y})
+		w.net = append(w.net, &message{to: answer.Executor, s: s, until: y.until, copies: 2, from: y})
 	case Held:
-		y.phase = settling
+		y.phase = resolving
 	default:
 		w.finish(y, answer.Outcome(), answer.Kind.String())
 	}
 }
 
-func (w *world) stepSettle(y *try) {
+func (w *simulation) stepResolve(y *attempt) {
 	n := w.node(y.held.Executor)
 	if !n.up || w.now > y.until {
 		w.finish(y, outcome.Unknown, "executor-down")
@@ -281,8 +282,8 @@
 	}
 }
 
-// deliver hands a submission to its executor, perhaps a second time.
-func (w *world) deliver(l *letter) {
+// deliver passes a submission to its executor, possibly a second time.
+func (w *simulation) deliver(l *message) {
 	n := w.node(l.to)
 	l.copies--
 	if !n.up || w.now > l.until {
