--- a/core/request/booking/executor.go
+++ b/core/request/booking/executor.go
@@ -103,7 +103,7 @@
 
 // Accept decides whether a submission may run. It returns Run at most once for a key.
 func (e *Executor) Accept(s Submission, now time.Duration) Verdict {
-	e.expire(now)
+	e.expireRecords(now)
 	if r, ok := e.runs.records[s.Grant.Key]; ok && r.state != Sealed {
 		return r.attach(s)
 	}
@@ -148,7 +148,7 @@
 // Start records that the key is about to be sent to the target. It reports false if the key is
 // no longer queued; the agent must not send it then.
 func (e *Executor) Start(key Key, now time.Duration) bool {
-	e.expire(now)
+	e.expireRecords(now)
 	r, ok := e.runs.records[key]
 	if !ok || r.state != Queued {
 		return false
@@ -200,7 +200,7 @@
 // Len returns the number of keys that the executor stores.
 func (e *Executor) Len() int { return len(e.runs.records) }
 
-func (e *Executor) expire(now time.Duration) {
+func (e *Executor) expireRecords(now time.Duration) {
 	e.runs.expire(now, func(key Key, r runRecord) bool {
 		if r.until > now || r.state == Running {
 			return false
--- a/core/request/booking/handover.go
+++ b/core/request/booking/handover.go
@@ -28,7 +28,7 @@
 // Export closes the home and returns its register. Claims are answered with Rebuilding from
 // then on: a grant after the export would be missing from it.
 func (h *Home) Export(now time.Duration) HomeExport {
-	h.expire(now)
+	h.expireRecords(now)
 	h.exported = true
 	out := HomeExport{Name: h.Name, Incarnation: h.Incarnation, Gap: h.gapRemaining(now)}
 	for key, r := range h.keys.records {
@@ -108,7 +108,7 @@
 // answers end with this process, and queued ones as Sealed, since Start refuses them from now
 // on.
 func (e *Executor) Export(now time.Duration) ExecutorExport {
-	e.expire(now)
+	e.expireRecords(now)
 	e.draining = true
 	out := ExecutorExport{Name: e.Name, Incarnation: e.Incarnation, Age: e.memoryAge(now)}
 	for incarnation := range e.earlier {
--- a/core/request/booking/home.go
+++ b/core/request/booking/home.go
@@ -100,7 +100,7 @@
 
 // Claim decides on a claim. Repeating a claim with the same request ID returns the same grant.
 func (h *Home) Claim(c Claim, now time.Duration) Answer {
-	h.expire(now)
+	h.expireRecords(now)
 	if refusal, ok := h.reject(c, now); ok {
 		return refusal
 	}
@@ -228,7 +228,7 @@
 	h.keys.put(key, r, until)
 }
 
-func (h *Home) expire(now time.Duration) {
+func (h *Home) expireRecords(now time.Duration) {
 	h.keys.expire(now, func(_ Key, r grantRecord) bool { return r.until <= now })
 	for len(h.previous) > 0 && h.previous[0].until <= now {
 		h.previous = h.previous[1:]
--- a/core/request/booking/settle.go
+++ b/core/request/booking/settle.go
@@ -43,7 +43,7 @@
 // a submission that is only late is refused from then on, so that the home may grant the key
 // again.
 func (e *Executor) Resolve(q Query, now time.Duration) Resolution {
-	e.expire(now)
+	e.expireRecords(now)
 	r, ok := e.runs.records[q.Grant.Key]
 	if ok && r.state != Sealed && r.body != q.Body {
 		return Resolution{Kind: OtherBody}
@@ -101,7 +101,7 @@
 // SealHome refuses the home's grants below the incarnation from now on and lists the keys that
 // the executor holds for that home.
 func (e *Executor) SealHome(s Seal, now time.Duration) SealAnswer {
-	e.expire(now)
+	e.expireRecords(now)
 	answer := SealAnswer{Incarnation: e.Incarnation, HighestHomeIncarnation: e.floors[s.Home], Age: e.memoryAge(now)}
 	if answer.HighestHomeIncarnation > s.Incarnation {
 		return answer
--- a/core/request/booking/transfer.go
+++ b/core/request/booking/transfer.go
@@ -44,7 +44,7 @@
 // received the change cannot grant the key beside the new one. The record stays, so that a lost
 // answer can be requested again.
 func (h *Home) Transfer(t Transfer, now time.Duration) TransferAnswer {
-	h.expire(now)
+	h.expireRecords(now)
 	if h.exported || h.rebuild.superseded || h.rebuilding(now) || t.Revision < h.current.Revision {
 		return TransferAnswer{Kind: TransferWait}
 	}
--- a/core/request/retry/losses.go
+++ b/core/request/retry/losses.go
@@ -24,13 +24,13 @@
 // AttemptBroke records that an attempt at a target, begun at started, broke. It reports whether
 // its retry is exempt from the budget.
 func (l *TargetCrashes) AttemptBroke(target string, started, now time.Time) bool {
-	first, known := l.firstBreak[target]
-	if !known || now.Sub(first) >= crashInterval {
+	firstBreak, known := l.firstBreak[target]
+	if !known || now.Sub(firstBreak) >= crashInterval {
 		l.expire(now)
 		l.firstBreak[target] = now
 		return true
 	}
-	return started.Before(first) && now.Sub(first) <= crashWindow
+	return started.Before(firstBreak) && now.Sub(firstBreak) <= crashWindow
 }
 
 // expire removes the crashes older than crashInterval.
@@ -38,8 +38,8 @@
 	if l.firstBreak == nil {
 		l.firstBreak = make(map[string]time.Time)
 	}
-	for target, first := range l.firstBreak {
-		if now.Sub(first) >= crashInterval {
+	for target, firstBreak := range l.firstBreak {
+		if now.Sub(firstBreak) >= crashInterval {
 			delete(l.firstBreak, target)
 		}
 	}
