--- a/core/experts/rank/client.go
+++ b/core/experts/rank/client.go
@@ -23,10 +23,10 @@
 	idleTimeout        = 90 * time.Second
 )
 
-// Options holds the settings of a client; the zero value gives defaults.
+// Options holds the settings of a client. The zero value gives the defaults.
 type Options struct {
-	// OrderToken is the bearer token of orders, for an engine that checks who
-	// gives them.
+	// OrderToken is the bearer token of orders, for an engine that authenticates
+	// their sender.
 	OrderToken string
 	// DialTimeout limits the time to connect; 0 means one second.
 	DialTimeout time.Duration
@@ -39,8 +39,8 @@
 	http    http.Client
 }
 
-// NewClient returns a client of the rank in the engine at address, an IP number
-// and port.
+// NewClient returns a client of the rank in the engine at address, which is an IP
+// address and port.
 func NewClient(address string, o Options) *Client {
 	timeout := o.DialTimeout
 	if timeout == 0 {
@@ -55,7 +55,7 @@
 	return &Client{address: address, token: o.OrderToken, http: http.Client{Transport: tr}}
 }
 
-// StatusError is an answer of the rank other than success.
+// StatusError is a response of the rank with a status other than success.
 type StatusError struct {
 	Path   string
 	Status int
@@ -66,8 +66,8 @@
 	return fmt.Sprintf("rank answered %s with status %d", e.Path, e.Status)
 }
 
-// ConnectionRefused reports whether err shows that the engine does not run: it refused
-// the connection. An engine that is only late gives another error.
+// ConnectionRefused reports whether err shows that the engine does not run, because
+// the connection was refused. An engine that is only slow gives another error.
 func ConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
@@ -79,8 +79,8 @@
 	return s, err
 }
 
-// Map reads the content of a map in the rank's memory. A *StatusError with
-// status 404 says that the rank does not have it.
+// Map reads the content of a map in the rank's memory. It returns a *StatusError with
+// status 404 if the rank does not have the map.
 func (c *Client) Map(ctx context.Context, v group.Version) (Placement, error) {
 	var p Placement
 	err := c.exchange(ctx, http.MethodGet, MapsPath+strconv.FormatUint(uint64(v), 10), nil, &p)
@@ -94,15 +94,15 @@
 	return l, err
 }
 
-// Fetch has the rank read a part of an expert's weights into its memory, and
-// returns how many bytes have arrived.
+// Fetch makes the rank read a part of an expert's weights into its memory, and
+// returns the number of bytes that have arrived.
 func (c *Client) Fetch(ctx context.Context, w WeightsRequest) (int64, error) {
 	var r WeightsResponse
 	err := c.exchange(ctx, http.MethodPost, WeightsPath, w, &r)
 	return r.Read, err
 }
 
-// engineOrder is an order in the engine's form.
+// engineOrder is an order in the engine's format.
 type engineOrder struct {
 	Fence    uint64 `json:"fence"`
 	Sequence uint64 `json:"sequence"`
@@ -110,7 +110,7 @@
 	Argument Order  `json:"argument"`
 }
 
-// Apply gives the rank an order. A *group.RefusedError says that it changed
+// Apply sends an order to the rank. A *group.RefusedError means that the order changed
 // nothing; after any other error it may have taken effect.
 func (c *Client) Apply(ctx context.Context, o Order) error {
 	in := engineOrder{Fence: o.Number.Fence, Sequence: o.Number.Sequence, Kind: OrderKind, Argument: o}
@@ -130,8 +130,8 @@
 }
 
 // send sends one request. An order is a POST without an Idempotency-Key, which
-// net/http does not send again by itself when a kept connection breaks after a
-// byte of it was written.
+// net/http does not retry when a reused connection fails after a byte of the
+// request was written.
 func (c *Client) send(ctx context.Context, method, path string, in any) (*http.Response, error) {
 	var body []byte
 	if in != nil {
@@ -152,7 +152,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask rank")
+		return nil, errors.Wrap(err, "query rank")
 	}
 	return resp, nil
 }
--- a/core/experts/rank/client_test.go
+++ b/core/experts/rank/client_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// The connection to an engine breaks after it has taken an order. If the client
-// sent the order again by itself, the agent would not know: the second one could
-// arrive after a newer order.
+// Guards against a client that resends an order by itself after the connection to
+// an engine failed: the second copy could arrive after a newer order, without the
+// agent's knowledge.
 func TestOrderIsSentOnce(t *testing.T) {
 	is := is.New(t)
 	var sent atomic.Int32
@@ -80,7 +80,7 @@
 		sent.Add(1)
 		panic(http.ErrAbortHandler)
 	})
-	s, err := c.State(t.Context()) // a kept connection
+	s, err := c.State(t.Context()) // opens a connection that is then reused
 	is.NoErr(err)
 	is.Equal(s.Version, group.Version(3))
 	is.True(c.Apply(t.Context(), order()) != nil)
--- a/core/experts/rank/rank.go
+++ b/core/experts/rank/rank.go
@@ -1,11 +1,11 @@
 // Package rank is the client through which an agent uses the rank of an
 // expert-parallel group in the engine beside it.
 //
-// The rank takes the orders of package group through the engine's own orders,
-// as the argument of kind "set-map". It tells its state, which an agent with
-// empty memory reads back, the content of the maps in its memory, and the loads
+// The rank accepts the orders of package group as the argument of the engine's
+// orders of kind "set-map". It reports its state, which an agent that has
+// restarted reads back, the content of the maps in its memory, and the loads
 // of the experts that it holds. A client sends each order once: whether an
-// order without an answer took effect shows in the state.
+// unanswered order took effect shows in the state.
 //
 // # Usage
 //
@@ -35,13 +35,13 @@
 	WeightsPath = "/v1/rank/weights"
 )
 
-// OrderKind is the kind of the engine's orders that carry an Order.
+// OrderKind is the kind of the engine orders that carry an Order.
 const OrderKind = "set-map"
 
 // Placement is the content of one expert map: the placement of each layer.
 type Placement []expert.Map
 
-// Version returns the version of the content, which is its digest; it is never
+// Version returns the version of the content, which is a hash of it. It is never
 // the zero Version.
 func (p Placement) Version() group.Version {
 	d := xxhash.New()
@@ -59,37 +59,36 @@
 	return group.Version(max(d.Sum64(), 1))
 }
 
-// Order is an order as a rank gets it.
+// Order is an order in the form that a rank receives.
 type Order struct {
 	group.Order
-	// Placement is the content of Version, for the orders that make a rank load
-	// a map.
+	// Placement is the content of Version, for orders that make a rank load a map.
 	Placement Placement `json:"placement,omitempty"`
 }
 
-// State is what a rank tells of itself.
+// State is what a rank reports of itself.
 type State struct {
 	group.RankState
-	// Stalls counts the steps for which the rank stood still for want of an
+	// Stalls counts the steps for which the rank was stalled because it lacked an
 	// outcome.
 	Stalls uint64 `json:"stalls"`
 }
 
-// NotHeld marks an expert that the rank does not hold in Loads.
+// NotHeld marks an expert in Loads that the rank does not hold.
 const NotHeld = -1
 
 // Loads are the loads of a rank's experts.
 type Loads struct {
-	// UnixMillis is the wall time at which the loads were true.
+	// UnixMillis is the wall time of the loads.
 	UnixMillis int64 `json:"unix-millis"`
-	// Version is the map that the rank had then.
+	// Version is the map that the rank had at that time.
 	Version group.Version `json:"version"`
-	// Layers holds for each layer the load of each expert on this rank in any
+	// Layers holds for each layer the load of each expert on this rank, in any
 	// unit, or NotHeld.
 	Layers [][]float64 `json:"layers"`
 }
 
-// WeightsRequest names a part of one expert's weights.
+// WeightsRequest selects a part of one expert's weights.
 type WeightsRequest struct {
 	Layer  int   `json:"layer"`
 	Expert int32 `json:"expert"`
@@ -98,13 +97,13 @@
 	Length int64 `json:"length"`
 }
 
-// WeightsResponse is the answer to a Weights request.
+// WeightsResponse is the response to a WeightsRequest.
 type WeightsResponse struct {
-	// Read is how many of the bytes have arrived.
+	// Read is the number of bytes that have arrived.
 	Read int64 `json:"read"`
 }
 
-// Refusal is the body of a 409 to an order.
+// Refusal is the body of a 409 response to an order.
 type Refusal struct {
 	Error string `json:"error"`
 	Fence uint64 `json:"fence"`
--- a/core/experts/rankpeer/branch.go
+++ b/core/experts/rankpeer/branch.go
@@ -5,32 +5,32 @@
 	"verbenashift/core/experts/lockstep"
 )
 
-// A large group has more ranks than its steward's link can carry words to. So the
-// steward speaks to a few agents only, the relays, each of which asks the agents of one
-// branch and answers for all of them at once. A relay carries: each agent judges the
-// steward's word for itself, and what is told of a rank was read in this ask. The
-// counts of a branch are summed on the way.
+// The link of a coordinator is too narrow to talk to each rank of a large group. The
+// coordinator therefore talks to a few agents only, the relays, each of which queries the
+// agents of one branch and responds for all of them at once. A relay only forwards: each
+// agent checks the coordinator's announcement itself, and the reported state of a rank was
+// read in response to this request. The relay sums the counts of its branch.
 
-// BranchRequest is the part of an ask that a relay passes on to the agents of its branch.
-// Word, Held, Counts and Placement of the ask go to each of them.
+// BranchRequest is the part of a request that a relay forwards to the agents of its
+// branch. Word, Held, Counts and Placement of the request go to each of them.
 type BranchRequest struct {
-	// List numbers Members; Members is nil if the relay has been told that list.
+	// List is the number of the list in Members. Members is nil if the relay already has
+	// that list.
 	List    uint64
 	Members []Member
-	// Among are the members that are asked, by their places in the list; nil means
-	// all.
+	// Among are the indices in the list of the members to query; nil means all.
 	Among []uint16
-	// Silent are members whose agents did not answer the last time: they are not
-	// waited for as long as the others.
+	// Silent are the members whose agents did not answer the last time; the relay waits
+	// for them for a shorter time.
 	Silent []uint16
-	// Turns is the place of each member in the order in which agents take over from
-	// a silent steward.
+	// Turns is each member's position in the order in which agents take over from an
+	// unreachable coordinator.
 	Turns []uint16
-	// Orders are the orders to members; a member has at most one.
+	// Orders are the orders to members; each member has at most one.
 	Orders []BranchOrder
 }
 
-// BranchOrder is one order to some members of a branch. Change is the map of an order
+// BranchOrder is an order to some members of a branch. Change is the map of an order
 // to prepare.
 type BranchOrder struct {
 	Order   engine.Order
@@ -38,14 +38,14 @@
 	Members []uint16
 }
 
-// BranchResponse is what a relay answers for its branch.
+// BranchResponse is the response of a relay for its branch.
 type BranchResponse struct {
-	// NeedMembers says that the relay lacks the list of its members, and has asked
+	// NeedMembers reports that the relay does not have the member list and has queried
 	// nobody.
 	NeedMembers bool
-	// Tells are those of the members that were asked, in the order of Among. What all
-	// share with the ask is left out: the group, the term, and the states, which are
-	// in States for those that are known.
+	// Tells are the responses of the queried members, in the order of Among. Values that
+	// equal those of the request are left out: the group and the term. The states of the
+	// members whose state is known are in States.
 	Tells  []Response
 	States States
 	// Sample is the sum of the members' samples.
@@ -64,7 +64,7 @@
 	return nil, nil
 }
 
-// Selected returns the members that are asked, out of n.
+// Selected returns the indices of the queried members, out of n.
 func (b *BranchRequest) Selected(n int) []int {
 	if b.Among == nil {
 		all := make([]int, n)
@@ -82,12 +82,12 @@
 	return some
 }
 
-// PackResponses makes the answer of a relay from those of its members.
-func PackResponses(word lockstep.Word, tells []Response) *BranchResponse {
-	out := &BranchResponse{Tells: make([]Response, len(tells))}
+// PackResponses returns the response of a relay from those of its members.
+func PackResponses(word lockstep.Word, responses []Response) *BranchResponse {
+	out := &BranchResponse{Tells: make([]Response, len(responses))}
 	var states []engine.State
 	var samples []*Sample
-	for i, t := range tells {
+	for i, t := range responses {
 		if t.Known {
 			states = append(states, t.State)
 		}
@@ -108,8 +108,8 @@
 	return out
 }
 
-// Unpack returns the answers of count members, or false if the answer does not fit the
-// ask. The sum of the samples stays with the branch.
+// Unpack returns the responses of count members, or false if the response does not match
+// the request. The sum of the samples remains in the branch's response.
 func (b *BranchResponse) Unpack(word lockstep.Word, count int) ([]Response, bool) {
 	known := 0
 	for i := range b.Tells {
--- a/core/experts/rankpeer/branch_test.go
+++ b/core/experts/rankpeer/branch_test.go
@@ -12,13 +12,13 @@
 	"verbenashift/core/experts/lockstep"
 )
 
-// randomState draws a rank that is somewhere in a change.
+// randomState returns a random state of a rank during a change of map.
 func randomState(rng *rand.Rand, rank int) engine.State {
 	return engine.State{
 		Group: "g", Epoch: rng.Int64N(4), Born: 1_790_000_000_000 + rng.Int64N(5000), Rank: rank, Size: 192, Open: rng.IntN(9) > 0,
 		Seq: rng.Int64N(3), Step: rng.Int64N(100), Map: rng.Int64N(1 << 40), Prepared: rng.Int64N(1 << 40), ArmedMap: rng.Int64N(2) * 77,
 		ArmedStep: rng.Int64N(100), Held: rng.Int64N(3), Busy: rng.IntN(2) == 0, Running: rng.IntN(12), Queued: rng.IntN(40),
-		Pace: float64(rng.IntN(5000)) / paceUnit,
+		Pace: float64(rng.IntN(5000)) / packedPaceUnit,
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// Guards against states that fill the link of a large group.
+// Guards against states that saturate the coordinator's link in a large group.
 func TestStatesOfACalmGroupAreSmall(t *testing.T) {
 	is := is.New(t)
 	var states []engine.State
@@ -68,13 +68,13 @@
 	is.True(len(PackStates(states)) <= most*len(states))
 }
 
-// Guards against losing or mixing up what the members of a branch have told.
+// Guards against losing or confusing the responses of the members of a branch.
 func TestTellsOfABranch(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 1))
 	word := lockstep.Word{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
 	one, two := randomState(rng, 5), randomState(rng, 7)
-	tells := []Response{
+	responses := []Response{
 		{Group: word.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
 		{},
 		{Group: engine.GroupID{Name: "g", Epoch: 4}, Term: 40, Answered: true, Refused: lockstep.OlderEpoch},
@@ -82,11 +82,11 @@
 		{Group: word.Group, Term: 41, Answered: true, Refused: lockstep.NewerSteward},
 		{Group: word.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
 	}
-	packed := PackResponses(word, tells)
-	got, ok := packed.Unpack(word, len(tells))
+	packed := PackResponses(word, responses)
+	got, ok := packed.Unpack(word, len(responses))
 	is.True(ok)
-	for i := range tells {
-		want := tells[i]
+	for i := range responses {
+		want := responses[i]
 		want.Sample = nil
 		if want.Refused == lockstep.NoSeat {
 			want.Term = 40
@@ -96,11 +96,11 @@
 	sum := make([]float64, 2)
 	packed.Sample.AddTo(sum)
 	is.True(sum[1] == 9 && sum[0] >= 3 && sum[0] <= 5) // 4, rounded to a fifteenth of 9
-	_, ok = packed.Unpack(word, len(tells)-1)
+	_, ok = packed.Unpack(word, len(responses)-1)
 	is.True(!ok)
 }
 
-// Guards against sums of counts that rounding on the way makes wrong.
+// Guards against sums of counts that are biased by the rounding at relays.
 func TestSumsOfSamplesAreRightInTheMean(t *testing.T) {
 	is := is.New(t)
 	counts := [][]int64{{10, 1, 0, 300}, {7, 0, 2, 20}, {1, 1, 1, 1}}
@@ -120,7 +120,7 @@
 	}
 	is.Equal(SumSamples(nil), nil)
 	odd := []*Sample{NewSample(nil, []int64{4, 4}), NewSample(nil, []int64{9})}
-	is.Equal(SumSamples(odd).Experts, 2) // one of another length is left out
+	is.Equal(SumSamples(odd).Experts, 2) // one of another length is ignored
 }
 
 func members(zones, each int) []Member {
@@ -134,16 +134,16 @@
 	return out
 }
 
-// Guards against an agent of a large group that speaks to all others.
+// Guards against an agent of a large group that talks to all others.
 func TestBranchesOfAGroup(t *testing.T) {
 	for name, tt := range map[string]struct{ zones, each, branches, width int }{
-		"16 ranks, asked one by one": {1, 16, 16, 1},
-		"32 ranks":                   {2, 16, 32, 1},
-		"72 ranks":                   {3, 24, 9, 8},
-		"192 ranks":                  {5, 38, 15, 13},
-		"256 ranks":                  {4, 64, 16, 16},
-		"768 ranks":                  {3, 256, 30, 26},
-		"one zone each":              {40, 1, 40, 1},
+		"16 ranks, queried one by one": {1, 16, 16, 1},
+		"32 ranks":                     {2, 16, 32, 1},
+		"72 ranks":                     {3, 24, 9, 8},
+		"192 ranks":                    {5, 38, 15, 13},
+		"256 ranks":                    {4, 64, 16, 16},
+		"768 ranks":                    {3, 256, 30, 26},
+		"one zone each":                {40, 1, 40, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -161,12 +161,12 @@
 			}
 			is.Equal(len(seen), len(all))
 			rand.New(rand.NewPCG(4, 1)).Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-			is.Equal(Split(all), parts) // whoever the steward is
+			is.Equal(Split(all), parts) // whichever agent is the coordinator
 		})
 	}
 }
 
-// Guards against a shape from the wire that is none, or fills the memory.
+// Guards against a shape from the wire that is invalid or exhausts the memory.
 func TestFirstMap(t *testing.T) {
 	is := is.New(t)
 	m, ok := FirstMap(Shape{Layers: 2, Ranks: 3, Places: 2, Experts: 5}).Unpack()
--- a/core/experts/rankpeer/claim.go
+++ b/core/experts/rankpeer/claim.go
@@ -8,58 +8,58 @@
 	"strings"
 )
 
-// ClaimPrefix begins the keys of the store that name the agent that is the steward
-// of a group.
+// ClaimPrefix begins the store keys that name the agent that is the coordinator of a
+// group.
 const ClaimPrefix = "verbenashift/steward/"
 
-// LoadsPrefix begins the keys that hold how much the experts of a group were chosen.
+// LoadsPrefix begins the store keys that hold how often the experts of a group were chosen.
 const LoadsPrefix = "verbenashift/loads/"
 
-// longestName is the longest name of a group that is part of a key as it is. A key
-// of the store has 200 bytes at most.
-const longestName = 120
+// maxKeyName is the longest group name that is used unchanged in a store key. Store keys
+// have at most 200 bytes.
+const maxKeyName = 120
 
-// Key returns the key of the store that holds what begins with a prefix for a group.
-// A group's name is opaque, and may be too long for a key.
+// Key returns the store key with the given prefix for a group. Group names are opaque
+// and may be too long for a key; such names are hashed.
 func Key(prefix, group string) string {
-	if len(group) <= longestName {
+	if len(group) <= maxKeyName {
 		return prefix + group
 	}
 	sum := sha256.Sum256([]byte(group))
 	return prefix + "sha256-" + hex.EncodeToString(sum[:])
 }
 
-// Claim is the word of an agent that it is the steward of a group.
+// Claim is the store record by which an agent claims to be the coordinator of a group.
 type Claim struct {
 	Group string `json:"group"`
-	// Epoch is the one in which the agent has claimed the group. It is for
-	// operators: a claim holds until another one is written, and what is asked in
-	// its name says its own epoch.
+	// Epoch is the one in which the agent claimed the group. It is informational, for
+	// operators: a claim stands until another one is written, and requests of the
+	// coordinator carry their own epoch.
 	Epoch int64 `json:"epoch"`
-	// Addr is where the agent listens.
+	// Addr is the address on which the agent listens.
 	Addr string `json:"addr"`
 }
 
-// ClaimError says why a value is no claim to a group.
+// ClaimError says why a stored value is not a valid claim.
 type ClaimError struct {
 	Key, Reason string
 }
 
-// Error names the key and the reason.
+// Error returns the key and the reason.
 func (e *ClaimError) Error() string { return fmt.Sprintf("claim %s: %s", e.Key, e.Reason) }
 
-// Bytes returns the claim as it stands in the store.
+// Bytes returns the claim in its stored form.
 func (c Claim) Bytes() []byte {
 	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err) // A struct of strings and numbers always has a form.
+		panic(err) // A struct of strings and numbers can always be encoded.
 	}
 	return data
 }
 
-// ParseClaim decodes the value of a key under ClaimPrefix. A claim to another group
-// than that of its key is refused: whoever believed it would take one group's ranks
-// for those of another.
+// ParseClaim decodes the value of a key under ClaimPrefix. It rejects a claim to another
+// group than that of its key, since whoever used it would take one group's ranks for
+// those of another.
 func ParseClaim(key string, value []byte) (Claim, error) {
 	var c Claim
 	if err := json.Unmarshal(value, &c); err != nil {
--- a/core/experts/rankpeer/client.go
+++ b/core/experts/rankpeer/client.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Client asks one agent over a connection that it makes when it is needed and
-// gives up after an error. It is not safe for concurrent use.
+// Client sends requests to one agent over a connection that it makes on demand and
+// closes after an error. It is not safe for concurrent use.
 type Client struct {
 	addr string
 	conn *Conn
 }
 
-// NewClient returns a client of the agent at an address.
+// NewClient returns a client of the agent at addr.
 func NewClient(addr string) *Client { return &Client{addr: addr} }
 
 // Connected reports whether there is a connection.
 func (c *Client) Connected() bool { return c.conn != nil }
 
 // Connect makes a connection if there is none.
-func (c *Client) Connect(ctx context.Context, wait time.Duration) error {
+func (c *Client) Connect(ctx context.Context, timeout time.Duration) error {
 	if c.conn != nil {
 		return nil
 	}
-	conn, err := Dial(ctx, c.addr, wait)
+	conn, err := Dial(ctx, c.addr, timeout)
 	if err != nil {
 		return err
 	}
@@ -31,19 +31,19 @@
 	return nil
 }
 
-// Do asks over the connection that Connect has made.
-func (c *Client) Do(ask Request, wait time.Duration) (Response, error) {
-	tell, err := c.conn.Do(ask, wait)
+// Do sends a request over the connection that Connect has made.
+func (c *Client) Do(req Request, timeout time.Duration) (Response, error) {
+	resp, err := c.conn.Do(req, timeout)
 	if err != nil {
 		c.Close()
 	}
-	return tell, err
+	return resp, err
 }
 
-// Close gives the connection up.
+// Close closes the connection, if there is one.
 func (c *Client) Close() {
 	if c.conn != nil {
-		// It is given up; an error in closing it changes nothing.
+		// The connection is abandoned, so that an error in closing it does not matter.
 		_ = c.conn.Close()
 		c.conn = nil
 	}
--- a/core/experts/rankpeer/maps.go
+++ b/core/experts/rankpeer/maps.go
@@ -6,42 +6,42 @@
 	"hash/fnv"
 )
 
-// Map is a map of a whole group, packed: the experts by layer, rank and place,
-// as variable-length numbers that are one higher than the expert; 0 is an empty
-// place. Nested slices would take twice the bytes on a narrow link.
+// Map is the packed map of a complete group: the experts by layer, rank and slot, as
+// variable-length integers that are one higher than the expert; 0 is an empty slot.
+// Nested slices would take twice the bytes on a narrow link.
 type Map struct {
 	Layers, Ranks, Places int
 	Data                  []byte
 }
 
-// Change is a map to prepare, as what differs from one that the receiver may
-// have. A change moves a few experts on each rank: a tenth of the map.
+// Change is a map to prepare, as the difference from a map that the receiver may
+// have. A change moves a few experts on each rank, which takes a tenth of the bytes of the map.
 type Change struct {
-	// Base is the number of the map that Moves start from; see Map.Number.
+	// Base is the hash of the map that Moves apply to; see Map.Hash.
 	Base uint64
-	// First is the shape of a group whose first map is the base: the receiver works it
-	// out.
+	// First is the shape of a group whose first map is the base; the receiver computes
+	// that map with FirstMap.
 	First *Shape
 	Moves Moves
-	// Full is the whole map; it is nil where Moves suffice.
+	// Full is the complete map; it is nil where Moves suffice.
 	Full *Map
 }
 
-// Shape is what the first map of a group follows from.
+// Shape holds the dimensions that determine the first map of a group.
 type Shape struct {
 	Layers, Ranks, Places, Experts int
 }
 
-// maxPlaces bounds the maps that are worked out for a shape from the wire: a group of
-// 1,000 ranks with 100 layers and 5 places has half as many.
-const maxPlaces = 1 << 20
+// maxShapePlaces bounds the maps that are computed for a shape from the wire. A group of
+// 1,000 ranks with 100 layers and 5 slots a rank has half as many slots.
+const maxShapePlaces = 1 << 20
 
-// FirstMap returns the map that the engines begin with, which assigns the experts in
-// turn: expert e is on rank e modulo the number of ranks. It returns nil if the shape is
-// none. Whoever relies on it compares its number with that of the map in force.
+// FirstMap returns the map that the engines start with, in which expert e is on rank e
+// modulo the number of ranks. It returns nil if the shape is invalid. Callers must compare
+// its hash with that of the current map before they rely on it.
 func FirstMap(s Shape) *Map {
-	if s.Layers <= 0 || s.Ranks <= 0 || s.Places <= 0 || s.Layers > maxPlaces || s.Ranks > maxPlaces || s.Places > maxPlaces ||
-		s.Layers*s.Ranks > maxPlaces || s.Layers*s.Ranks*s.Places > maxPlaces || s.Experts > s.Ranks*s.Places {
+	if s.Layers <= 0 || s.Ranks <= 0 || s.Places <= 0 || s.Layers > maxShapePlaces || s.Ranks > maxShapePlaces || s.Places > maxShapePlaces ||
+		s.Layers*s.Ranks > maxShapePlaces || s.Layers*s.Ranks*s.Places > maxShapePlaces || s.Experts > s.Ranks*s.Places {
 		return nil
 	}
 	m := make([][][]int, s.Layers)
@@ -54,8 +54,8 @@
 	return Pack(m, s.Places)
 }
 
-// Hash identifies a map by what is in it, whatever version the ranks had it under: a
-// group that is formed anew begins with a map that its agents know.
+// Hash identifies a map by its content, independent of the version under which the ranks
+// had it: a group that is formed again starts with a map that its agents know.
 func (m *Map) Hash() uint64 {
 	h := fnv.New64a()
 	_, _ = fmt.Fprintln(h, m.Layers, m.Ranks, m.Places)
@@ -63,14 +63,14 @@
 	return h.Sum64()
 }
 
-// Moves are what differs between two maps of one shape, packed: for each place
-// that differs, how many places after the last one it is, and the expert there
-// plus 1, or 0 for none, as variable-length numbers: some two bytes a move, since each
-// change goes to all ranks over one narrow link.
+// Moves is the packed difference between two maps of one shape. For each slot that
+// differs it holds the distance from the previous such slot, and the expert there plus 1,
+// or 0 for none, as variable-length integers. A move takes some two bytes, which matters
+// since each change goes to all ranks over one narrow link.
 type Moves []byte
 
-// Pack packs a map that has the experts by layer and rank, with at most so many
-// places a rank.
+// Pack packs a map of the experts by layer and rank, with at most the given number of
+// slots a rank.
 func Pack(m [][][]int, places int) *Map {
 	p := &Map{Layers: len(m), Places: places}
 	if len(m) > 0 {
@@ -90,7 +90,7 @@
 	return p
 }
 
-// grid returns the places of the map, or false if it is damaged.
+// grid returns the slots of the map, or false if it is malformed.
 func (m *Map) grid() ([]int, bool) {
 	n := m.Layers * m.Ranks * m.Places
 	if n < 0 || n > len(m.Data) {
@@ -108,8 +108,8 @@
 	return grid, len(grid) == n
 }
 
-// Unpack returns the experts by layer and rank, without empty places, or false
-// if the map is damaged.
+// Unpack returns the experts by layer and rank, without empty slots, or false
+// if the map is malformed.
 func (m *Map) Unpack() ([][][]int, bool) {
 	grid, ok := m.grid()
 	if !ok {
@@ -130,7 +130,7 @@
 	return out, true
 }
 
-// Diff returns the moves from one map to another of the same shape.
+// Diff returns the moves from one map to another, or false if their shapes differ.
 func Diff(from, to *Map) (Moves, bool) {
 	a, okA := from.grid()
 	b, okB := to.grid()
@@ -148,7 +148,7 @@
 	return moves, true
 }
 
-// Apply returns the map after the moves, or false if they don't fit it.
+// Apply returns the map after the moves, or false if the moves do not fit it.
 func (m *Map) Apply(moves Moves) (*Map, bool) {
 	grid, ok := m.grid()
 	if !ok {
@@ -176,5 +176,5 @@
 	return out, true
 }
 
-// maxExpert bounds the numbers of experts that are taken from the wire.
+// maxExpert bounds the expert numbers that are accepted from the wire.
 const maxExpert = 1 << 16
--- a/core/experts/rankpeer/rankpeer.go
+++ b/core/experts/rankpeer/rankpeer.go
@@ -1,10 +1,11 @@
-// Package rankpeer is what the agents beside the ranks of expert groups say to
-// each other, and to gateways: asks and tells, one at a time on a connection.
+// Package rankpeer is the protocol between the agents beside the ranks of an
+// expert group, and between these agents and gateways. A connection carries one
+// request and its response at a time.
 //
 // # Usage
 //
-//	c, err := rankpeer.Dial(ctx, addr, wait)
-//	tell, err := c.Ask(rankpeer.Ask{Digest: true}, wait)
+//	c, err := rankpeer.Dial(ctx, addr, timeout)
+//	resp, err := c.Do(rankpeer.Request{Digest: true}, timeout)
 package rankpeer
 
 import (
@@ -18,127 +19,127 @@
 	"verbenashift/core/plumbing/tcp"
 )
 
-// Request is what a steward asks of the agent beside a rank, or a gateway of the
-// steward.
+// Request is a request of a coordinator to the agent beside a rank, or of a gateway
+// to a coordinator.
 type Request struct {
-	// Digest asks a steward for its view of the group, and nothing else. List is
-	// the number of the list of targets that the asker has.
+	// Digest requests the coordinator's digest of the group, and nothing else. List is
+	// the number of the target list that the sender has.
 	Digest bool
 	List   uint64
-	// Gateway names the instance that asks for a digest. Event is the revision of the newest
-	// change of the store that it has seen, 0 if the store does not answer it; Gap is the
-	// longest pause between events that callers of the group are to see, or 0.
+	// Gateway names the instance that requests a digest. Event is the revision of the newest
+	// store change that it has seen, or 0 if it cannot reach the store. Gap is the longest
+	// pause between events that callers of the group may see, or 0.
 	Gateway string
 	Event   int64
 	Gap     time.Duration
-	// Word says for which group a steward asks, and which steward it is. Of an ask for
-	// a digest only the group's name counts.
+	// Word identifies the group and the coordinator that sends the request. In a request
+	// for a digest only the name of the group is used.
 	Word lockstep.Word
-	// Held says that the group is held, or that the steward is about to hold it.
+	// Held reports that the group is held, or that the coordinator is about to hold it.
 	Held bool
-	// Counts and Placement ask for more than the state of the rank.
+	// Counts and Placement request these in addition to the state of the rank.
 	Counts    bool
 	Placement bool
-	// Order, if there is one, is given to the rank before it is read. Change is
+	// Order, if not nil, is sent to the rank before its state is read. Change is
 	// the map of an order to prepare.
 	Order  *engine.Order
 	Change *Change
-	// Roster is nil if the agent has been told it.
+	// Roster is nil if the agent already has the current one.
 	Roster *Roster
-	// Turn is the agent's place in the order in which agents take over from a silent
-	// steward, plus 1; 0 leaves it to the rank.
+	// Turn is the agent's position, from 1, in the order in which agents take over from an
+	// unreachable coordinator; 0 means that the rank's number decides.
 	Turn int
-	// Branch has the agent ask others on the steward's behalf.
+	// Branch makes the agent a relay that queries other agents for the coordinator.
 	Branch *BranchRequest
-	// View is the steward's view, for gateways that ask this agent for it. An ask that
-	// brings one asks for nothing else.
+	// View is the coordinator's digest, which this agent serves to gateways. A request
+	// with a View requests nothing else.
 	View *Digest
 }
 
-// Response is the answer.
+// Response is the answer to a Request.
 type Response struct {
-	// Group is that of the agent's rank, as the agent knows it; its name is empty
-	// if the rank has not answered yet.
+	// Group is the group of the agent's rank as far as the agent knows it; its name is
+	// empty if the rank has not answered yet.
 	Group engine.GroupID
-	// Refused says why nothing was done, if so.
+	// Refused is the reason why the request was refused, if it was.
 	Refused lockstep.Refusal
-	// Term is the highest that the agent has heard.
+	// Term is the highest term that the agent has seen.
 	Term int64
-	// Answered says that the agent has answered, if only with a refusal. Only relays
-	// tell it, of the members of their branches.
+	// Answered reports that the agent answered, even if only with a refusal. Only relays
+	// set it, for the members of their branches.
 	Answered bool
-	// Known says that the rank has answered; State is fresh then.
+	// Known reports that the rank has answered, so that State is current.
 	Known     bool
 	State     engine.State
 	Sample    *Sample
 	Placement *engine.Placement
-	// Status is that of the answer to the order; 0 means none came.
+	// Status is the status of the rank's answer to the order; 0 means that there was none.
 	Status int
-	// NeedMap says that the order was not given, because the agent does not have
-	// the map that the change starts from.
+	// NeedMap reports that the order was not sent because the agent does not have
+	// the base map of the change.
 	NeedMap bool
-	// Digest is nil if the agent has no view of the group.
+	// Digest is nil if the agent has no digest of the group.
 	Digest *Digest
-	// List is the number of the list of targets that a relay has from the views that it
-	// was given.
+	// List is the number of the target list that a relay has from the digests that it
+	// received.
 	List uint64
-	// Gateways is how many gateways have asked this agent for digests lately, Event and Gap
-	// what they have told; see Ask.
+	// Gateways is the number of gateways that recently requested digests from this agent.
+	// Event and Gap summarize what they reported; see Request.
 	Gateways int
 	Event    int64
 	Gap      time.Duration
-	// ShortWatch says that others rely on the gateway that has asked to see changes of the store
-	// soon.
+	// ShortWatch tells the requesting gateway that others rely on it to see store changes
+	// promptly.
 	ShortWatch bool
-	// Branch is the answer of a relay.
+	// Branch is the response of a relay.
 	Branch *BranchResponse
 }
 
-// Digest is a steward's view of its group.
+// Digest is the coordinator's summary of its group.
 type Digest struct {
 	Group engine.GroupID
-	// Term is the steward's.
+	// Term is the coordinator's.
 	Term int64
-	// Open says that the group serves: no rank is lost.
+	// Open reports that the group serves requests: no rank is missing.
 	Open bool
-	// Pass is how long passes take now, 0 if it is not known; Skew is the most
-	// loaded rank over the mean under the map in force, 0 if it is not known.
+	// Pass is the current duration of a forward pass, 0 if unknown. Skew is the load of the
+	// most loaded rank over the mean under the current map, 0 if unknown.
 	Pass time.Duration
 	Skew float32
-	// Age is how old the view is when it is sent.
+	// Age is the age of the digest when it is sent.
 	Age time.Duration
-	// Event is the revision of the newest change of the store that any gateway has seen; 0
-	// if none has heard the store lately.
+	// Event is the revision of the newest store change that any gateway has seen; 0
+	// if none has reached the store recently.
 	Event int64
-	// List numbers the list of targets; Targets is left out where the asker has
-	// it. The loads are in its order.
+	// List is the number of the target list. Targets is left out if the requester already
+	// has that list. Running, Queued and Pace are in its order.
 	List    uint64
 	Targets []string
 	Running []uint16
 	Queued  []uint16
-	// Pace is the servers' paces in parts of PaceUnit.
+	// Pace is the relative duration of each server's part of a pass, in units of 1/PaceUnit.
 	Pace []uint16
-	// Gateways is how many gateways ask for this view, here or at the relays: what all of
-	// them share, such as retries, is shared by that.
+	// Gateways is the number of gateways that request this digest, here or at the relays.
+	// What they share, such as a budget of retries, is divided by it.
 	Gateways int
-	// Relays are where the agents listen that have this view as well; it is empty in
-	// groups whose steward answers gateways itself.
+	// Relays are the addresses of the agents that also serve this digest. It is empty in
+	// groups whose coordinator answers gateways itself.
 	Relays []string
 }
 
-// PaceUnit is what a pace of 1, a server as fast as it should be, is in a Digest.
+// PaceUnit is the value in a Digest of pace 1, that of a server at its expected speed.
 const PaceUnit = 10
 
-// Conn is a connection to an agent. It serves one ask at a time.
+// Conn is a connection to an agent. It carries one request at a time.
 type Conn struct {
-	conn *counted
+	conn *countingConn
 	in   *gob.Decoder
 	out  *gob.Encoder
 }
 
 // Dial connects to an agent.
-func Dial(ctx context.Context, addr string, wait time.Duration) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait)
+func Dial(ctx context.Context, addr string, timeout time.Duration) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c, err := tcp.Dial(ctx, "tcp", addr)
 	if err != nil {
@@ -148,46 +149,46 @@
 }
 
 func newConn(nc net.Conn) *Conn {
-	c := &counted{Conn: nc}
+	c := &countingConn{Conn: nc}
 	return &Conn{conn: c, in: gob.NewDecoder(c), out: gob.NewEncoder(c)}
 }
 
-// Do asks and waits for the answer. After an error the connection is of no
-// use any more.
-func (c *Conn) Do(ask Request, wait time.Duration) (Response, error) {
-	var tell Response
-	defer c.conn.record(ask.kind(), "asked", "told")
-	if err := c.conn.SetDeadline(time.Now().Add(wait)); err != nil {
-		return tell, err
+// Do sends a request and waits for the response. The connection must not be used
+// after an error.
+func (c *Conn) Do(req Request, timeout time.Duration) (Response, error) {
+	var resp Response
+	defer c.conn.record(req.kind(), "asked", "told")
+	if err := c.conn.SetDeadline(time.Now().Add(timeout)); err != nil {
+		return resp, err
 	}
-	if err := c.out.Encode(ask); err != nil {
-		return tell, err
+	if err := c.out.Encode(req); err != nil {
+		return resp, err
 	}
-	err := c.in.Decode(&tell)
-	return tell, err
+	err := c.in.Decode(&resp)
+	return resp, err
 }
 
 // Close closes the connection.
 func (c *Conn) Close() error { return c.conn.Close() }
 
-// quiet is how long the other side may leave a connection unused.
-const quiet = 30 * time.Second
+// idleTimeout is how long the peer may leave a connection unused.
+const idleTimeout = 30 * time.Second
 
-// Serve answers the asks on one connection, in turn, until it breaks or is left
-// unused. The error says why it has ended.
+// Serve answers the requests on one connection, one at a time, until the connection
+// fails or has been idle for too long. It returns the error that ended it.
 func Serve(nc net.Conn, answer func(Request) Response) error {
 	defer func() { _ = nc.Close() }()
 	c := newConn(nc)
 	for {
-		if err := nc.SetDeadline(time.Now().Add(quiet)); err != nil {
+		if err := nc.SetDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return err
 		}
-		var ask Request
-		if err := c.in.Decode(&ask); err != nil {
+		var req Request
+		if err := c.in.Decode(&req); err != nil {
 			return err
 		}
-		err := c.out.Encode(answer(ask))
-		c.conn.record(ask.kind(), "answered", "heard")
+		err := c.out.Encode(answer(req))
+		c.conn.record(req.kind(), "answered", "heard")
 		if err != nil {
 			return err
 		}
--- a/core/experts/rankpeer/rankpeer_test.go
+++ b/core/experts/rankpeer/rankpeer_test.go
@@ -49,20 +49,20 @@
 	}
 }
 
-// Guards against applying half of a damaged or foreign change.
+// Guards against applying a part of a malformed change or one of another group.
 func TestChangesThatDoNotFit(t *testing.T) {
 	is := is.New(t)
 	m := Pack([][][]int{{{1}, {2}}}, 2)
 	huge := []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}
 	for _, bad := range []Moves{
-		{0, 1},                     // no place
-		{5, 1},                     // behind the last place
-		{4, 1, 1, 1},               // the second one is
+		{0, 1},                     // no slot
+		{5, 1},                     // after the last slot
+		{4, 1, 1, 1},               // the second one is after it
 		{1},                        // an expert is missing
-		{0x80},                     // a number breaks off
-		append(huge[:10:10], 1),    // a place beyond all numbers
-		append([]byte{1}, huge...), // an expert beyond all numbers
-		{1, 2, 0, 2},               // the same place twice
+		{0x80},                     // a truncated number
+		append(huge[:10:10], 1),    // a slot that overflows
+		append([]byte{1}, huge...), // an expert that overflows
+		{1, 2, 0, 2},               // the same slot twice
 	} {
 		_, ok := m.Apply(bad)
 		is.True(!ok)
@@ -93,15 +93,15 @@
 		NewSample(nil, counts).AddTo(sums)
 	}
 	for e, n := range counts {
-		// A rounding is off by a half step of 100 at the most, so that the mean of
-		// so many is off by 0.6 as a rule: six of these never happen.
+		// The rounding error is at most half a step of 100, so that the standard error
+		// of the mean of so many is 0.6; six times that does not occur in practice.
 		is.True(math.Abs(sums[e]/ranks-float64(n)) < 3.6)
 	}
 	is.Equal(sums[0], 1500.0*ranks)
 	is.Equal(sums[4], 0.0)
 }
 
-// A damaged sample, or one of a group of another shape, counts nothing.
+// A malformed sample, or one of a group of another shape, is ignored.
 func TestSampleOfAnotherShape(t *testing.T) {
 	is := is.New(t)
 	sums := make([]float64, 3)
@@ -110,7 +110,7 @@
 	is.Equal(sums, []float64{0, 0, 0})
 }
 
-// Guards against rounds that fill the steward's link.
+// Guards against rounds that saturate the coordinator's link.
 func TestSizeOfARound(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(2, 2))
@@ -124,12 +124,12 @@
 		is.NoErr(enc.Encode(v))
 		first := b.Len()
 		is.NoErr(enc.Encode(v))
-		return b.Len() - first // Without the description of the type.
+		return b.Len() - first // without the description of the type
 	}
-	tell := Response{Known: true, State: engine.State{Group: "g0-0", Epoch: 1, Step: 1 << 20, Map: 1 << 30}}
-	state := size(tell)
-	tell.Sample = NewSample(nil, counts)
-	sample := size(tell)
+	resp := Response{Known: true, State: engine.State{Group: "g0-0", Epoch: 1, Step: 1 << 20, Map: 1 << 30}}
+	state := size(resp)
+	resp.Sample = NewSample(nil, counts)
+	sample := size(resp)
 	from := randomMap(rng, 12, 72, 3, 144)
 	to := make([][][]int, len(from))
 	for l := range from {
@@ -153,13 +153,13 @@
 	a, b := net.Pipe()
 	done := make(chan error)
 	go func() {
-		done <- Serve(b, func(ask Request) Response { return Response{Term: ask.Word.Term + 1} })
+		done <- Serve(b, func(req Request) Response { return Response{Term: req.Word.Term + 1} })
 	}()
 	c := newConn(a)
 	for term := range int64(5) {
-		tell, err := c.Do(Request{Word: lockstep.Word{Term: term}}, time.Second)
+		resp, err := c.Do(Request{Word: lockstep.Word{Term: term}}, time.Second)
 		is.NoErr(err)
-		is.Equal(tell.Term, term+1)
+		is.Equal(resp.Term, term+1)
 	}
 	is.NoErr(c.Close())
 	is.True(<-done != nil)
@@ -171,7 +171,7 @@
 		m := Pack([][][]int{{{1}, {2}}, {{3, 4}, {}}}, 2)
 		if after, ok := m.Apply(moves); ok {
 			if _, ok := after.Unpack(); !ok {
-				t.Errorf("%v gives a damaged map", moves)
+				t.Errorf("%v gives a malformed map", moves)
 			}
 		}
 	})
--- a/core/experts/rankpeer/traffic.go
+++ b/core/experts/rankpeer/traffic.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// metricBytes counts what goes over connections between agents and gateways, by the kind
-// of the ask: asked and told are asks that this process has sent and their answers, heard
-// and answered those that it has got. A steward's link is the first to be full in a large
-// group.
+// metricBytes counts the bytes on connections between agents and gateways, by the kind of
+// the request. "asked" and "told" are requests that this process sent and their responses;
+// "heard" and "answered" are requests that it received and their responses. In a large
+// group the coordinator's link is the first to saturate.
 var metricBytes = expvar.NewMap("peer-bytes-by-kind")
 
-// kind is what an ask is for, in metrics.
+// kind returns the kind of a request for metrics.
 func (a *Request) kind() string {
 	switch {
 	case a.Digest:
@@ -25,28 +25,28 @@
 	return "rank"
 }
 
-// counted is a connection that counts its bytes.
-type counted struct {
+// countingConn is a connection that counts its bytes.
+type countingConn struct {
 	net.Conn
 	in, out atomic.Int64
 }
 
-// Read reads and counts.
-func (c *counted) Read(b []byte) (int, error) {
+// Read reads and counts the bytes read.
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(int64(n))
 	return n, err
 }
 
-// Write writes and counts.
-func (c *counted) Write(b []byte) (int, error) {
+// Write writes and counts the bytes written.
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-// record adds what has gone out and come in since the last record.
-func (c *counted) record(kind, out, in string) {
+// record adds to the metrics the bytes sent and received since the last call.
+func (c *countingConn) record(kind, out, in string) {
 	metricBytes.Add(kind+"-"+out, c.out.Swap(0))
 	metricBytes.Add(kind+"-"+in, c.in.Swap(0))
 }
--- a/core/experts/rankpeer/tree.go
+++ b/core/experts/rankpeer/tree.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// directRanks is up to how many ranks a steward asks each agent itself. A relay costs
-// a hop; what it saves are the steward's link and processor.
+// directRanks is the largest group in which the coordinator queries each agent itself.
+// Above it relays are used: a relay adds a hop, but saves load on the coordinator's link
+// and processor.
 const directRanks = 32
 
-// Split divides the members of a group into branches: members of one availability zone,
-// about as many in each as there are branches, so that neither the steward nor a relay
-// speaks to more than about the square root of the group. A small group has a branch for
-// each member. The same members give the same branches, whoever is the steward:
-// relays keep their connections when the steward changes.
+// Split divides the members of a group into branches. Each branch has members of one
+// availability zone, and about as many as there are branches, so that neither the
+// coordinator nor a relay talks to more than about the square root of the group. In a
+// small group each member is a branch of its own. The result depends only on the members,
+// not on the coordinator, so that relays keep their connections when the coordinator changes.
 func Split(members []Member) [][]Member {
 	sorted := slices.SortedFunc(slices.Values(members), func(a, b Member) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone), a.Addr.Compare(b.Addr), cmp.Compare(a.ID, b.ID))
@@ -29,14 +30,15 @@
 		for zone < len(sorted) && sorted[zone].Zone == sorted[0].Zone {
 			zone++
 		}
-		out = append(out, chunks(sorted[:zone], width)...)
+		out = append(out, balancedChunks(sorted[:zone], width)...)
 		sorted = sorted[zone:]
 	}
 	return out
 }
 
-// chunks divides members into parts of nearly one length, at most width.
-func chunks(members []Member, width int) [][]Member {
+// balancedChunks divides members into chunks of at most width whose lengths differ by one
+// at most.
+func balancedChunks(members []Member, width int) [][]Member {
 	parts := (len(members) + width - 1) / width
 	out := make([][]Member, 0, parts)
 	for p := range parts {
