--- a/core/membership/health/doubts.go
+++ b/core/membership/health/doubts.go
@@ -6,51 +6,53 @@
 )
 
 const (
-	// doubtFor is how long a target is avoided after it was doubted last, and maxDoubt the
-	// same once that was in vain before: when it ends, the target costs its callers as
-	// many requests again as it takes to doubt it.
-	doubtFor = 5 * time.Second
-	maxDoubt = 4 * doubtFor
-	// returnSpan is the time over which the entries send to it again: the first of them
-	// find out for all whether it still fails.
-	returnSpan = 2 * time.Second
-	// reportValid is how long a report counts: as long as it takes some entries to meet
-	// the same fault.
+	// suspicionTime is how long a target is avoided after it was suspected, and
+	// maxSuspicionTime the limit to which this grows if the target still failed
+	// afterwards: each return costs callers as many requests as it takes to suspect the
+	// target again.
+	suspicionTime    = 5 * time.Second
+	maxSuspicionTime = 4 * suspicionTime
+	// returnWindow is the time over which the entries start to send to the target again: the
+	// first of them find out for all whether it still fails.
+	returnWindow = 2 * time.Second
+	// reportValid is how long a report counts: the time that it takes several entries to
+	// observe the same fault.
 	reportValid = 3 * time.Second
-	// reportsNeeded is how many other entries must report a target. The word of one may
-	// be the fault of its own network.
+	// reportsNeeded is how many other entries must report a target. A single report may be
+	// due to a fault of the reporter's own network.
 	reportsNeeded = 2
-	// maxReports bounds the reports that are kept of one target, maxDoubted the targets.
-	maxReports = 4
-	maxDoubted = 1024
-	// keepPart is the part of a service's targets, one in so many, that is never avoided:
-	// what fails everywhere is not the fault of the targets, and the others have to take
-	// the requests of those that are avoided.
-	keepPart = 3
+	// maxReports bounds the reports stored for one target, maxSuspected the targets.
+	maxReports   = 4
+	maxSuspected = 1024
+	// keptPart is the part of a service's targets, one in so many, that is never avoided:
+	// a fault that shows everywhere is not that of the targets, and the others have to take
+	// over the requests of those that are avoided.
+	keptPart = 3
 )
 
-// Suspicions collects reports of targets that fail while their peers do not, by this entry and
-// by others, and tells which targets are to be avoided for a while. The zero value has
-// none.
+// Suspicions collects reports of targets that fail while their peers do not, from this
+// entry and from others, and returns the targets to avoid for a while. The zero value is
+// empty and ready for use.
 //
-// The load pattern it answers is a fault of seconds at one of a few targets before many
-// entries. Each entry alone meets it about once a second, and has seen enough when it is
-// over; together they have after some tenths of a second.
+// It handles a fault of a few seconds at one of a few targets that serve many entries.
+// Each entry alone observes it about once a second, and has enough evidence only when it
+// is over; together they have it within some tenths of a second.
 type Suspicions struct {
-	// ReturnOrder is when this entry sends to a target again among all entries, from 0, which is
-	// first, to 1.
+	// ReturnOrder is this entry's position, from 0 (first) to 1 (last), in the order in which
+	// entries start to send to a target again.
 	ReturnOrder float64
-	targets     map[string]*doubted
+	targets     map[string]*suspicion
 }
 
-// doubted is what was reported of one target.
-type doubted struct {
+// suspicion is what was reported of one target.
+type suspicion struct {
 	reports []report
-	// until is until when it is avoided, or was last; span is for how long that is.
+	// until is when avoiding the target ends or last ended; span is the duration, which
+	// doubles on repetition.
 	until time.Time
 	span  time.Duration
-	// agreed is until when all entries that have heard the reports avoid it.
-	agreed time.Time
+	// agreedUntil is when all entries that have received the reports stop avoiding it.
+	agreedUntil time.Time
 }
 
 type report struct {
@@ -58,39 +60,39 @@
 	at     time.Time
 }
 
-// Report takes the word of an entry, this one or another, that a target fails.
-func (d *Suspicions) Report(target, source string, own bool, now time.Time) {
-	t := d.targets[target]
+// Report records a report by an entry, this one or another, that a target fails.
+func (s *Suspicions) Report(target, source string, own bool, now time.Time) {
+	t := s.targets[target]
 	if t == nil {
-		if len(d.targets) >= maxDoubted {
-			d.Expire(now)
+		if len(s.targets) >= maxSuspected {
+			s.Expire(now)
 		}
-		if len(d.targets) >= maxDoubted {
+		if len(s.targets) >= maxSuspected {
 			return
 		}
-		if d.targets == nil {
-			d.targets = map[string]*doubted{}
+		if s.targets == nil {
+			s.targets = map[string]*suspicion{}
 		}
-		t = &doubted{}
-		d.targets[target] = t
+		t = &suspicion{}
+		s.targets[target] = t
 	}
 	t.add(source, now)
-	enough := t.count(now) >= reportsNeeded
+	enough := t.sources(now) >= reportsNeeded
 	if own || enough {
-		t.avoid(now, time.Duration(d.ReturnOrder*float64(returnSpan)))
+		t.avoid(now, time.Duration(s.ReturnOrder*float64(returnWindow)))
 	}
 	if enough {
-		t.agreed = t.until
+		t.agreedUntil = t.until
 	}
 }
 
 // Agreed reports whether enough entries have reported a target for all to avoid it now.
-func (d *Suspicions) Agreed(target string, now time.Time) bool {
-	t := d.targets[target]
-	return t != nil && now.Before(t.agreed)
+func (s *Suspicions) Agreed(target string, now time.Time) bool {
+	t := s.targets[target]
+	return t != nil && now.Before(t.agreedUntil)
 }
 
-func (t *doubted) add(source string, now time.Time) {
+func (t *suspicion) add(source string, now time.Time) {
 	t.reports = slices.DeleteFunc(t.reports, func(r report) bool {
 		return r.source == source || now.Sub(r.at) > reportValid
 	})
@@ -99,7 +101,7 @@
 	}
 }
 
-func (t *doubted) count(now time.Time) int {
+func (t *suspicion) sources(now time.Time) int {
 	n := 0
 	for _, r := range t.reports {
 		if now.Sub(r.at) <= reportValid {
@@ -109,56 +111,56 @@
 	return n
 }
 
-// avoid has the target avoided from now on: longer each time that it was doubted again
-// soon after its last time had ended.
-func (t *doubted) avoid(now time.Time, turn time.Duration) {
+// avoid makes the target avoided from now on. The time doubles if the target is
+// suspected again soon after the last time ended.
+func (t *suspicion) avoid(now time.Time, delay time.Duration) {
 	switch {
 	case now.Before(t.until):
 		return
-	case now.Sub(t.until) < maxDoubt:
-		t.span = min(2*t.span, maxDoubt)
+	case now.Sub(t.until) < maxSuspicionTime:
+		t.span = min(2*t.span, maxSuspicionTime)
 	default:
-		t.span = doubtFor
+		t.span = suspicionTime
 	}
-	t.until = now.Add(t.span + turn)
+	t.until = now.Add(t.span + delay)
 }
 
-// Count returns how many entries have reported a target lately.
-func (d *Suspicions) Count(target string, now time.Time) int {
-	if t := d.targets[target]; t != nil {
-		return t.count(now)
+// Count returns how many entries have recently reported a target.
+func (s *Suspicions) Count(target string, now time.Time) int {
+	if t := s.targets[target]; t != nil {
+		return t.sources(now)
 	}
 	return 0
 }
 
-// Avoided returns those of a service's targets that are to be avoided, so many of them that
-// enough others are left; the ones that most entries have reported go first.
-func (d *Suspicions) Avoided(targets []string, now time.Time) []string {
+// Avoided returns those of a service's targets that are to be avoided, but not so many
+// that too few others are left; the targets reported by the most entries go first.
+func (s *Suspicions) Avoided(targets []string, now time.Time) []string {
 	var out []string
 	for _, id := range targets {
-		if t := d.targets[id]; t != nil && now.Before(t.until) {
+		if t := s.targets[id]; t != nil && now.Before(t.until) {
 			out = append(out, id)
 		}
 	}
-	most := len(targets) - max(1, len(targets)/keepPart)
+	most := len(targets) - max(1, len(targets)/keptPart)
 	if len(out) <= most {
 		return out
 	}
-	slices.SortStableFunc(out, func(a, b string) int { return d.Count(b, now) - d.Count(a, now) })
+	slices.SortStableFunc(out, func(a, b string) int { return s.Count(b, now) - s.Count(a, now) })
 	return out[:max(most, 0)]
 }
 
-// Drop forgets a target that is gone, or that has started again.
-func (d *Suspicions) Drop(target string) { delete(d.targets, target) }
+// Drop removes a target that no longer exists or that has restarted.
+func (s *Suspicions) Drop(target string) { delete(s.targets, target) }
 
-// Any reports whether any target is doubted.
-func (d *Suspicions) Any() bool { return len(d.targets) > 0 }
+// Any reports whether there are reports of any target.
+func (s *Suspicions) Any() bool { return len(s.targets) > 0 }
 
-// Expire drops what is too old to matter.
-func (d *Suspicions) Expire(now time.Time) {
-	for id, t := range d.targets {
-		if now.Sub(t.until) > maxDoubt && t.count(now) == 0 {
-			delete(d.targets, id)
+// Expire removes records that are too old to matter.
+func (s *Suspicions) Expire(now time.Time) {
+	for id, t := range s.targets {
+		if now.Sub(t.until) > maxSuspicionTime && t.sources(now) == 0 {
+			delete(s.targets, id)
 		}
 	}
 }
--- a/core/membership/health/failures.go
+++ b/core/membership/health/failures.go
@@ -3,27 +3,26 @@
 import "time"
 
 const (
-	// rareFailures is the part of the answers of one kind of request that may be failures
-	// for a further one to say something of its target: otherwise the requests themselves
-	// may be at fault.
-	rareFailures = 0.05
-	// rateSamples is how many answers must have been seen.
+	// maxRareRate is the largest failure rate of one kind of request at which a failure
+	// counts as evidence against its target: above it the requests themselves may be at fault.
+	maxRareRate = 0.05
+	// rateSamples is how many answers are needed before the rate is used.
 	rateSamples = 20
 	// rateGain is the weight of one answer.
 	rateGain = 0.01
-	// strikesNeeded is how many failures within strikeSpan make an entry doubt a target.
+	// strikesNeeded is how many failures within strikeWindow make an entry suspect a target.
 	strikesNeeded = 2
-	strikeSpan    = 5 * time.Second
+	strikeWindow  = 5 * time.Second
 )
 
-// FailureRate learns how often requests of one kind fail, whatever the target. The zero
-// value has seen none.
+// FailureRate estimates how often requests of one kind fail, whatever the target. The zero
+// value has no samples.
 type FailureRate struct {
 	rate float64
 	n    int
 }
 
-// Observe takes one answer.
+// Observe records one answer.
 func (f *FailureRate) Observe(failed bool) {
 	f.n++
 	x := 0.0
@@ -33,20 +32,20 @@
 	f.rate += max(rateGain, 1/float64(f.n)) * (x - f.rate)
 }
 
-// Rare reports whether failures of this kind are so rare that one says something of its
+// Rare reports whether failures of this kind are so rare that one is evidence against its
 // target.
-func (f *FailureRate) Rare() bool { return f.n >= rateSamples && f.rate <= rareFailures }
+func (f *FailureRate) Rare() bool { return f.n >= rateSamples && f.rate <= maxRareRate }
 
-// Strikes counts the failures of one target that say something of it. The zero value has
-// none.
+// Strikes counts the failures of one target that are evidence against it. The zero value
+// has none.
 type Strikes struct {
 	last time.Time
 	n    int
 }
 
-// Add counts a failure, and reports whether the target should be doubted now.
+// Add counts a failure, and reports whether the target should be suspected now.
 func (s *Strikes) Add(now time.Time) bool {
-	if now.Sub(s.last) > strikeSpan {
+	if now.Sub(s.last) > strikeWindow {
 		s.n = 0
 	}
 	s.n++
--- a/core/membership/health/health.go
+++ b/core/membership/health/health.go
@@ -1,19 +1,20 @@
-// Package health decides which targets an entry keeps away from.
+// Package health decides which targets an entry avoids.
 //
 // A target is ejected on consecutive failures, when it is much slower than its
-// peers, or when nothing is heard of it. Ranks of an expert-parallel group
-// advance in lock-step, so a stalled rank slows them all: step times are judged
-// for the group as one unit, by its slowest rank. A floor limits how many
-// targets of a pool may be ejected, since a fault that shows everywhere is
-// likely the entry's own. An ejected target is probed with single requests
-// and comes back by a slow start. Outlier ejection and its floor are known from
-// Envoy; the half-open state from circuit breakers (Nygard, Release It!).
+// peers, or when it has not been heard from for too long. Ranks of an
+// expert-parallel group advance in lock-step, so that a stalled rank slows all
+// of them: step times are evaluated for the group as one unit, by its slowest
+// rank. A floor limits how many targets of a pool may be ejected, since a fault
+// that shows everywhere is likely the entry's own. An ejected target is probed
+// with single requests and returns through a slow start. Outlier ejection and
+// its floor are known from Envoy; the half-open state from circuit breakers
+// (Nygard, Release It!).
 //
-// The package also judges lagging load reports: those that contradict what the
-// agents say at first hand are no longer believed.
+// The package also checks delayed load reports: those that contradict what the
+// agents report directly are no longer trusted.
 //
-// Everything is pure: time and randomness are arguments. A Monitor is not safe
-// for concurrent use.
+// All code is deterministic: time and randomness are arguments. A Monitor is not
+// safe for concurrent use.
 //
 // # Usage
 //
@@ -21,7 +22,7 @@
 //	m.Update(members) // members[i] is target i of the route table
 //	m.Succeed(i, firstToken, now)
 //	m.Fail(i, health.Hard, now)
-//	m.Step(i, load.StepMs, now)
+//	m.RecordStep(i, load.StepMs, now)
 //	for _, c := range m.Tick(now, rng) { // every 250 ms
 //		table.SetHealth(c.Target, c.Share, c.Probe)
 //		table.SetTrust(c.Target, c.Trusted)
@@ -30,28 +31,28 @@
 
 import "time"
 
-// Member is one target to watch.
+// Member is one target to monitor.
 type Member struct {
-	// Name tells whether the target at an index is still the same; empty
-	// means that there is none.
+	// Name identifies the target, so that a change of the target at an index is
+	// noticed; empty means that there is none.
 	Name string
-	// Pool names the targets that can stand in for each other, such as those
-	// of one model.
+	// Pool groups the targets that can replace each other, such as those of one
+	// model.
 	Pool string
 	// Group is the expert-parallel group; empty for none.
 	Group string
 }
 
-// State is where a target stands.
+// State is the health state of a target.
 type State int
 
 // The states of a target.
 const (
-	// Healthy targets get their normal share.
+	// Healthy targets get their normal share of the work.
 	Healthy State = iota
-	// Ejected targets get nothing for a time.
+	// Ejected targets get no work for a time.
 	Ejected
-	// HalfOpen targets get single requests.
+	// HalfOpen targets get single probe requests.
 	HalfOpen
 	// SlowStart targets get a growing share.
 	SlowStart
@@ -62,28 +63,28 @@
 // String returns the state's name in kebab case.
 func (s State) String() string { return stateNames[s] }
 
-// Severity says how sure a failure is to be the target's own.
+// Severity weights a failure by how likely it is the target's own fault.
 type Severity int
 
 // The severities of failures, as they count towards ejection.
 const (
-	// Soft is a failed or broken request.
+	// Soft is a request that failed or broke off.
 	Soft Severity = 1
-	// Hard is a connection refused or reset before anything was sent.
+	// Hard is a connection that was refused or reset before anything was sent.
 	Hard Severity = 2
 )
 
-// Change is the new standing of a target.
+// Change is the new state of a target.
 type Change struct {
 	Target int
 	State  State
-	// Share is the part of its normal work that the target may get.
+	// Share is the fraction of its normal work that the target may get.
 	Share float64
 	// Probe allows one request to a half-open target.
 	Probe bool
-	// Trusted says whether the target's lagging reports are believed.
+	// Trusted reports whether the target's delayed load reports are trusted.
 	Trusted bool
-	// Cause is why the target is ejected, for logs and counters.
+	// Cause is why the target is ejected, for logs and metrics.
 	Cause Cause
 }
 
@@ -101,7 +102,7 @@
 	// Straggler means that the steps of the target's group take much longer
 	// than those of other groups.
 	Straggler
-	// Silent means that nothing was heard for too long.
+	// Silent means that the target has not been heard from for too long.
 	Silent
 	// Failing means consecutive failures.
 	Failing
@@ -114,24 +115,24 @@
 
 // Options are the settings of a Monitor. Zero fields take the defaults.
 type Options struct {
-	// Failures is the sum of consecutive severities that ejects.
+	// Failures is the sum of the severities of consecutive failures that ejects.
 	Failures int
-	// Floor is the part of a pool that is never ejected.
+	// Floor is the fraction of a pool that is never ejected.
 	Floor float64
 	// StepFactor and LatencyFactor are the multiples of the median of its
-	// peers at which a target is slow.
+	// peers above which a target is slow.
 	StepFactor    float64
 	LatencyFactor float64
-	// BaseEjection is the time of a first ejection; it doubles up to MaxEject.
+	// BaseEjection is the duration of a first ejection; it doubles up to
+	// MaxEjection.
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
-	// SlowStart is the time in which a returned target gets its full share.
+	// SlowStart is the time over which a returning target regains its full share.
 	SlowStart time.Duration
-	// ProbeRate is the most probes a second without an answer, of all targets
-	// together.
+	// ProbeRate limits the unanswered probes a second to all targets together.
 	ProbeRate float64
-	// HeartbeatTimeout is the time without any word after which a target that was
-	// heard before is ejected.
+	// HeartbeatTimeout is how long a target that has sent heartbeats may be
+	// silent before it is ejected.
 	HeartbeatTimeout time.Duration
 }
 
--- a/core/membership/health/health_test.go
+++ b/core/membership/health/health_test.go
@@ -11,15 +11,15 @@
 
 var start = time.Date(2026, 1, 31, 12, 0, 0, 0, time.UTC)
 
-// rig is a monitor of n targets in one pool.
-type rig struct {
+// monitorTest is a monitor of n targets in one pool with a clock of its own.
+type monitorTest struct {
 	*Monitor
 	now time.Time
 	rng *rand.Rand
 }
 
-func newRig(n, groupSize int) *rig {
-	r := &rig{Monitor: New(Options{}), now: start, rng: rand.New(rand.NewPCG(1, 1))}
+func newMonitorTest(n, groupSize int) *monitorTest {
+	r := &monitorTest{Monitor: New(Options{}), now: start, rng: rand.New(rand.NewPCG(1, 1))}
 	members := make([]Member, n)
 	for i := range members {
 		members[i] = Member{Name: fmt.Sprint("target-", i), Pool: "caption"}
@@ -31,8 +31,8 @@
 	return r
 }
 
-// after moves time on and returns the changes by target.
-func (r *rig) after(d time.Duration) map[int]Change {
+// after advances the time and returns the changes by target.
+func (r *monitorTest) after(d time.Duration) map[int]Change {
 	r.now = r.now.Add(d)
 	out := map[int]Change{}
 	for _, c := range r.Tick(r.now, r.rng) {
@@ -41,7 +41,7 @@
 	return out
 }
 
-func (r *rig) count(s State) int {
+func (r *monitorTest) count(s State) int {
 	n := 0
 	for i := range r.members {
 		if r.State(i) == s {
@@ -51,11 +51,10 @@
 	return n
 }
 
-// Guards against sending a target that comes back its full share at once, so that it fails
-// again.
+// Guards against sending a returning target its full share at once, so that it fails again.
 func TestEjectProbeSlowStart(t *testing.T) {
 	is := is.New(t)
-	r := newRig(4, 0)
+	r := newMonitorTest(4, 0)
 	r.Fail(0, Soft, r.now)
 	r.Succeed(0, time.Millisecond, r.now) // not consecutive
 	r.Fail(0, Soft, r.now)
@@ -70,7 +69,7 @@
 	is.Equal(r.after(time.Second)[0].State, Ejected)
 	is.Equal(len(r.after(7*time.Second)), 0) // for longer than before
 	is.Equal(r.after(7 * time.Second)[0].State, HalfOpen)
-	is.True(r.after(probeEvery)[0].Probe) // no answer yet: another
+	is.True(r.after(probeInterval)[0].Probe) // no answer yet: another
 	r.Succeed(0, time.Millisecond, r.now)
 	c = r.after(time.Second)[0]
 	is.True(c.State == SlowStart && c.Share < 0.2)
@@ -83,7 +82,7 @@
 func TestFloorKeepsHalf(t *testing.T) {
 	for n, want := range map[int]int{1: 0, 2: 1, 3: 1, 16: 8, 67: 33} {
 		is := is.New(t)
-		r := newRig(n, 0)
+		r := newMonitorTest(n, 0)
 		for round := range 20 {
 			for i := range n {
 				r.Fail(i, Hard, r.now)
@@ -95,10 +94,10 @@
 	}
 }
 
-// Guards against keeping a dead target since slow ones have used up the floor.
+// Guards against not ejecting a dead target because slow ones have used up the floor.
 func TestFloorEjectsSurestFirst(t *testing.T) {
 	is := is.New(t)
-	r := newRig(3, 0)
+	r := newMonitorTest(3, 0)
 	for range 5 {
 		r.Succeed(0, 10*time.Second, r.now)
 		r.Succeed(1, 100*time.Millisecond, r.now)
@@ -111,24 +110,24 @@
 	is.Equal(c[2].Cause, Failing)
 }
 
-// Guards against ejecting one rank where all ranks of its group are as slow.
+// Guards against ejecting a single rank although all ranks of its group are as slow.
 func TestStalledRankEjectsItsGroup(t *testing.T) {
 	is := is.New(t)
-	r := newRig(16, 4)
+	r := newMonitorTest(16, 4)
 	slowSteps(r)
 	c := r.after(250 * time.Millisecond)
 	is.Equal(len(c), 4)
 	for i := 4; i < 8; i++ {
 		is.Equal(c[i].Cause, Straggler)
 	}
-	// Steps that heartbeats tell to be slow keep it out without a probe.
+	// Slow steps reported by heartbeats keep it out without a probe.
 	for range 58 {
 		slowSteps(r)
 		r.after(time.Second)
 		is.Equal(r.count(Ejected), 4)
 	}
-	// In the end it is probed all the same: an idle engine may repeat its
-	// last step for ever. The steps of the probe show that it is still slow.
+	// It is probed in the end, since an idle engine may repeat its last step
+	// time forever. The steps of the probe show that it is still slow.
 	for range 40 {
 		if r.count(HalfOpen) == 0 {
 			slowSteps(r)
@@ -142,8 +141,8 @@
 	is.Equal(r.count(Ejected), 4)
 }
 
-// slowSteps tells two steps of each target, with target 5 stalled.
-func slowSteps(r *rig) {
+// slowSteps records two steps of each target, with target 5 stalled.
+func slowSteps(r *monitorTest) {
 	for range 2 {
 		for i := range r.members {
 			r.RecordStep(i, 20, r.now)
@@ -152,21 +151,22 @@
 	}
 }
 
-// Guards against taking the slow one of two groups for the usual, and judging a single one.
+// Guards against using the slow one of two groups as the baseline, and against evaluating a
+// single group.
 func TestStragglerOfTwoGroups(t *testing.T) {
 	is := is.New(t)
 	for groupSize, want := range map[int]int{4: 4, 8: 0} {
-		r := newRig(8, groupSize)
+		r := newMonitorTest(8, groupSize)
 		slowSteps(r)
 		r.after(time.Second)
 		is.Equal(r.count(Ejected), want)
 	}
 }
 
-// Guards against spending a good part of all requests on targets that still fail.
+// Guards against spending a large part of all requests on targets that still fail.
 func TestProbesAreLimited(t *testing.T) {
 	is := is.New(t)
-	r := newRig(100, 0)
+	r := newMonitorTest(100, 0)
 	for i := range 50 {
 		r.Fail(i, Hard, r.now)
 		r.Fail(i, Hard, r.now)
@@ -182,7 +182,7 @@
 	}
 	is.True(probes > 20)
 	is.True(probes <= 30+probeBurst)
-	for range 120 { // all are back and answer; the longest ejection is 13 s
+	for range 120 { // all answer again; the longest ejection is 13 s
 		for i, c := range r.after(250 * time.Millisecond) {
 			if c.Probe {
 				r.Succeed(i, time.Millisecond, r.now)
@@ -195,38 +195,38 @@
 // Guards against sending callers to a paused target until their deadlines.
 func TestSilentTargetIsEjected(t *testing.T) {
 	is := is.New(t)
-	r := newRig(4, 0)
+	r := newMonitorTest(4, 0)
 	r.Heartbeat(0, r.now)
 	r.Heartbeat(1, r.now)
 	r.Succeed(2, time.Millisecond, r.now)
 	r.RecordStep(1, 20, r.now.Add(4*time.Second))
 	is.Equal(r.after(6 * time.Second)[0].Cause, Silent)
-	is.Equal(r.count(Ejected), 1)                    // 2 had one answer and owes no other
+	is.Equal(r.count(Ejected), 1)                    // target 2 answered once, which requires no heartbeats
 	is.Equal(len(r.after(3500*time.Millisecond)), 1) // target 1 now, target 0 stays out
 	r.Heartbeat(0, r.now)
-	is.Equal(r.after(time.Millisecond)[0].State, HalfOpen) // back: at once
+	is.Equal(r.after(time.Millisecond)[0].State, HalfOpen) // it returns at once
 }
 
-// Guards against a failing target that hundreds of entries find out one by one, and one
+// Guards against a failing target that hundreds of entries detect one by one, and against one
 // mistaken entry that empties all pools.
 func TestHintsEjectByAgreement(t *testing.T) {
 	is := is.New(t)
-	r := newRig(4, 0)
-	r.RecordPeerEjections(0, toldBy-1, r.now)
+	r := newMonitorTest(4, 0)
+	r.RecordPeerEjections(0, minPeerEjections-1, r.now)
 	is.Equal(len(r.after(time.Second)), 0)
 	r.Fail(0, Soft, r.now)
 	r.Fail(1, Soft, r.now)
 	is.Equal(len(r.after(time.Second)), 1)
 	is.True(r.OwnEvidence(0)) // one failure was enough
 	for range 50 {
-		r.RecordPeerEjections(2, toldBy, r.now)
+		r.RecordPeerEjections(2, minPeerEjections, r.now)
 		r.after(time.Second)
 		is.True(r.State(2) == Ejected && !r.OwnEvidence(2)) // and no probe
 	}
-	r.after(hintFor + holdFor + time.Second)
-	is.Equal(r.State(2), HalfOpen) // the others found it well
+	r.after(peerEjectionsValid + evidenceExtension + time.Second)
+	is.Equal(r.State(2), HalfOpen) // the others no longer eject it
 	r.Succeed(2, time.Millisecond, r.now)
-	r.RecordPeerEjections(2, toldBy, r.now)
+	r.RecordPeerEjections(2, minPeerEjections, r.now)
 	r.after(time.Second)
 	is.Equal(r.State(2), SlowStart) // its own answer counts more
 }
@@ -234,17 +234,17 @@
 // Guards against sending everything to a target whose reports say that it is idle.
 func TestLyingReporterLosesTrust(t *testing.T) {
 	is := is.New(t)
-	r := newRig(2, 0)
+	r := newMonitorTest(2, 0)
 	for range 5 {
-		r.CompareLoads(0, 0, 50_000, 5*time.Second) // too far apart to tell
+		r.CompareLoads(0, 0, 50_000, 5*time.Second) // too far apart in time to compare
 		r.CompareLoads(1, 900, 1500, 0)
 	}
 	is.Equal(len(r.after(time.Second)), 0)
-	for range wrongToLose {
+	for range mismatchesToRevoke {
 		r.CompareLoads(0, 0, 50_000, 100*time.Millisecond)
 	}
 	is.True(!r.after(time.Second)[0].Trusted)
-	for range rightToRegain {
+	for range matchesToRestore {
 		r.CompareLoads(0, 50_000, 50_000, 0)
 	}
 	is.True(r.after(time.Second)[0].Trusted)
@@ -252,7 +252,7 @@
 
 func TestUpdateKeepsStateByName(t *testing.T) {
 	is := is.New(t)
-	r := newRig(4, 0)
+	r := newMonitorTest(4, 0)
 	r.Fail(0, Hard, r.now)
 	r.Fail(0, Hard, r.now)
 	r.after(time.Second)
--- a/core/membership/health/probe.go
+++ b/core/membership/health/probe.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// earnProbes adds the probes that time has earned.
-func (m *Monitor) earnProbes(now time.Time) {
+// refillProbes adds the probes that have accumulated since the last tick.
+func (m *Monitor) refillProbes(now time.Time) {
 	if !m.ticked.IsZero() {
 		m.probes += m.opt.ProbeRate * now.Sub(m.ticked).Seconds()
 	}
@@ -13,7 +13,7 @@
 	m.probes = min(m.probes, probeBurst)
 }
 
-// grantProbe takes a probe for a half-open target, if one is due and earned.
+// grantProbe spends a probe on a half-open target, if one is due and available.
 // Probes are callers' requests, and many of them fail: without a limit an
 // entry with fifty failing targets would spend a tenth of its requests on
 // finding out that they still fail.
@@ -22,7 +22,7 @@
 		return false
 	}
 	m.probes--
-	t.probeAt = now.Add(probeEvery)
+	t.probeAt = now.Add(probeInterval)
 	return true
 }
 
--- a/core/membership/health/refusals.go
+++ b/core/membership/health/refusals.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// firstRefusal is for how long a target is avoided that has refused a request; each
-	// further refusal in a row doubles it, up to maxRefusal.
+	// firstRefusal is how long a target is avoided after it has refused a request; each
+	// further consecutive refusal doubles it, up to maxRefusal.
 	firstRefusal = 500 * time.Millisecond
 	maxRefusal   = 4 * time.Second
 )
 
-// Refusals tells for how long a target is avoided that refuses requests, although it does not
-// ask for that. The zero value has refused none.
+// Refusals tracks how long to avoid a target that refuses requests without asking the
+// sender to back off. The zero value has no refusals.
 //
-// The load pattern it answers is some targets of a service that refuse everything for seconds
-// while the others have room. Each refusal costs one of the few retries, and a few of them in a
-// row are the sign of a group that serves nobody.
+// It handles some targets of a service that refuse everything for seconds while the others
+// have capacity. Each refusal costs one of the few retries, and a few consecutive ones are
+// the sign of a group that serves nobody.
 type Refusals struct {
 	until time.Time
 	span  time.Duration
 }
 
-// Refused records a refusal, and returns until when the target is avoided. Of several requests
-// that it refuses at once, one counts.
+// Refused records a refusal, and returns until when the target is avoided. Of several
+// concurrent refusals only one counts.
 func (r *Refusals) Refused(now time.Time) time.Time {
 	if now.Before(r.until) {
 		return r.until
@@ -31,7 +31,7 @@
 	return r.until
 }
 
-// Accepted records that the target has taken a request.
+// Accepted records that the target has accepted a request.
 func (r *Refusals) Accepted() { *r = Refusals{} }
 
 // Avoided reports whether the target is avoided.
--- a/core/membership/health/refusals_test.go
+++ b/core/membership/health/refusals_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against spending the retries on targets that refuse everything, and against avoiding a
-// target that takes requests.
+// Guards against spending retries on targets that refuse everything, and against avoiding a
+// target that accepts requests.
 func TestRefusals(t *testing.T) {
 	is := is.New(t)
 	var r Refusals
@@ -19,7 +19,7 @@
 		if !r.Avoided(at) {
 			tried++
 			r.Refused(at)
-			r.Refused(at) // another that was under way
+			r.Refused(at) // a concurrent one
 		}
 	}
 	is.Equal(tried, 4) // after 0, 0.5, 1.5 and 3.5 s
--- a/core/membership/health/slow_test.go
+++ b/core/membership/health/slow_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against passes that wait for the streams of a slow rank, and moving more streams than
-// the others can take.
+// Guards against passes that wait for the streams of a slow rank, and against moving more
+// streams than the other ranks have capacity for.
 func TestLeave(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
@@ -24,6 +24,6 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(ShouldMoveStreams(tt.slow, tt.ranks), tt.want) })
 	}
-	is.True(!SlowRank(1.2)) // its part of a pass is as long as noise makes it
+	is.True(!SlowRank(1.2)) // within the normal variation of a pass
 	is.True(SlowRank(2.74))
 }
--- a/core/membership/health/stall_test.go
+++ b/core/membership/health/stall_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// Guards against drafts that stop in the middle at a stalled instance, and moving those that
-// rightly wait.
+// Guards against answers that stop midway at a stalled instance, and against moving those that
+// legitimately wait.
 func TestSilence(t *testing.T) {
 	now := start.Add(time.Minute)
 	ago := func(ms int) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
@@ -24,9 +24,9 @@
 		"not begun, target silent":  {Progress{false, false, ago(700), ago(900), ago(5)}, Silence{Move: true, TargetStalled: true}},
 		"not begun, perhaps queued": {Progress{false, false, ago(600), ago(900), ago(5)}, Silence{}},
 		"not begun, in a queue":     {Progress{false, true, ago(1500), ago(40), ago(5)}, Silence{}},
-		"asked for just now":        {Progress{false, false, ago(100), ago(3000), ago(5)}, Silence{}},
-		"all stand still":           {Progress{true, true, ago(1500), ago(1500), ago(400)}, Silence{}},
-		"nothing has come at all":   {Progress{Answer: ago(1500)}, Silence{}},
+		"just sent":                 {Progress{false, false, ago(100), ago(3000), ago(5)}, Silence{}},
+		"all stalled":               {Progress{true, true, ago(1500), ago(1500), ago(400)}, Silence{}},
+		"no data at all":            {Progress{Answer: ago(1500)}, Silence{}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) { is.New(t).Equal(tt.p.Evaluate(now), tt.want) })
--- a/core/membership/health/trust.go
+++ b/core/membership/health/trust.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// trust counts how a target's lagging reports agree with its agent.
+// trust counts consecutive mismatches and matches between a target's delayed load
+// reports and those of its agent.
 type trust struct {
-	wrong, right int
-	lost         bool
+	mismatches, matches int
+	revoked             bool
 }
 
 const (
-	// maxApart is how far apart in time two loads may be taken and still be
-	// compared: queues change in that time by less than the factor below.
-	maxApart = time.Second
-	// contradiction is the factor between two loads that can't both be true,
-	// and contradictionFloor the tokens up to which any two agree.
+	// maxTimeApart is the largest time between two load readings that are compared:
+	// queues change in that time by less than the factor below.
+	maxTimeApart = time.Second
+	// contradiction is the factor between two loads that cannot both be true, and
+	// contradictionFloor the number of tokens up to which any two loads agree.
 	contradiction      = 4
 	contradictionFloor = 2000
-	// wrongToLose and rightToRegain are how many comparisons in a row change
-	// the trust: losing it is cheap, since the agents' word remains.
-	wrongToLose   = 3
-	rightToRegain = 20
+	// mismatchesToRevoke and matchesToRestore are how many consecutive comparisons
+	// change the trust. Revoking it is cheap, since the agents' reports remain.
+	mismatchesToRevoke = 3
+	matchesToRestore   = 20
 )
 
-// CompareLoads holds a lagging report of target i against its agent's word: the
-// work queued at both, and the time between the moments they were taken. A
-// target that reports itself idle while its queue is long would draw all
-// requests of entries that go by reports.
-func (m *Monitor) CompareLoads(i int, reported, truth float64, apart time.Duration) {
-	if apart.Abs() > maxApart {
+// CompareLoads compares a delayed load report of target i with its agent's: the work
+// queued according to each, and the time between the two readings. A target that
+// reports itself idle while its queue is long would attract all requests of entries
+// that rely on reports.
+func (m *Monitor) CompareLoads(i int, reported, fromAgent float64, apart time.Duration) {
+	if apart.Abs() > maxTimeApart {
 		return
 	}
 	t := &m.targets[i].trust
-	low, high := min(reported, truth), max(reported, truth)
+	low, high := min(reported, fromAgent), max(reported, fromAgent)
 	if math.IsNaN(reported) || high > contradictionFloor && high > low*contradiction {
-		t.wrong++
-		t.right = 0
-		t.lost = t.lost || t.wrong >= wrongToLose
+		t.mismatches++
+		t.matches = 0
+		t.revoked = t.revoked || t.mismatches >= mismatchesToRevoke
 		return
 	}
-	t.wrong = 0
-	t.right++
-	if t.right >= rightToRegain {
-		t.lost = false
+	t.mismatches = 0
+	t.matches++
+	if t.matches >= matchesToRestore {
+		t.revoked = false
 	}
 }
--- a/core/membership/health/unanswered_test.go
+++ b/core/membership/health/unanswered_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// usual returns an AnswerTime that has learned the times of so many answers.
-func usual(n int, d time.Duration) *AnswerTime {
+// answerTime returns an AnswerTime with n samples of d.
+func answerTime(n int, d time.Duration) *AnswerTime {
 	var t AnswerTime
 	for range n {
 		t.Observe(d)
@@ -16,20 +16,20 @@
 	return &t
 }
 
-// Guards against doubting targets by a guess, before answers were seen.
+// Guards against suspecting targets before there are enough answers to compare with.
 func TestPatienceIsLearned(t *testing.T) {
 	is := is.New(t)
-	_, known := usual(usualSamples-1, time.Millisecond).Timeout()
+	_, known := answerTime(minAnswers-1, time.Millisecond).Timeout()
 	is.True(!known)
-	patience, known := usual(usualSamples, time.Millisecond).Timeout()
+	timeout, known := answerTime(minAnswers, time.Millisecond).Timeout()
 	is.True(known)
-	is.Equal(patience, leastPending)
-	patience, _ = usual(100, 100*time.Millisecond).Timeout()
-	is.Equal(patience, 600*time.Millisecond)
+	is.Equal(timeout, minTimeout)
+	timeout, _ = answerTime(100, 100*time.Millisecond).Timeout()
+	is.Equal(timeout, 600*time.Millisecond)
 }
 
-// Guards against requests that wait for a target which answers nothing, and against
-// doubting one that is only slow, or that no other is faster than.
+// Guards against requests that wait for a target that answers nothing, and against
+// suspecting one that is only slow, or when no other answers either.
 func TestUnanswered(t *testing.T) {
 	after := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	never := time.Time{}
@@ -47,7 +47,7 @@
 		{"a packet was lost", never, after(90), after(240), false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			p := Pending{Sent: start, Target: tt.target, Others: tt.others, Timeout: leastPending}
+			p := Pending{Sent: start, Target: tt.target, Others: tt.others, Timeout: minTimeout}
 			is.New(t).Equal(p.Unanswered(tt.now), tt.want)
 		})
 	}
--- a/core/membership/instances/instances.go
+++ b/core/membership/instances/instances.go
@@ -1,9 +1,9 @@
 // Package instances is the client of the platform's list of live and leaving
 // instances.
 //
-// The list lags behind the truth: an instance that left may stand in it for
-// some seconds, and a new one may be missing. It is a hint for where to look,
-// never a proof that an instance serves.
+// The list is eventually consistent: it may contain a removed instance for some
+// seconds, and a new one may be missing. It is a hint for where to look, never a
+// proof that an instance serves.
 //
 // # Usage
 //
@@ -32,12 +32,12 @@
 const (
 	// Live says that the instance runs.
 	Live = "live"
-	// Leaving says that the instance is about to be taken away.
+	// Leaving says that the instance is about to be removed.
 	Leaving = "leaving"
 )
 
 const (
-	// DefaultTimeout bounds one call if Config names no time.
+	// DefaultTimeout bounds one call if Config sets no timeout.
 	DefaultTimeout = 2 * time.Second
 	// maxList bounds the list, in bytes; a thousand instances take about a
 	// tenth of a megabyte.
@@ -45,17 +45,17 @@
 	path    = "/instances"
 )
 
-// Instance is one line of the list.
+// Instance is one entry of the list.
 type Instance struct {
 	Name string `json:"name"`
-	// Address is the IP number and port of the instance's process.
+	// Address is the IP address and port of the instance's process.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	// State is Live or Leaving.
 	State string `json:"state"`
 }
 
-// StatusError says that the platform answered with another status than 200.
+// StatusError says that the platform answered with a status other than 200.
 type StatusError struct {
 	Status int
 }
@@ -63,7 +63,7 @@
 // Error returns the status.
 func (e *StatusError) Error() string { return fmt.Sprintf("instances: status %d", e.Status) }
 
-// Config says how to reach the list.
+// Config holds the settings of a Client.
 type Config struct {
 	// Address is a host:port pair or a URL.
 	Address string
@@ -73,7 +73,7 @@
 	Transport http.RoundTripper
 }
 
-// Client reads the list. It may be used by many goroutines.
+// Client reads the list. It is safe for concurrent use.
 type Client struct {
 	url  string
 	http http.Client
@@ -96,7 +96,7 @@
 }
 
 // List reads the list once. An error never comes with a part of the list, so
-// that a cut answer can't be taken for a small fleet.
+// that a truncated answer cannot be taken for a small fleet.
 func (c *Client) List(ctx context.Context) ([]Instance, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
@@ -117,10 +117,10 @@
 	return list, nil
 }
 
-// Poll reads the list about every period and gives each result to f, one after
+// Poll reads the list about every period and passes each result to f, one after
 // the other, until ctx ends, whose error it returns. The first read is made at
-// once; later ones are spread by up to a tenth of the period, so that
-// instances started together don't stay in step.
+// once; later ones are jittered by up to a tenth of the period, so that
+// instances started together do not stay synchronized.
 func (c *Client) Poll(ctx context.Context, every time.Duration, f func([]Instance, error)) error {
 	const spread = 10
 	for {
--- a/core/membership/instances/instances_test.go
+++ b/core/membership/instances/instances_test.go
@@ -19,8 +19,8 @@
 const twoInstances = `[{"name":"a","address":"10.0.0.1:9","zone":"Bole","state":"live"},` +
 	`{"name":"b","address":"10.0.0.2:9","zone":"Merkato","state":"leaving"}]`
 
-// The platform's answer breaks off after the first instance. Taken as it is,
-// every other instance would seem to have left, and the rest would be flooded.
+// Guards against using a truncated list: if the platform's answer breaks off, the
+// missing instances would seem removed, and the rest would be overloaded.
 func TestCutListIsNoList(t *testing.T) {
 	is := is.New(t)
 	body := twoInstances
@@ -41,13 +41,13 @@
 	is.Equal(len(list), 0)
 }
 
-// tripper answers without a network, so that it can run in a bubble.
+// tripper answers without a network, so that it can run in a synctest bubble.
 type tripper func(*http.Request) (*http.Response, error)
 
 func (f tripper) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// The list is out for a while: each failure reaches the caller, which keeps
-// what it had, and the polling goes on until the list is back.
+// Guards against polling that ends when the list is unavailable: each failure must
+// reach the caller, which retains its last list, and polling must continue.
 func TestPollOutlivesAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -75,7 +75,7 @@
 		is.True(errors.Is(err, context.Canceled))
 		is.Equal(lengths, []int{2, 0, 2})
 		is.Equal(failures, []int{http.StatusBadGateway})
-		took := time.Since(start) // two waits of the bubble's clock
+		took := time.Since(start) // two periods on the bubble's clock
 		is.True(took >= 1800*time.Millisecond && took <= 2200*time.Millisecond)
 	})
 }
--- a/core/membership/lease/guard.go
+++ b/core/membership/lease/guard.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// FencingSupport says what a target does with the number on an order.
+// FencingSupport says whether a target checks the number on an order.
 type FencingSupport int
 
-// The two habits. The zero value is the one that needs more care.
+// The kinds of support. The zero value is the one that requires more care.
 const (
-	// IgnoresFencing is a target that carries out any order.
+	// IgnoresFencing is a target that executes any order.
 	IgnoresFencing FencingSupport = iota
 	// HonoursFencing is a target that refuses an order older than its last.
 	HonoursFencing
@@ -22,7 +22,7 @@
 	Highest Number
 }
 
-// Error names both numbers.
+// Error returns both numbers.
 func (e *StaleError) Error() string {
 	return fmt.Sprintf("stale order: fence %d sequence %d is not after fence %d sequence %d",
 		e.Got.Fence, e.Got.Sequence, e.Highest.Fence, e.Highest.Sequence)
@@ -35,56 +35,57 @@
 	Reason string
 }
 
-// Error names the reason.
+// Error returns the reason.
 func (e *WaitError) Error() string {
 	return "order has to wait: " + e.Reason
 }
 
-// Guard stands before one target in its agent, the only writer to it. It
-// refuses old numbers, lets one order out at a time, and after a lost answer or
-// a start with empty memory lets nothing out until the target has been read.
+// Guard controls the orders to one target in its agent, the only sender of orders
+// to it. It refuses old numbers, allows one order at a time, and after a lost answer or
+// a restart of the agent allows none until the target has been read.
 //
-// For a target that ignores fencing it also waits until an order of unknown
-// fate can no longer arrive; without it, an order of this agent's earlier
-// process could be carried out after a newer one. The zero value is a guard
-// before such a target that has learned nothing.
+// For a target that ignores fencing it also waits until an order with an unknown
+// outcome can no longer arrive; otherwise an order of this agent's earlier
+// process could be executed after a newer one. The zero value is a guard
+// for such a target that has not been read yet.
 type Guard struct {
 	Fencing FencingSupport
 	// Lifetime is how long an order can wait at a target that answers readings
-	// before it is carried out or dropped. It matters only for a target that
+	// before it is executed or dropped. It matters only for a target that
 	// ignores fencing.
 	Lifetime time.Duration
 
 	learned bool
-	// settling means that an order of unknown fate may still arrive; answered
-	// that the target has answered since, and that it settles at notBefore.
+	// settling means that an order with an unknown outcome may still arrive; answered
+	// that the target has answered since, and that settling ends at notBefore.
 	settling  bool
 	answered  bool
 	notBefore time.Duration
 	applied   Number
 	fence     uint64
 	busy      bool
-	out       Number
+	inFlight  Number
 }
 
-// NewGuard returns a guard for an agent that starts with empty memory.
-func NewGuard(habit FencingSupport, lifetime time.Duration) *Guard {
-	g := &Guard{Fencing: habit, Lifetime: lifetime}
-	g.doubt()
+// NewGuard returns a guard for an agent that has just started and knows nothing of
+// the target.
+func NewGuard(support FencingSupport, lifetime time.Duration) *Guard {
+	g := &Guard{Fencing: support, Lifetime: lifetime}
+	g.invalidate()
 	return g
 }
 
-// doubt forgets what the target has applied, because an order sent before may
-// still arrive.
-func (g *Guard) doubt() {
+// invalidate discards what the target is known to have applied, because an order
+// sent before may still arrive.
+func (g *Guard) invalidate() {
 	g.learned = false
 	if g.Fencing == IgnoresFencing {
 		g.settling, g.answered = true, false
 	}
 }
 
-// ObserveFence notes a fencing number seen in the store or on a message. It returns a
-// *StaleError if a higher one is known: the sender's lease has passed on.
+// ObserveFence records a fencing token seen in the store or on a message. It returns
+// a *StaleError if a higher one is known: the sender's lease has passed to another.
 func (g *Guard) ObserveFence(fence uint64) error {
 	if fence < g.fence {
 		return &StaleError{Got: Number{Fence: fence}, Highest: Number{Fence: g.fence}}
@@ -93,13 +94,13 @@
 	return nil
 }
 
-// Fence returns the highest fencing number heard of.
+// Fence returns the highest fencing token observed.
 func (g *Guard) Fence() uint64 {
 	return g.fence
 }
 
 // CanRead returns a *WaitError while a reading of the target would prove
-// nothing, because an order of unknown fate may come after it.
+// nothing, because an order with an unknown outcome may be executed after it.
 func (g *Guard) CanRead(now time.Duration) error {
 	if g.settling && g.answered && now < g.notBefore {
 		return &WaitError{Until: g.notBefore, Reason: "an earlier order may still arrive"}
@@ -107,13 +108,13 @@
 	return nil
 }
 
-// SetApplied takes the number of the order the target applied last, from a reading
-// that was begun when CanRead allowed it and no order was out. It reports
+// SetApplied sets the number of the order that the target applied last, from a reading
+// that was begun when CanRead allowed it and no order was in flight. It reports
 // whether the reading can be trusted.
 //
-// While the target settles, the first answer only starts the time: a target
-// that stood still keeps orders waiting in its sockets for as long as it likes,
-// and carries them out when it goes on.
+// While the target settles, the first answer only starts the settling time: a target
+// that was stalled retains orders in its socket buffers without limit, and executes
+// them when it resumes.
 func (g *Guard) SetApplied(now time.Duration, applied Number) bool {
 	switch {
 	case g.busy:
@@ -131,11 +132,11 @@
 	return true
 }
 
-// Begin lets an order out, or returns a *StaleError or a *WaitError. After
+// Begin allows an order to be sent, or returns a *StaleError or a *WaitError. After
 // Begin, Done must be called before the next order.
 func (g *Guard) Begin(n Number) error {
 	if g.busy {
-		return &WaitError{Reason: "another order is out"}
+		return &WaitError{Reason: "another order is in flight"}
 	}
 	if !g.learned {
 		return &WaitError{Until: g.notBefore, Reason: "the target's last order is not known"}
@@ -143,11 +144,11 @@
 	if !g.applied.Less(n) {
 		return &StaleError{Got: n, Highest: g.applied}
 	}
-	g.busy, g.out = true, n
+	g.busy, g.inFlight = true, n
 	return nil
 }
 
-// Admit is Hear and Begin in one, for an order that a holder sends for a target
+// Admit combines ObserveFence and Begin, for an order that a holder sends to a target
 // directly.
 func (g *Guard) Admit(n Number) error {
 	if err := g.ObserveFence(n.Fence); err != nil {
@@ -156,7 +157,7 @@
 	return g.Begin(n)
 }
 
-// Result says how an order ended.
+// Result is the outcome of an order.
 type Result int
 
 // The results. The zero value is the one that proves nothing.
@@ -164,14 +165,14 @@
 	// Lost means that no answer came: the order may be applied now, later or
 	// never.
 	Lost Result = iota
-	// Applied means that the target said so.
+	// Applied means that the target confirmed the order.
 	Applied
-	// Refused means that the target said that it did not apply the order.
+	// Refused means that the target reported that it did not apply the order.
 	Refused
 )
 
-// Done ends the order that Begin let out. An order that is given up as lost must
-// not be sent after Done; a pause between Begin and the send then does no harm,
+// Done ends the order that Begin allowed. An order that is abandoned as lost must
+// not be sent after Done. A pause between Begin and the send does no harm,
 // because the settling time begins with an answer that comes later.
 func (g *Guard) Done(r Result) {
 	if !g.busy {
@@ -180,8 +181,8 @@
 	g.busy = false
 	switch r {
 	case Applied:
-		g.applied = g.out
+		g.applied = g.inFlight
 	case Lost:
-		g.doubt()
+		g.invalidate()
 	}
 }
--- a/core/membership/lease/holder.go
+++ b/core/membership/lease/holder.go
@@ -4,7 +4,7 @@
 
 // The defaults of Config.
 const (
-	// DefaultTTL is how long the store keeps a lease that is not renewed.
+	// DefaultTTL is how long the store retains a lease that is not renewed.
 	DefaultTTL = 10 * time.Second
 	// marginDivisor gives the default margin as a part of the TTL.
 	marginDivisor = 10
@@ -14,16 +14,16 @@
 	retryDivisor = 10
 )
 
-// Config is the setting of one Holder. Zero durations take their defaults from
-// the TTL, and a zero TTL is DefaultTTL.
+// Config holds the settings of one Holder. Zero durations take their defaults
+// from the TTL, and a zero TTL is DefaultTTL.
 type Config struct {
 	Role string
-	// Owner names this process and its incarnation. It must never be used by
-	// another process: a process that found its predecessor's name in the
-	// store would take over a lease whose orders it does not know.
+	// Owner identifies this process and its incarnation. No other process may ever
+	// use it: a process that found its predecessor's name in the store would take
+	// over a lease whose orders it does not know.
 	Owner string
 	TTL   time.Duration
-	// Margin is taken off the deadline for clocks that run at other rates.
+	// Margin is subtracted from the deadline to allow for clocks of different rates.
 	Margin time.Duration
 	// Renew is the interval between renewals.
 	Renew time.Duration
@@ -49,22 +49,22 @@
 	return def
 }
 
-// CallKind says what a Call asks of the store.
+// CallKind is the operation that a Call requests of the store.
 type CallKind int
 
 // The kinds of calls. The zero value is no call.
 const (
-	// Acquire creates the duty's key under a new lease if there is none.
+	// Acquire creates the role's key under a new lease if there is none.
 	Acquire CallKind = iota + 1
 	// Renew extends the lease under which Fence was given.
 	Renew
-	// Read asks who holds the duty.
+	// Read returns who holds the role.
 	Read
 	// Release ends the lease under which Fence was given.
 	Release
 )
 
-// Call is one call on the store.
+// Call is one call to the store.
 type Call struct {
 	ID    uint64
 	Kind  CallKind
@@ -78,14 +78,14 @@
 type Answer struct {
 	// ID is that of the call.
 	ID uint64
-	// Done says that this call took effect: Acquire created the key, or Renew
+	// Done reports that this call took effect: Acquire created the key, or Renew
 	// extended the lease.
 	Done bool
-	// Lost says that no answer came: the call may have taken effect or not.
+	// Lost reports that no answer came: the call may have taken effect or not.
 	Lost bool
 	// Owner and Fence are those of the holder after the call; empty and 0 when
-	// nobody holds the duty. The fence is the revision of the store at which
-	// the holder's key was created, so that it only grows.
+	// nobody holds the role. The fence is the store revision at which the holder's
+	// key was created, so that it only grows.
 	Owner string
 	Fence uint64
 }
@@ -100,8 +100,8 @@
 	releasing
 )
 
-// Holder acquires and keeps one duty. The zero value is of no use; see
-// NewHolder. A Holder has at most one call in flight.
+// Holder acquires and renews the lease of one role. Use NewHolder to make one.
+// A Holder has at most one call in flight.
 type Holder struct {
 	cfg      Config
 	state    holderState
@@ -114,12 +114,12 @@
 	sent     time.Duration
 }
 
-// NewHolder returns a holder that wants nothing yet.
+// NewHolder returns a holder that does not want the role yet.
 func NewHolder(cfg Config) *Holder {
 	return &Holder{cfg: cfg.withDefaults()}
 }
 
-// Want says whether this process should have the duty. Giving it up makes the
+// Want sets whether this process should have the role. Giving it up makes the
 // lease invalid at once; the next Tick releases it in the store.
 func (h *Holder) Want(want bool) {
 	if h.want && !want {
@@ -128,24 +128,24 @@
 	h.want = want
 }
 
-// Valid reports whether the duty may be acted on at now, a reading of the
-// process's monotonic clock. It must be asked right before each use.
+// Valid reports whether the role may be exercised at now, a reading of the
+// process's monotonic clock. It must be checked right before each use.
 func (h *Holder) Valid(now time.Duration) bool {
 	return h.state == held && h.want && now < h.deadline
 }
 
-// Fence returns the fencing number of the lease that the process holds by the
-// store's last word, or 0. Only Valid says whether it may be used.
+// Fence returns the fencing token of the lease that the process holds according
+// to the store's last answer, or 0. Only Valid reports whether it may be used.
 func (h *Holder) Fence() uint64 {
 	return h.fence
 }
 
-// Deadline returns when the lease ceases to be valid without a renewal.
+// Deadline returns when the lease becomes invalid without a renewal.
 func (h *Holder) Deadline() time.Duration {
 	return h.deadline
 }
 
-// Calls returns how many calls on the store the holder has made.
+// Calls returns how many calls to the store the holder has made.
 func (h *Holder) Calls() uint64 {
 	return h.calls
 }
@@ -195,7 +195,7 @@
 	return h.inFlight
 }
 
-// Answer takes the answer to a call. Answers that come after their timeout are
+// Answer handles the answer to a call. Answers that arrive after their timeout are
 // ignored.
 func (h *Holder) Answer(now time.Duration, a Answer) {
 	if h.inFlight.Kind == 0 || a.ID != h.inFlight.ID {
@@ -205,41 +205,41 @@
 	h.inFlight = Call{}
 	h.due = now + h.cfg.Retry
 	if a.Lost {
-		h.lost(kind)
+		h.handleLost(kind)
 		return
 	}
 	switch {
 	case kind == Release, a.Owner != h.cfg.Owner:
-		// A release whose answer was lost finds nobody or a successor.
+		// A release whose answer was lost finds no holder or a successor.
 		h.state, h.fence, h.deadline = idle, 0, 0
 	case a.Done:
-		h.keep(a.Fence)
+		h.extend(a.Fence)
 	default:
-		h.find(now, a.Fence)
+		h.adoptFound(now, a.Fence)
 	}
 }
 
-// find handles a lease that an earlier call got without its answer arriving.
-// Nobody knows when the store began to count it, so that it is not valid until
-// a renewal has been answered.
-func (h *Holder) find(now time.Duration, fence uint64) {
+// adoptFound handles a lease that an earlier call acquired without its answer
+// arriving. Its start is unknown, so that it is not valid until a renewal has
+// been answered.
+func (h *Holder) adoptFound(now time.Duration, fence uint64) {
 	h.state, h.fence, h.deadline = held, fence, 0
 	h.due = now
 }
 
-// lost handles a call whose answer never came. An acquisition may have taken
-// effect although nobody told the holder; without reading back, the duty would
-// stand still for a TTL. A renewal earns nothing: the deadline stays.
-func (h *Holder) lost(kind CallKind) {
+// handleLost handles a call whose answer never came. An acquisition may have taken
+// effect without the holder's knowledge; without reading back, nobody would exercise
+// the role for a TTL. A lost renewal does not extend the deadline.
+func (h *Holder) handleLost(kind CallKind) {
 	if kind == Acquire {
 		h.state = unsure
 	}
 }
 
-// keep counts the deadline from when the call was sent. The store's own clock
-// starts no earlier, so that the holder always stops before the store lets
-// another in; counted from the answer, a slow answer would make both valid.
-func (h *Holder) keep(fence uint64) {
+// extend counts the deadline from when the call was sent. The store's own clock
+// starts no earlier, so that the holder always stops before the store admits
+// another; counted from a slow answer, both could be valid at once.
+func (h *Holder) extend(fence uint64) {
 	h.state, h.fence = held, fence
 	h.deadline = h.sent + h.cfg.TTL - h.cfg.Margin
 	h.due = h.sent + h.cfg.Renew
--- a/core/membership/lease/lease_test.go
+++ b/core/membership/lease/lease_test.go
@@ -11,7 +11,7 @@
 
 const second = time.Second
 
-// acquire gives h a lease whose call was sent at now and answered late.
+// acquire gives h a lease whose call was sent at now and answered after late.
 func acquire(t *testing.T, h *Holder, now, late time.Duration) {
 	t.Helper()
 	h.Want(true)
@@ -26,9 +26,9 @@
 	return NewHolder(Config{Role: "group/captions", Owner: "rank-3/17", TTL: 10 * second, Timeout: 5 * second})
 }
 
-// Two stewards give orders at once: the first one's renewal is answered slowly,
-// it counts its lease from the answer, and the store, which counts from the
-// call, lets a second one in before the first stops.
+// Guards against two coordinators that send orders at once. If a holder counted its lease
+// from a slow answer to its renewal, the store, which counts from the call, would admit a
+// second holder before the first stops.
 func TestDeadlineCountsFromSend(t *testing.T) {
 	is := is.New(t)
 	h := newHolder()
@@ -38,8 +38,8 @@
 	is.True(!h.Valid(109 * second))
 }
 
-// A holder is paused for longer than its lease and then goes on: it must find
-// out by itself, before it does anything, that the lease has lapsed.
+// Guards against a holder that is paused for longer than its lease and then acts on it:
+// it must detect by itself, before it does anything, that the lease has expired.
 func TestPausedHolderIsInvalid(t *testing.T) {
 	is := is.New(t)
 	h := newHolder()
@@ -52,9 +52,9 @@
 	is.Equal(h.Fence(), uint64(0))
 }
 
-// The store's answer is lost after the write has taken effect. Nobody holds the
-// duty for a TTL unless the holder reads back; and the lease it finds may be
-// about to lapse, so that it must be renewed before it is used.
+// Guards against a role that nobody exercises for a TTL because the store's answer was
+// lost after the write took effect: the holder must read back. The lease it finds may be
+// about to expire, so that it must be renewed before it is used.
 func TestLostAcquireIsReadBackAndRenewed(t *testing.T) {
 	is := is.New(t)
 	h := newHolder()
@@ -74,8 +74,8 @@
 	is.True(h.Valid(115 * second))
 }
 
-// During an outage of the store every renewal is lost: the lease ends at the
-// deadline of the last one that was answered.
+// Guards against lost renewals, as in an outage of the store, that extend the lease: it
+// ends at the deadline of the last renewal that was answered.
 func TestLostRenewalEarnsNothing(t *testing.T) {
 	is := is.New(t)
 	h := newHolder()
@@ -88,7 +88,7 @@
 	}
 }
 
-// A draining agent gives up the duty: it must not act on it once it has said so.
+// Guards against a draining agent that exercises a role after releasing it.
 func TestReleaseEndsAtOnce(t *testing.T) {
 	is := is.New(t)
 	h := newHolder()
@@ -102,9 +102,9 @@
 	is.Equal(len(h.Tick(200*second)), 0)
 }
 
-// A holder paused between its check and its send gives an order after a newer
-// holder has given one. The target carries it out unless the guard refuses it;
-// a repeated order must not be carried out twice either.
+// Guards against executing the order of a holder that was paused between its check and
+// its send, after a newer holder has sent one, and against executing a repeated order
+// twice.
 func TestGuardRefusesOldNumbers(t *testing.T) {
 	tests := []struct {
 		name  string
@@ -129,15 +129,15 @@
 	is := is.New(t)
 	g := NewGuard(HonoursFencing, 0)
 	g.SetApplied(0, Number{Fence: 7})
-	is.NoErr(g.ObserveFence(9)) // a newer holder has been heard, but has ordered nothing
+	is.NoErr(g.ObserveFence(9)) // a newer holder was observed, but has sent no order
 	is.True(g.Admit(Number{Fence: 8, Sequence: 1}) != nil)
 	is.Equal(g.Fence(), uint64(9))
 }
 
-// An agent that starts empty does not know what its predecessor's last order
-// was, nor whether one is still on its way. It must refuse every order until it
-// has read the target, and at a target that ignores fencing it must not trust a
-// reading before a late order can no longer arrive.
+// Guards against orders of a restarted agent, which knows neither its predecessor's last
+// order nor whether one is still in flight. It must refuse every order until it has read
+// the target, and at a target that ignores fencing it must not trust a reading before a
+// late order can no longer arrive.
 func TestGuardLearnsBeforeFirstOrder(t *testing.T) {
 	is := is.New(t)
 	var wait *WaitError
@@ -151,16 +151,16 @@
 
 	is.True(errors.As(g.Begin(Number{Fence: 9, Sequence: 2}), &wait)) // one at a time
 	g.Done(Lost)
-	is.True(errors.As(g.Begin(Number{Fence: 9, Sequence: 2}), &wait)) // its fate is unknown
+	is.True(errors.As(g.Begin(Number{Fence: 9, Sequence: 2}), &wait)) // the outcome is unknown
 	is.True(!g.SetApplied(102*second, Number{Fence: 8, Sequence: 4}))
 	is.True(g.CanRead(102*second+second/2) != nil)
 	is.NoErr(g.CanRead(103 * second))
 }
 
-// An engine stands still while its agent is replaced: an order of the old agent
-// waits in the engine's socket however long that takes, and is carried out when
-// the engine goes on. Time alone proves nothing; the settling time must begin
-// when the engine answers.
+// Guards against trusting a reading too early after an engine stalled while its agent was
+// replaced: an order of the old agent waits in the engine's socket for as long as the
+// stall lasts, and is executed when the engine resumes. The settling time must therefore
+// begin when the engine answers.
 func TestGuardSettlesAfterTargetAnswers(t *testing.T) {
 	is := is.New(t)
 	g := NewGuard(IgnoresFencing, second)
@@ -168,9 +168,9 @@
 	is.True(!g.SetApplied(160*second, Number{Fence: 8, Sequence: 4}))
 	is.True(g.Admit(Number{Fence: 9, Sequence: 1}) != nil)
 	is.True(g.CanRead(160*second+second/2) != nil)
-	is.True(!g.SetApplied(160*second+second/2, Number{Fence: 8, Sequence: 4})) // it may be on its way yet
+	is.True(!g.SetApplied(160*second+second/2, Number{Fence: 8, Sequence: 4})) // a late order may still arrive
 	is.NoErr(g.CanRead(161 * second))
-	is.True(g.SetApplied(161*second, Number{Fence: 8, Sequence: 5})) // the late order has been carried out
+	is.True(g.SetApplied(161*second, Number{Fence: 8, Sequence: 5})) // the late order has been executed
 	is.NoErr(g.Admit(Number{Fence: 9, Sequence: 1}))
 }
 
@@ -180,19 +180,19 @@
 	for i := range 64 {
 		agents = append(agents, fmt.Sprintf("agent-%02d", i))
 	}
-	const duties = 6400
+	const roles = 6400
 	count, moved := make(map[string]int), 0
-	for d := range duties {
-		duty := fmt.Sprintf("duty-%d", d)
-		first := Candidates(duty, agents)[0]
+	for d := range roles {
+		role := fmt.Sprintf("duty-%d", d)
+		first := Candidates(role, agents)[0]
 		count[first]++
-		if after := Candidates(duty, agents[1:])[0]; first != agents[0] && after != first {
+		if after := Candidates(role, agents[1:])[0]; first != agents[0] && after != first {
 			moved++
 		}
 	}
-	is.Equal(moved, 0) // only the lost agent's duties move
+	is.Equal(moved, 0) // only the lost agent's roles move
 	for _, n := range count {
-		is.True(n > duties/64/2 && n < duties/64*2)
+		is.True(n > roles/64/2 && n < roles/64*2)
 	}
 }
 
--- a/core/membership/lease/spread.go
+++ b/core/membership/lease/spread.go
@@ -9,12 +9,12 @@
 )
 
 // Candidates returns the agents in the order in which they should take over the
-// duty: by rendezvous hashing, so that duties are spread evenly and the loss of
-// an agent moves only its own duties. The slice given is not changed.
-func Candidates(duty string, agents []string) []string {
+// role: by rendezvous hashing, so that roles are spread evenly and the loss of
+// an agent moves only its own roles. The given slice is not changed.
+func Candidates(role string, agents []string) []string {
 	scores := make(map[string]uint64, len(agents))
 	for _, a := range agents {
-		scores[a] = xxhash.Sum64String(duty + "\x00" + a)
+		scores[a] = xxhash.Sum64String(role + "\x00" + a)
 	}
 	ordered := slices.Clone(agents)
 	slices.SortFunc(ordered, func(a, b string) int {
@@ -29,11 +29,12 @@
 	return ordered
 }
 
-// Takeover says when an agent that hears nothing from a duty's holder asks the
-// store for it. Only the first Width candidates ever ask, one after another, so
-// that a lapsed lease costs a few calls and not one from each member.
+// Takeover determines when an agent that hears nothing from a role's holder
+// tries to acquire the role. Only the first MaxCandidates candidates ever do, one
+// after another, so that an expired lease costs a few calls and not one from each
+// member.
 type Takeover struct {
-	// HolderTimeout is how long the holder may be quiet.
+	// HolderTimeout is how long the holder may be silent.
 	HolderTimeout time.Duration
 	// Stagger is the pause between one candidate and the next.
 	Stagger time.Duration
@@ -41,20 +42,20 @@
 	MaxCandidates int
 }
 
-// Due reports whether self should want the duty, the holder having been heard
-// at heard. Agents are those not draining; an agent that is not among them, or
-// too far down the order, never asks.
-func (t Takeover) Due(now, heard time.Duration, duty, self string, agents []string) bool {
-	i := slices.Index(Candidates(duty, agents), self)
+// Due reports whether self should want the role, the holder having been last heard
+// from at lastHeard. The agents are those not draining; an agent that is not among
+// them, or too far down the order, never takes over.
+func (t Takeover) Due(now, lastHeard time.Duration, role, self string, agents []string) bool {
+	i := slices.Index(Candidates(role, agents), self)
 	if i < 0 || t.MaxCandidates > 0 && i >= t.MaxCandidates {
 		return false
 	}
-	return now-heard >= t.HolderTimeout+time.Duration(i)*t.Stagger
+	return now-lastHeard >= t.HolderTimeout+time.Duration(i)*t.Stagger
 }
 
-// CallsPerMinute returns the calls on the store that keep the given number of
-// duties for a minute: one renewal for each duty and interval. Nobody else
+// CallsPerMinute returns the calls to the store that renew the leases of the given
+// number of roles for a minute: one renewal for each role and interval. Nobody else
 // reads or watches the key.
-func CallsPerMinute(duties int, cfg Config) float64 {
-	return float64(duties) * float64(time.Minute) / float64(cfg.withDefaults().Renew)
+func CallsPerMinute(roles int, cfg Config) float64 {
+	return float64(roles) * float64(time.Minute) / float64(cfg.withDefaults().Renew)
 }
--- a/core/membership/member/digest.go
+++ b/core/membership/member/digest.go
@@ -10,8 +10,8 @@
 const (
 	// MaxDigest bounds an encoded digest without the quota part, in bytes.
 	MaxDigest = 192
-	// quietDigest bounds it when there is no news.
-	quietDigest = 96
+	// idleDigest bounds it when there are no updates.
+	idleDigest = 96
 	// MaxQuota bounds the quota part.
 	MaxQuota = 2048
 
@@ -35,16 +35,16 @@
 )
 
 // Record is a statement about one agent, or about the sender if it is the
-// first of a digest.
+// first record of a digest.
 type Record struct {
 	ID          uint64
 	Incarnation uint64
 	Sequence    uint64
 	State       State
 	Draining    bool
-	// Entry says that the sender is an entry, which has no record elsewhere.
+	// Entry reports that the sender is an entry, which has no record elsewhere.
 	Entry bool
-	// Wait is written in steps of a twelfth, Age in steps of 250 ms up to a
+	// Wait is encoded in steps of a twelfth, Age in steps of 250 ms up to a
 	// minute.
 	Wait time.Duration
 	Age  time.Duration
@@ -120,7 +120,7 @@
 	return n
 }
 
-// appendQuota ends the records; what follows is the quota part.
+// appendQuota ends the records and appends the quota part.
 func appendQuota(dst, quota []byte) []byte {
 	return append(append(dst, 0), quota...)
 }
@@ -180,12 +180,12 @@
 	return r, at + 2
 }
 
-// ageByte rounds up, so that an age never shrinks on its way.
+// ageByte rounds up, so that an age never shrinks when it is relayed.
 func ageByte(age time.Duration) byte {
 	return byte((min(max(age, 0), maxAge) + ageUnit - 1) / ageUnit)
 }
 
-// waitByte writes a wait on a logarithmic scale from one millisecond.
+// waitByte encodes a wait on a logarithmic scale from one millisecond.
 func waitByte(wait time.Duration) byte {
 	ms := float64(wait) / float64(time.Millisecond)
 	if ms < 1 {
--- a/core/membership/member/digest_write.go
+++ b/core/membership/member/digest_write.go
@@ -6,62 +6,62 @@
 )
 
 // Digest appends a digest for the peer to dst: the node's own record, what the
-// peer must know of itself, news, and a rotating part of the rest; then the
+// peer must learn of itself, updates, and a rotating part of the rest; then the
 // quota digest. The length is at most MaxDigest and that of the quota digest.
 func (v *View) Digest(dst []byte, peer string, quota []byte, now time.Time) []byte {
 	start := len(dst)
 	dst = appendHeader(dst, v.revision)
 	dst = appendRecord(dst, v.own)
-	room := MaxDigest - trailer - (len(dst) - start)
+	remaining := MaxDigest - trailer - (len(dst) - start)
 	n := 1
 	put := func(m *Member) bool {
-		if m.turn == v.turn {
+		if m.lastDigest == v.digests {
 			return true
 		}
 		r := m.record(now)
-		if r.length() > room || n == maxRecords {
+		if r.length() > remaining || n == maxRecords {
 			return false
 		}
 		dst = appendRecord(dst, r)
-		room -= r.length()
-		m.turn = v.turn
+		remaining -= r.length()
+		m.lastDigest = v.digests
 		n++
 		return true
 	}
-	v.turn++
-	// A suspect hears of it at once, or it could never refute.
-	if m, ok := v.members[idOf(peer)]; ok && (m.State != Alive || m.owed) {
-		m.owed = false
+	v.digests++
+	// A suspect learns of the suspicion at once, or it could never refute it.
+	if m, ok := v.members[idOf(peer)]; ok && (m.State != Alive || m.notifyStale) {
+		m.notifyStale = false
 		put(m)
 	}
-	v.putNews(put, now)
-	if len(v.news) == 0 {
-		room -= MaxDigest - quietDigest
+	v.putUpdates(put, now)
+	if len(v.updates) == 0 {
+		remaining -= MaxDigest - idleDigest
 	}
 	v.putRotating(put)
 	return appendQuota(dst, quota)
 }
 
-// spread makes the member's record news.
-func (v *View) spread(m *Member, now time.Time) {
-	if m.newsUntil.IsZero() {
-		v.news = append(v.news, m)
+// markUpdated makes the member's record an update.
+func (v *View) markUpdated(m *Member, now time.Time) {
+	if m.updateUntil.IsZero() {
+		v.updates = append(v.updates, m)
 	}
-	m.newsUntil, m.sends = now.Add(newsFor), 0
+	m.updateUntil, m.sends = now.Add(updateLifetime), 0
 }
 
-// putNews puts the records that are news, drains first, then the least often
-// sent. The order guards against a mass event, such as a lost zone, in which
-// the word of a single drain would wait its turn among hundreds of suspicions.
-func (v *View) putNews(put func(*Member) bool, now time.Time) {
-	v.news = slices.DeleteFunc(v.news, func(m *Member) bool {
-		old := !now.Before(m.newsUntil)
+// putUpdates adds the records that are updates, drains first, then the least
+// often sent. The order guards against a mass event, such as the failure of a zone,
+// in which a single drain would be queued behind hundreds of suspicions.
+func (v *View) putUpdates(put func(*Member) bool, now time.Time) {
+	v.updates = slices.DeleteFunc(v.updates, func(m *Member) bool {
+		old := !now.Before(m.updateUntil)
 		if old {
-			m.newsUntil = time.Time{}
+			m.updateUntil = time.Time{}
 		}
 		return old
 	})
-	slices.SortStableFunc(v.news, func(a, b *Member) int {
+	slices.SortStableFunc(v.updates, func(a, b *Member) int {
 		if a.Draining != b.Draining {
 			if a.Draining {
 				return -1
@@ -70,7 +70,7 @@
 		}
 		return a.sends - b.sends
 	})
-	for _, m := range v.news {
+	for _, m := range v.updates {
 		if !put(m) {
 			return
 		}
--- a/core/membership/member/drain_test.go
+++ b/core/membership/member/drain_test.go
@@ -7,9 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// A zone is lost, and an agent elsewhere begins to drain. If the word of it
-// waited its turn among hundreds of suspicions, entries would send to it for
-// many seconds more.
+// Guards against a drain that is queued behind hundreds of suspicions after the
+// failure of a zone: entries would send to the draining agent for many seconds more.
 func TestDrainGoesBeforeSuspicions(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 200)
--- a/core/membership/member/gossip.go
+++ b/core/membership/member/gossip.go
@@ -9,13 +9,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// newsFor is how long a node sends a change as news. Agents have it after some
-// ten rounds; an entry only pulls, and may pull from dead agents for a while,
-// so that the news must outlast its bad luck. A count of sends in place of the
-// time ran out after seven rounds and left one of 233 nodes without a drain.
-const newsFor = 20 * time.Second
+// updateLifetime is how long a node sends a change as an update. Agents have it after
+// some ten rounds; an entry only pulls, and may pull from dead agents for a while, so
+// that the update must last longer than that. Limiting the number of sends instead of the
+// time expired after seven rounds and left one of 233 nodes unaware of a drain.
+const updateLifetime = 20 * time.Second
 
-// Received is what a digest brought besides its records.
+// Received is the content of a digest other than its records.
 type Received struct {
 	// Revision is the sender's configuration revision.
 	Revision uint64
@@ -23,8 +23,7 @@
 	Quota []byte
 }
 
-// StaleError says that a digest came from an old incarnation; all of it was
-// ignored.
+// StaleError says that a digest came from an old incarnation and was ignored.
 type StaleError struct {
 	Known, Got uint64
 }
@@ -35,13 +34,13 @@
 }
 
 // chooseSubset appends the agents that rank highest for this node, those of
-// its own zone first. The ranks are hashes, so that each agent is in about as
-// many subsets as any other, and little changes with the list.
+// its own zone first. The ranks are rendezvous hashes, so that each agent is in
+// about as many subsets as any other, and a change of the list changes little.
 func chooseSubset(self Self, list []Instance, dst []string) []string {
 	type ranked struct {
-		name string
-		far  bool
-		rank uint64
+		name      string
+		otherZone bool
+		rank      uint64
 	}
 	all := make([]ranked, 0, len(list))
 	for _, in := range list {
@@ -52,9 +51,9 @@
 	}
 	slices.SortFunc(all, func(a, b ranked) int {
 		switch {
-		case a.far != b.far && b.far:
+		case a.otherZone != b.otherZone && b.otherZone:
 			return -1
-		case a.far != b.far:
+		case a.otherZone != b.otherZone:
 			return 1
 		case a.rank != b.rank && a.rank > b.rank:
 			return -1
@@ -69,8 +68,8 @@
 	return dst
 }
 
-// Round begins a round, once a second, and returns whom to exchange with. The
-// slice is valid until the next call.
+// Round begins a round, once a second, and returns the peers to exchange with.
+// The slice is valid until the next call.
 func (v *View) Round(now time.Time) []string {
 	v.rounds++
 	v.expire(now)
@@ -88,14 +87,14 @@
 		v.addPeer(v.partners[(v.rounds+i)%len(v.partners)])
 	}
 	if len(v.subset) > 0 && v.rounds%2 == 0 {
-		v.addNear(v.subset[v.rnd.IntN(len(v.subset))])
+		v.addSubsetPeer(v.subset[v.rnd.IntN(len(v.subset))])
 	}
 	return v.peers
 }
 
-// refreshPartners fills the partners up, drops those that have left the list
-// and replaces one of them every PartnerLife rounds. A gone one stays its time:
-// this is how the sides of a partition find each other again.
+// refreshPartners fills up the partners, drops those that are no longer listed
+// and replaces one of them every PartnerRounds rounds. A dead one remains until
+// then, so that the sides of a partition find each other again.
 func (v *View) refreshPartners() {
 	v.partners = slices.DeleteFunc(v.partners, func(name string) bool {
 		m, ok := v.members[idOf(name)]
@@ -118,14 +117,14 @@
 	}
 }
 
-// addNear adds one of the subset, unless it is gone.
-func (v *View) addNear(name string) {
+// addSubsetPeer adds a peer of the subset, unless it is dead.
+func (v *View) addSubsetPeer(name string) {
 	if m, ok := v.members[idOf(name)]; ok && m.State != Dead {
 		v.addPeer(name)
 	}
 }
 
-// expire turns suspects that have not refuted in time into gone ones.
+// expire marks suspects dead that have not refuted in time.
 func (v *View) expire(now time.Time) {
 	for _, m := range v.order {
 		if m.State == Suspect && now.Sub(m.suspected) >= SuspectTimeout {
@@ -134,9 +133,9 @@
 	}
 }
 
-// Merge takes in a peer's digest. A digest that is malformed or comes from an
-// old incarnation changes nothing; the latter should be answered none the less,
-// since the next Digest for that peer tells it that it is superseded.
+// Merge applies a peer's digest. A digest that is malformed or comes from an
+// old incarnation changes nothing; the latter should still be answered, since
+// the next Digest for that peer tells it that it is superseded.
 func (v *View) Merge(digest []byte, now time.Time) (Received, error) {
 	d, err := Decode(digest)
 	if err != nil {
@@ -144,14 +143,14 @@
 	}
 	sender := d.Records[0]
 	if m, ok := v.members[sender.ID]; ok && !sender.Entry && sender.Incarnation < m.Incarnation {
-		m.owed = true
+		m.notifyStale = true
 		return Received{}, &StaleError{Known: m.Incarnation, Got: sender.Incarnation}
 	}
-	v.heard = now
+	v.lastReceived = now
 	if !sender.Entry {
 		sender.Age, sender.State = 0, Alive
 		v.apply(sender, now)
-		v.clear(sender.ID, now)
+		v.clearSuspicion(sender.ID, now)
 	}
 	for _, r := range d.Records[1:] {
 		v.apply(r, now)
@@ -159,10 +158,10 @@
 	return Received{Revision: d.Revision, Quota: d.Quota}, nil
 }
 
-// apply takes in one record.
+// apply applies one record.
 func (v *View) apply(r Record, now time.Time) {
 	if r.ID == v.own.ID {
-		v.answer(r)
+		v.applyOwn(r)
 		return
 	}
 	m, ok := v.members[r.ID]
@@ -171,38 +170,39 @@
 			return
 		}
 		v.unlisted++
-		m = v.member(r.ID, now.Add(-r.Age))
+		m = v.ensureMember(r.ID, now.Add(-r.Age))
 	}
 	if r.Incarnation < m.Incarnation {
 		return
 	}
 	if r.newer(m) {
-		v.adopt(m, r, now)
+		v.override(m, r, now)
 	}
 	if seen := now.Add(-r.Age); seen.After(m.Seen) {
 		m.Seen, m.Wait = seen, r.Wait
 	}
 }
 
-// adopt takes over a newer statement and makes it news here too. That an agent
-// lives is no news to a node that has just started, and would crowd out what is.
-func (v *View) adopt(m *Member, r Record, now time.Time) {
+// override replaces what is known by a newer record and sends it on as an update.
+// The first record that says that an agent is alive is not sent on: on a node that
+// has just started these would crowd out actual changes.
+func (v *View) override(m *Member, r Record, now time.Time) {
 	if r.State == Suspect {
 		m.suspected = now
 	}
 	// Draining does not end within an incarnation. A suspicion by a node that
-	// has not heard of it yet must not reopen the agent for new work.
+	// has not learned of it yet must not make the agent eligible again.
 	m.Draining = r.Draining || m.Draining && r.Incarnation == m.Incarnation
 	first := m.Incarnation == 0
 	m.State, m.Incarnation, m.Sequence = r.State, r.Incarnation, r.Sequence
 	if !first || r.Draining || r.State == Suspect {
-		v.spread(m, now)
+		v.markUpdated(m, now)
 	}
 }
 
-// answer reacts to what others say of this node: it refutes a suspicion, and
-// learns that a later process has its name.
-func (v *View) answer(r Record) {
+// applyOwn handles a record about this node: it refutes a suspicion, and detects
+// that a later process has its name.
+func (v *View) applyOwn(r Record) {
 	if r.Entry || !v.self.Agent {
 		return
 	}
@@ -214,22 +214,22 @@
 	}
 }
 
-// clear ends a suspicion on first-hand evidence. The agent's own refutation
-// ends it for the others.
-func (v *View) clear(id uint64, now time.Time) {
+// clearSuspicion ends a suspicion on first-hand evidence. The agent's own
+// refutation ends it for the other nodes.
+func (v *View) clearSuspicion(id uint64, now time.Time) {
 	if m, ok := v.members[id]; ok {
 		m.State, m.Seen = Alive, now
 	}
 }
 
-// RecordAnswer tells of an answer of an agent on the path of a request. An answer of
+// RecordAnswer records an agent's answer on the path of a request. An answer of
 // an old incarnation is ignored.
 func (v *View) RecordAnswer(name string, incarnation uint64, draining bool, wait time.Duration, now time.Time) {
 	m, ok := v.members[idOf(name)]
 	if !ok || incarnation < m.Incarnation {
 		return
 	}
-	v.heard = now
+	v.lastReceived = now
 	if incarnation > m.Incarnation {
 		m.Incarnation, m.Sequence, m.Draining = incarnation, 0, false
 	}
@@ -237,13 +237,13 @@
 	m.Draining = m.Draining || draining
 }
 
-// RecordFailure tells that an exchange with an agent failed, or a request could not
-// reach it.
+// RecordFailure records that an exchange with an agent failed, or that a request
+// could not reach it.
 func (v *View) RecordFailure(name string, now time.Time) {
 	m, ok := v.members[idOf(name)]
 	if !ok || m.State != Alive {
 		return
 	}
 	m.State, m.suspected = Suspect, now
-	v.spread(m, now)
+	v.markUpdated(m, now)
 }
--- a/core/membership/member/look.go
+++ b/core/membership/member/look.go
@@ -14,7 +14,7 @@
 }
 
 // Members appends the listed agents to dst, in the order in which the node
-// came to know them.
+// learned of them.
 func (v *View) Members(dst []Member) []Member {
 	for _, m := range v.order {
 		if m.listed {
@@ -25,33 +25,33 @@
 }
 
 // Eligible reports whether an agent may get new work: it is listed, neither
-// the list nor the agent says that it leaves, and it is not gone.
+// the list nor the agent reports that it leaves, and it is not dead.
 func (v *View) Eligible(name string) bool {
 	m, ok := v.members[idOf(name)]
 	return ok && m.listed && !m.Leaving && !m.Draining && m.State != Dead
 }
 
-// Superseded reports whether a process with this node's name and a larger
-// incarnation has been heard of. The node is then an old copy, for instance
-// one that was paused and replaced, and must stop.
+// Superseded reports whether the node has learned of a process with its name and
+// a larger incarnation. The node is then an old copy, for instance one that was
+// paused and replaced, and must stop.
 func (v *View) Superseded() bool { return v.superseded }
 
-// Isolated reports whether the node has heard nobody for CutOffAfter, though the
-// list says that there are others. It guards against a node that goes on with
-// a configuration and limits it can no longer hear changes of; its readiness
-// check must fail, so that the platform's balancer passes it by.
+// Isolated reports whether the node has received nothing from any other for
+// IsolatedAfter, though the list contains others. It guards against a node that
+// continues with configuration and limits whose changes no longer reach it; its
+// readiness check must fail, so that the platform's balancer bypasses it.
 func (v *View) Isolated(now time.Time) bool {
-	return len(v.names) > 0 && now.Sub(v.heard) >= IsolatedAfter
+	return len(v.names) > 0 && now.Sub(v.lastReceived) >= IsolatedAfter
 }
 
-// VisibleFraction returns the part of the listed agents, between 0 and 1, in zones of
-// which any agent has been heard of within ZoneSilentAfter. It falls below 1
-// in a partition, and not when single agents fail.
+// VisibleFraction returns the fraction of the listed agents that are in zones
+// of which any agent has been seen within ZoneTimeout. It falls below 1 in a
+// partition, and not when single agents fail.
 func (v *View) VisibleFraction(now time.Time) float64 {
 	var zones [maxZones]struct {
-		zone   string
-		agents int
-		heard  bool
+		zone    string
+		agents  int
+		visible bool
 	}
 	n, total, seen := 0, 0, 0
 	for _, m := range v.order {
@@ -70,11 +70,11 @@
 			n++
 		}
 		zones[i].agents++
-		zones[i].heard = zones[i].heard || now.Sub(m.Seen) < ZoneTimeout
+		zones[i].visible = zones[i].visible || now.Sub(m.Seen) < ZoneTimeout
 	}
 	for _, z := range zones[:n] {
 		total += z.agents
-		if z.heard || z.zone == v.self.Zone {
+		if z.visible || z.zone == v.self.Zone {
 			seen += z.agents
 		}
 	}
--- a/core/membership/member/member.go
+++ b/core/membership/member/member.go
@@ -1,26 +1,26 @@
-// Package member is a node's view of the agents: which of them live, drain or
-// are gone, and which configuration revision the fleet has.
+// Package member maintains a node's view of the agents: which of them are alive,
+// draining or dead, and which configuration revision the fleet has.
 //
-// Three sources feed it. The instance list gives names, zones and addresses,
-// and lags. Exchanges between nodes carry digests of bounded size: an agent's
-// own record, changes that are still news, and a rotating part of the rest.
-// Answers on the path of the requests are first-hand evidence. The agent is
-// the authority on itself: its incarnation (a number that grows with each
-// start of the process) beats any older one, and what it says of its draining
-// beats the list. A stale view is harmless, since a draining agent refuses
-// new work at once as not run; the view only saves the try.
+// It has three sources. The instance list gives names, zones and addresses, and
+// lags. Exchanges between nodes carry digests of bounded size: an agent's own
+// record, recent updates, and a rotating part of the rest. Answers on the path
+// of the requests are first-hand evidence. The agent is the authority on itself:
+// its incarnation (a number that grows with each start of the process) overrides
+// any older one, and its own report that it drains overrides the list. A stale
+// view is harmless, since a draining agent refuses new work at once as not run;
+// the view only saves the attempt.
 //
-// Failures are found as in SWIM (Das, Gupta and Motivala, 2002): an exchange
-// that fails makes the peer suspect, the suspicion spreads as news, the peer
-// refutes it with a larger sequence number when it hears of it, and a suspect
-// that does not is gone after SuspectFor. A node that has heard nobody for
-// CutOffAfter knows that it is cut off and must say so in its readiness check.
+// Failures are detected as in SWIM (Das, Gupta and Motivala, 2002): an exchange
+// that fails makes the peer suspect, the suspicion spreads as an update, the peer
+// refutes it with a larger sequence number when it learns of it, and a suspect
+// that does not is dead after SuspectTimeout. A node that has received nothing
+// for IsolatedAfter is isolated and must report so in its readiness check.
 //
 // Each node exchanges with one of a few random partners a second, which change
-// one at a time, and every other second with one of its subset, which is
-// SubsetSize agents, of its own zone first. A random peer may be one that is gone: this is how the sides of a partition
-// find each other again. After a new revision a node exchanges with BoostPeers
-// more for BoostRounds rounds.
+// one at a time, and every other second with one of its subset of SubsetSize
+// agents, of its own zone first. A random peer may be a dead one, so that the
+// sides of a partition find each other again. After a new revision a node
+// exchanges with BoostPeers more for BoostRounds rounds.
 //
 // A View has no clock, no lock and no connections.
 //
@@ -31,7 +31,7 @@
 //	for _, peer := range v.Round(now) { // once a second
 //		reply, err := exchange(peer, v.Digest(nil, peer, quota, now))
 //		if err != nil {
-//			v.Failed(peer, now)
+//			v.RecordFailure(peer, now)
 //			continue
 //		}
 //		received, err := v.Merge(reply, now)
@@ -47,33 +47,34 @@
 )
 
 const (
-	// SuspectTimeout is how long a suspect has to refute before it is gone.
+	// SuspectTimeout is how long a suspect has to refute before it is dead.
 	SuspectTimeout = 5 * time.Second
-	// IsolatedAfter is how long a node hears nobody before it is cut off.
+	// IsolatedAfter is how long a node receives nothing before it is isolated.
 	IsolatedAfter = 5 * time.Second
-	// ZoneTimeout is how long no agent of a zone is heard of, at first or
-	// second hand, before the zone counts as out of sight.
+	// ZoneTimeout is how long no agent of a zone has been seen, directly or through
+	// others, before the zone counts as not visible.
 	ZoneTimeout = 15 * time.Second
-	// SubsetSize is how many peers a node keeps to.
+	// SubsetSize is how many peers a node's permanent subset has.
 	SubsetSize = 6
-	// Partners is how many random agents a node keeps to for a while. A new
+	// Partners is how many random agents a node exchanges with for a while. A new
 	// random agent each round would mean a new connection each second, which
-	// with TLS costs 4.9 KB where an exchange on a kept one costs 0.3.
+	// with TLS costs 4.9 KB where an exchange on an existing one costs 0.3.
 	Partners = 8
-	// PartnerRounds is after how many rounds one of the partners is replaced.
+	// PartnerRounds is the number of rounds after which one of the partners is
+	// replaced.
 	PartnerRounds = 60
-	// BoostPeers is how many peers more a node exchanges with in a round
-	// after it learned of a new revision.
+	// BoostPeers is how many more peers a node exchanges with in a round
+	// after it has learned of a new revision.
 	BoostPeers = 2
 	// BoostRounds is how many rounds that lasts.
 	BoostRounds = 3
-	// unlistedFor is how long an agent is remembered that is not on the list,
-	// and maxUnlisted how many of them.
+	// unlistedFor is how long an unlisted agent is remembered, and maxUnlisted
+	// how many of them are.
 	unlistedFor = time.Minute
 	maxUnlisted = 128
 )
 
-// State says how an agent is believed to be.
+// State is the believed state of an agent.
 type State uint8
 
 // The states. Dead is a node's own conclusion and is never sent.
@@ -90,7 +91,7 @@
 	// Incarnation is larger at each start of the process, for instance the
 	// wall time in milliseconds.
 	Incarnation uint64
-	// Agent says that the node is an agent and has a record of its own; an
+	// Agent reports that the node is an agent and has a record of its own; an
 	// entry has none.
 	Agent bool
 }
@@ -112,20 +113,20 @@
 	Draining bool
 	// Wait is the agent's expected wait for new work, as of Seen.
 	Wait time.Duration
-	// Seen is when the agent was last known to live, at first or later hand.
+	// Seen is when the agent was last known to be alive, directly or through others.
 	Seen time.Time
 
 	id        uint64
 	listed    bool
 	suspected time.Time
-	// newsUntil is the end of the record's time as news, zero if it is none;
-	// sends counts how often it went out.
-	newsUntil time.Time
-	sends     int
-	// owed says that the agent's old copy must hear of its successor, turn is
-	// the last digest that the record is in.
-	owed bool
-	turn uint64
+	// updateUntil is when the record ceases to be sent as an update, zero if it is
+	// none; sends counts how often it was sent.
+	updateUntil time.Time
+	sends       int
+	// notifyStale reports that the agent's old copy must learn of its successor;
+	// lastDigest is the last digest that contains the record.
+	notifyStale bool
+	lastDigest  uint64
 }
 
 // View is one node's view. Use New to make one.
@@ -138,18 +139,18 @@
 	members  map[uint64]*Member
 	order    []*Member
 	cursor   int
-	turn     uint64
-	news     []*Member
+	digests  uint64
+	updates  []*Member
 	unlisted int
 	// names are the listed agents without the node itself, subset some of them.
-	names      []string
-	subset     []string
-	partners   []string
-	rounds     int
-	boost      int
-	peers      []string
-	heard      time.Time
-	superseded bool
+	names        []string
+	subset       []string
+	partners     []string
+	rounds       int
+	boost        int
+	peers        []string
+	lastReceived time.Time
+	superseded   bool
 }
 
 // New returns a view that knows only its own node.
@@ -159,17 +160,17 @@
 	return v
 }
 
-// idOf returns the 48 bits that stand for a name in digests. Among a thousand
-// agents the chance that any two share them is about two in a thousand million.
+// idOf returns the 48 bits that represent a name in digests. Among a thousand
+// agents the probability that any two share them is about two in a thousand million.
 func idOf(name string) uint64 { return xxhash.Sum64String(name) & idMask }
 
 const idMask = 1<<48 - 1
 
-// SetInstances takes the instance list. An agent that finds itself leaving
+// SetInstances sets the instance list. An agent that finds itself leaving
 // there begins to drain; the list never ends its draining.
 func (v *View) SetInstances(list []Instance, now time.Time) {
-	if v.heard.IsZero() {
-		v.heard = now // the time to be cut off runs from the first list
+	if v.lastReceived.IsZero() {
+		v.lastReceived = now // the time until isolation runs from the first list
 	}
 	for _, m := range v.order {
 		m.listed = false
@@ -182,16 +183,16 @@
 			}
 			continue
 		}
-		m := v.member(idOf(in.Name), now)
+		m := v.ensureMember(idOf(in.Name), now)
 		m.Instance, m.listed = in, true
 		v.names = append(v.names, in.Name)
 	}
 	v.subset = chooseSubset(v.self, list, v.subset[:0])
-	v.sweep(now)
+	v.removeUnlisted(now)
 }
 
-// member returns the member with the id, made if it is missing.
-func (v *View) member(id uint64, now time.Time) *Member {
+// ensureMember returns the member with the id, and creates it if it is missing.
+func (v *View) ensureMember(id uint64, now time.Time) *Member {
 	if m, ok := v.members[id]; ok {
 		return m
 	}
@@ -201,10 +202,10 @@
 	return m
 }
 
-// sweep forgets agents that have long left the list. A record is kept for a
-// while, since the list may lag behind an agent that has just started, or show
+// removeUnlisted removes agents that have long been unlisted. A record is retained
+// for a while, since the list may lag behind an agent that has just started, or show
 // an older copy for a moment.
-func (v *View) sweep(now time.Time) {
+func (v *View) removeUnlisted(now time.Time) {
 	kept := v.order[:0]
 	v.unlisted = 0
 	for _, m := range v.order {
@@ -219,11 +220,11 @@
 	}
 	clear(v.order[len(kept):])
 	v.order = kept
-	v.news = slices.DeleteFunc(v.news, func(m *Member) bool { return v.members[m.id] != m })
+	v.updates = slices.DeleteFunc(v.updates, func(m *Member) bool { return v.members[m.id] != m })
 }
 
-// SetDraining says that this agent takes no new work from now on. There is no
-// way back in the same incarnation.
+// SetDraining makes this agent report that it takes no new work. This cannot be
+// undone within an incarnation.
 func (v *View) SetDraining() {
 	if v.own.Draining {
 		return
@@ -239,7 +240,7 @@
 func (v *View) SetWait(wait time.Duration) { v.own.Wait = wait }
 
 // SetRevision sets the configuration revision that the node has in force. It
-// never goes back.
+// never decreases.
 func (v *View) SetRevision(revision uint64) {
 	if revision > v.revision {
 		v.revision = revision
@@ -247,5 +248,5 @@
 	}
 }
 
-// maxZones bounds the zones that Visible tells apart.
+// maxZones bounds the zones that VisibleFraction distinguishes.
 const maxZones = 64
--- a/core/membership/member/member_test.go
+++ b/core/membership/member/member_test.go
@@ -12,8 +12,8 @@
 
 var start = time.Date(2026, 1, 31, 8, 0, 0, 0, time.UTC)
 
-// fleet is nodes that exchange digests in rounds of a second. The first
-// entries of nodes are entries, the others agents.
+// fleet simulates nodes that exchange digests in rounds of a second. The first
+// nodes are entries, the others agents.
 type fleet struct {
 	t     *testing.T
 	now   time.Time
@@ -21,7 +21,7 @@
 	index map[string]int
 	list  []Instance
 	down  map[int]bool
-	// cut says that two zones lose each other.
+	// cut reports whether two zones are partitioned from each other.
 	cut func(a, b string) bool
 }
 
@@ -92,16 +92,15 @@
 	is := is.New(t)
 	f := newFleet(t, 22, 42)
 	f.nodes[30].SetRevision(7)
-	f.nodes[30].SetRevision(6) // never back
+	f.nodes[30].SetRevision(6) // never decreases
 	f.rounds(9)
 	is.Equal(f.count(func(v *View) bool { return v.revision == 7 }), 64)
-	is.Equal(f.count(func(v *View) bool { return len(v.news) > 0 }), 0) // nothing has changed
+	is.Equal(f.count(func(v *View) bool { return len(v.updates) > 0 }), 0) // no agent has changed
 }
 
-// An agent is told to drain, while the instance list shows it as live for
-// minutes to come, and a zone has just failed. Entries that believe the list
-// would send it new work, and each caller would pay for a refusal; the news of
-// the drain must not queue behind that of the zone.
+// Guards against sending new work to a draining agent that the instance list shows as
+// live for minutes, which costs each caller a refusal. A zone has just failed; the
+// update about the drain must not be queued behind those about the zone.
 func TestDrainingSpreads(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 100, 200)
@@ -118,20 +117,21 @@
 		v.SetInstances(f.list, f.now)
 	}
 	is.Equal(f.count(func(v *View) bool { return v.Eligible("n130") }), 0)
-	wrong := 0
+	stale := 0
 	for i := range f.down {
-		wrong += f.count(func(v *View) bool { return v.Eligible(fmt.Sprint("n", i)) })
+		stale += f.count(func(v *View) bool { return v.Eligible(fmt.Sprint("n", i)) })
 	}
-	is.True(wrong < 66*234*2/100) // after 26 s 98 in 100 know of each dead agent
-	// One entry learns of another's draining from a refusal. A suspicion by a
-	// node that has not heard of it must not reopen it.
+	is.True(stale < 66*234*2/100) // after 26 s 98 in 100 know of each dead agent
+	// One entry learns of an agent's draining from a refusal. A suspicion by a
+	// node that has not learned of it must not make the agent eligible again.
 	f.nodes[0].RecordAnswer("n131", 1, true, 0, f.now)
 	f.nodes[0].apply(Record{ID: idOf("n131"), Incarnation: 1, State: Suspect}, f.now)
 	is.True(!f.nodes[0].Eligible("n131"))
 }
 
-// Only the list says that an instance leaves. The entries stop at once; the
-// agent finds itself on the list, drains and tells those with an older list.
+// Guards against sending new work to an instance that only the list shows as leaving.
+// The entries stop at once; the agent finds itself on the list, drains and informs nodes
+// with an older list.
 func TestListSaysLeaving(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 2, 4)
@@ -148,9 +148,9 @@
 	is.True(!f.nodes[1].Eligible("n2"))
 }
 
-// An agent is paused, replaced under its name, and wakes up. Its late words
-// must not count: else entries would go by the load and the draining of a
-// process that has no target any more. It has to learn that it must stop.
+// Guards against late digests of an agent that was paused, replaced under its name, and
+// resumed: entries would use the load and the draining of a process that no longer has
+// a target. The old process has to learn that it must stop.
 func TestOldIncarnation(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 1, 60)
@@ -178,8 +178,8 @@
 	is.True(ok && entry.Eligible("n3") && m.Wait < time.Minute)
 }
 
-// An instance dies without a word. Its callers must not be sent there for
-// longer than it takes to notice; one that was only slow must stay in use.
+// Guards against sending requests to a crashed instance for longer than its detection
+// takes, and against not using one that was only slow.
 func TestDeathAndFalseSuspicion(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 22, 42)
@@ -196,9 +196,9 @@
 	is.Equal(f.count(func(v *View) bool { return v.Eligible("n30") || v.own.ID == idOf("n30") }), 64)
 }
 
-// A zone loses the two others. Each side goes on and knows how much of the
-// fleet it sees, so that limits are not given out twice; a node that hears
-// nobody knows that it is cut off, so that the balancer can pass it by.
+// Guards against limits that are granted twice in a partition: each side continues and
+// knows how much of the fleet it sees. A node that receives nothing knows that it is
+// isolated, so that the balancer can bypass it.
 func TestPartition(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(t, 12, 24)
