--- a/core/experts/engine/engine.go
+++ b/core/experts/engine/engine.go
@@ -1,10 +1,10 @@
-// Package engine holds what is known of the model engines that are ranks of an expert group,
-// and what they are ordered to do, in the words of this project.
+// Package engine holds the project's own types for the model engines that are ranks of an
+// expert group: their state, and the orders that they are given.
 //
-// The engines of a group run every pass together. The group that an engine belongs to is one
-// life of a group, a GroupID; what the engine says of itself is a State, how often its
-// requests chose each expert are Counts, and where the experts are is a Placement. A steward
-// changes the expert map by Orders.
+// The engines of a group run every forward pass together. A GroupID names the group that an
+// engine belongs to, in one membership epoch; a State is what the engine reports of itself;
+// Counts are how often its requests chose each expert; and a Placement says where the experts
+// are. A coordinator changes the expert map by Orders.
 //
 // # Usage
 //
@@ -15,9 +15,9 @@
 
 import "fmt"
 
-// GroupID is one life of an expert group. The platform forms a group anew, in a
-// new epoch, when it has lost a rank; nothing that was said of an earlier epoch
-// holds in a later one. The name is opaque.
+// GroupID names an expert group in one membership epoch. When a group has lost a rank, the
+// platform forms it again in a new epoch; nothing reported in an earlier epoch holds in a
+// later one. The name is opaque.
 type GroupID struct {
 	Name  string
 	Epoch int64
@@ -26,16 +26,15 @@
 // String returns the name and the epoch for logs.
 func (g GroupID) String() string { return fmt.Sprintf("%s@%d", g.Name, g.Epoch) }
 
-// Older reports whether g is an earlier life of the same group.
+// Older reports whether g is an earlier epoch of the same group.
 func (g GroupID) Older(than GroupID) bool { return g.Name == than.Name && g.Epoch < than.Epoch }
 
-// State is what the engine of a rank says of itself.
+// State is what the engine of a rank reports of itself.
 type State struct {
 	Group string
 	Epoch int64
-	// Born is when the server started, in Unix milliseconds by its own clock; 0
-	// if it does not say. A server that starts again under its ID knows nothing of
-	// before.
+	// Born is when the server started, in Unix milliseconds by its own clock; 0 if it does not
+	// report it. A server that restarts under the same ID has lost all earlier state.
 	Born int64
 	Rank int
 	Size int
@@ -43,17 +42,17 @@
 	Open bool
 	// Seq counts the orders that the server has begun since its start.
 	Seq int64
-	// Step is the last pass that was begun.
+	// Step is the last forward pass that was begun.
 	Step int64
-	// Map is the number of the map in force, Prepared that of the newest map
-	// whose copy is complete; 0 is the first map of an epoch.
+	// Map is the number of the map in force; 0 is the first map of an epoch. Prepared is the
+	// number of the newest map whose copy is complete.
 	Map      int64
 	Prepared int64
 	// ArmedMap takes effect as pass ArmedStep begins; both are 0 if none is.
 	ArmedMap  int64
 	ArmedStep int64
-	// Held is the pass that the group does not begin before this rank lets it;
-	// 0 means none.
+	// Held is the pass that the group does not begin until this rank releases it; 0 means
+	// none.
 	Held int64
 	// Busy says that an order, such as a copy, is in progress.
 	Busy bool
@@ -63,11 +62,11 @@
 	Pace float64
 }
 
-// GroupID returns the life of the group that the rank belongs to.
+// GroupID returns the group and epoch that the rank belongs to.
 func (s *State) GroupID() GroupID { return GroupID{Name: s.Group, Epoch: s.Epoch} }
 
-// Counts are how often the requests of a rank chose each expert since the rank
-// started: one number for each expert, set after set.
+// Counts are how often the requests of a rank chose each expert since the rank started: one
+// number for each expert, one set of experts after another.
 type Counts struct {
 	Epoch  int64
 	Step   int64
@@ -81,7 +80,7 @@
 	Experts [][]int
 }
 
-// OrderKind is what an order asks of a rank.
+// OrderKind is what an order makes a rank do.
 type OrderKind string
 
 // The orders.
@@ -90,7 +89,7 @@
 	PrepareMap OrderKind = "prepare"
 	// ArmMap makes the rank switch to a prepared map as a pass begins.
 	ArmMap OrderKind = "arm"
-	// DisarmMap takes that back.
+	// DisarmMap reverts ArmMap.
 	DisarmMap OrderKind = "disarm"
 	// HoldPass keeps the whole group from beginning a pass.
 	HoldPass OrderKind = "hold"
@@ -104,7 +103,7 @@
 	Epoch int64
 	// Expect is the Seq that the rank must have.
 	Expect int64
-	// Fence is the steward's fencing number.
+	// Fence is the coordinator's fencing token.
 	Fence int64
 	// Version is the number of the map, Step the pass, where they apply.
 	Version int64
--- a/core/experts/lockstep/explorer_test.go
+++ b/core/experts/lockstep/explorer_test.go
@@ -14,16 +14,15 @@
 
 var runs = flag.Int("lockstep.runs", 3000, "random runs of the explorer")
 
-// model is a group of ranks as the platform's pages describe them. Orders may
-// be carried out late and more than once; nothing but the version number, the
-// epoch and the pass protects a rank.
+// model is a group of ranks as the platform documents them. Orders may be carried out late and
+// more than once; only the version number, the epoch and the pass protect a rank.
 type model struct {
 	ranks []modelRank
 	// step is the last pass that was begun.
 	step  int64
 	epoch int64
 	rng   *rand.Rand
-	// mixed says how two ranks had different maps in one pass.
+	// mixed says which two ranks had different maps in one pass.
 	mixed error
 }
 
@@ -48,7 +47,7 @@
 	return m
 }
 
-// apply carries out an order and reports whether it fits.
+// apply carries out an order and reports whether the rank accepts it.
 func (m *model) apply(i int, o engine.Order, tick int) bool {
 	r := &m.ranks[i]
 	st := &r.state
@@ -88,7 +87,7 @@
 	return true
 }
 
-// tick lets copies complete and the group begin a pass, if nothing holds it.
+// tick completes copies and lets the group begin a pass, unless a rank holds it.
 func (m *model) tick(tick int) {
 	for i := range m.ranks {
 		r := &m.ranks[i]
@@ -121,7 +120,7 @@
 	}
 }
 
-// restart forms the group anew after the loss of a rank.
+// restart forms the group again after the loss of a rank.
 func (m *model) restart() {
 	m.epoch++
 	for i := range m.ranks {
@@ -133,67 +132,68 @@
 	}
 }
 
-// late is an order that is carried out at a later tick.
-type late struct {
+// delayedOrder is an order that is carried out at a later tick.
+type delayedOrder struct {
 	at    int
 	rank  int
 	order engine.Order
 }
 
-// letter is an ask that reaches the agent beside a rank late, after its steward may be
-// long gone.
-type letter struct {
-	at    int
-	rank  int
-	word  Announcement
-	order engine.Order
+// delayedRequest is a request that reaches the agent beside a rank late, when its coordinator
+// may have been replaced long ago.
+type delayedRequest struct {
+	at           int
+	rank         int
+	announcement Announcement
+	order        engine.Order
 }
 
-// driver is a steward with the process around it.
+// driver is a coordinator with the process around it.
 type driver struct {
 	s    *Coordinator
 	name string
 	term int64
 	at   int // its rank
-	// epoch is the one in which it asks.
+	// epoch is that of its announcements.
 	epoch int64
-	// paused is the tick until which its process stands still; what it had
-	// decided goes out when it wakes.
+	// paused is the tick until which its process is paused; what it had decided is sent when
+	// it resumes.
 	paused  int
 	pending []Command
 	ranks   []Rank
-	// ordered is the tick in which it has given an order last: what it is told in a later
-	// ask was read after that.
+	// ordered is the tick in which it last sent an order: the states reported to a later
+	// request were read after that.
 	ordered int
 	done    bool
 }
 
-// world plays stewards against the model.
+// world runs coordinators against the model.
 type world struct {
 	*model
-	drivers []*driver
-	late    []late
-	// cut are ranks that can't be reached until a tick, with the agent there.
-	cut []int
-	// listeners are those of the agents beside the ranks.
-	listeners []Follower
-	letters   []letter
-	// neighbour is the group that the ranks of this one have belonged to before: its
-	// epochs are numbers of the same size, and its stewards don't know that it is no more.
-	neighbour neighbour
-	// past are the states of the ranks in the last ticks, newest first: what relays tell
-	// may be as old.
+	drivers       []*driver
+	delayedOrders []delayedOrder
+	// unreachableUntil is the tick until which each rank and the agent beside it are
+	// unreachable.
+	unreachableUntil []int
+	// followers are those of the agents beside the ranks.
+	followers       []Follower
+	delayedRequests []delayedRequest
+	// other is the group that the ranks of this one belonged to before: its epochs are numbers
+	// of the same size, and its coordinators do not know that it no longer exists.
+	other otherGroup
+	// past holds the states of the ranks in the last ticks, newest first: the states that
+	// relays report may be as old.
 	past   [][]engine.State
 	term   int64
 	last   *Predecessor
 	tickNo int
 	faults bool
-	// guards of the protocol that a test may switch off.
+	// These disable guards of the protocol.
 	noHold, sameNumbers, anyGroup bool
 }
 
-// neighbour is a change that the stewards of another group are in the middle of.
-type neighbour struct {
+// otherGroup is a change that the coordinators of another group are in the middle of.
+type otherGroup struct {
 	version, step int64
 	started       int
 }
@@ -214,37 +214,37 @@
 	}
 	w.last = &Predecessor{Rank: at, Salt: salt}
 	d := &driver{s: NewCoordinator(at, before, salt), name: fmt.Sprint("s", w.term), term: w.term, at: at, epoch: w.epoch}
-	d.s.Stopgap = Map{{{-1}, {at}}}
+	d.s.Placeholder = Map{{{-1}, {at}}}
 	w.drivers = append(w.drivers, d)
 }
 
-// reach reports whether a driver can reach a rank, through the agent or
-// straight.
+// reach reports whether a driver can reach a rank, through the agent or directly.
 func (w *world) reach(d *driver, i int) bool {
-	return w.cut[i] <= w.tickNo && w.cut[d.at] <= w.tickNo || i == d.at
+	return w.unreachableUntil[i] <= w.tickNo && w.unreachableUntil[d.at] <= w.tickNo || i == d.at
 }
 
-// word is what a driver says of itself.
-func (d *driver) word(salt int64) Announcement {
+// announcement returns the announcement of a driver.
+func (d *driver) announcement(salt int64) Announcement {
 	return Announcement{Group: engine.GroupID{Name: "g", Epoch: d.epoch}, Term: d.term, From: d.name, Rank: d.at, Salt: uint64(salt)}
 }
 
-// hears has the agent beside a rank judge a word, once it has read its rank.
-func (w *world) hears(i int, word Announcement) Refusal {
-	l := &w.listeners[i]
-	if seat := MembershipOf(&w.ranks[i].state); !l.Membership().Same(seat) || l.Membership().Group != seat.Group {
-		l.SetMembership(seat)
+// acceptAt has the agent beside a rank accept or refuse an announcement, once it has read its
+// rank.
+func (w *world) acceptAt(i int, a Announcement) Refusal {
+	f := &w.followers[i]
+	if membership := MembershipOf(&w.ranks[i].state); !f.Membership().Same(membership) || f.Membership().Group != membership.Group {
+		f.SetMembership(membership)
 	}
 	if w.anyGroup {
-		word.Group.Name = "g"
+		a.Group.Name = "g"
 	}
-	return l.Accept(word)
+	return f.Accept(a)
 }
 
-// listens reports whether the agent beside a rank heeds a driver, and takes what the
-// driver learns from a refusal.
-func (w *world) listens(d *driver, i int) bool {
-	switch w.hears(i, d.word(d.s.salt)) {
+// acceptsDriver reports whether the agent beside a rank accepts a driver, and has the driver
+// act on a refusal.
+func (w *world) acceptsDriver(d *driver, i int) bool {
+	switch w.acceptAt(i, d.announcement(d.s.salt)) {
 	case NewerCoordinator:
 		d.done = true
 		return false
@@ -255,8 +255,8 @@
 	return true
 }
 
-// order sends a command: it may be lost, refused by the agent, carried out now
-// or late, or reach the agent late.
+// order sends a command: it may be lost, refused by the agent, carried out now or late, or
+// reach the agent late.
 func (w *world) order(d *driver, c Command) {
 	if !w.reach(d, c.Rank) {
 		return
@@ -264,19 +264,19 @@
 	d.ordered = w.tickNo
 	if !c.Direct {
 		if w.faults && w.rng.IntN(20) == 0 {
-			w.letters = append(w.letters, letter{w.tickNo + 1 + w.rng.IntN(60), c.Rank, d.word(d.s.salt), c.Order})
+			w.delayedRequests = append(w.delayedRequests, delayedRequest{w.tickNo + 1 + w.rng.IntN(60), c.Rank, d.announcement(d.s.salt), c.Order})
 			if w.rng.IntN(3) > 0 {
 				return
 			}
-			// A relay that was given up passes it on as well, when it wakes.
+			// A relay that has timed out passes it on as well, when it resumes.
 		}
-		if !w.listens(d, c.Rank) {
+		if !w.acceptsDriver(d, c.Rank) {
 			return
 		}
 	}
 	if w.faults && w.rng.IntN(10) < 2 {
 		if w.rng.IntN(2) == 0 {
-			w.late = append(w.late, late{w.tickNo + 1 + w.rng.IntN(30), c.Rank, c.Order})
+			w.delayedOrders = append(w.delayedOrders, delayedOrder{w.tickNo + 1 + w.rng.IntN(30), c.Rank, c.Order})
 		}
 		return
 	}
@@ -286,37 +286,37 @@
 	}
 }
 
-// relayAge is how many ticks old the readings may be that a relay tells: it waits for
-// the slowest agent of its branch.
-const relayAge = 3
+// maxReadingAge is how many ticks old the states reported by a relay may be: it waits for the
+// slowest agent of its branch.
+const maxReadingAge = 3
 
-// remember keeps the states of the ranks for those that tell them late.
-func (w *world) remember() {
+// recordPast stores the states of the ranks for relays that report them late.
+func (w *world) recordPast() {
 	now := make([]engine.State, len(w.ranks))
 	for i := range w.ranks {
 		now[i] = w.ranks[i].state
 	}
-	w.past = append([][]engine.State{now}, w.past[:min(len(w.past), relayAge)]...)
+	w.past = append([][]engine.State{now}, w.past[:min(len(w.past), maxReadingAge)]...)
 }
 
-// tellAge draws how old the readings of a branch are, in ticks; they are not older than
-// the last order of the driver.
-func (w *world) tellAge(d *driver) int {
+// readingAge draws how old the readings of a branch are, in ticks; they are not older than the
+// last order of the driver.
+func (w *world) readingAge(d *driver) int {
 	if !w.faults || w.rng.IntN(4) > 0 {
 		return 0
 	}
-	return max(min(w.rng.IntN(relayAge+1), w.tickNo-d.ordered-1, len(w.past)), 0)
+	return max(min(w.rng.IntN(maxReadingAge+1), w.tickNo-d.ordered-1, len(w.past)), 0)
 }
 
-// look reads all ranks that can be reached, through the relays of two branches; some
-// readings are old.
-func (w *world) look(d *driver) {
-	ages := [2]int{w.tellAge(d), w.tellAge(d)}
+// readRanks reads all reachable ranks, through the relays of two branches; some readings are
+// old.
+func (w *world) readRanks(d *driver) {
+	ages := [2]int{w.readingAge(d), w.readingAge(d)}
 	if len(d.ranks) != len(w.ranks) {
 		d.ranks = make([]Rank, len(w.ranks))
 	}
 	for i := range w.ranks {
-		if !w.reach(d, i) || !w.listens(d, i) {
+		if !w.reach(d, i) || !w.acceptsDriver(d, i) {
 			if d.done {
 				return
 			}
@@ -330,25 +330,26 @@
 	}
 }
 
-// deliver brings the asks that have been on their way for long. An agent heeds them if
-// their steward is still the newest that it knows.
+// deliver delivers delayed requests. An agent accepts them if their coordinator is still the
+// newest that it knows.
 func (w *world) deliver() {
-	kept := w.letters[:0]
-	for _, l := range w.letters {
+	kept := w.delayedRequests[:0]
+	for _, l := range w.delayedRequests {
 		switch {
 		case l.at > w.tickNo:
 			kept = append(kept, l)
-		case w.cut[l.rank] <= w.tickNo && w.hears(l.rank, l.word) == Accepted:
+		case w.unreachableUntil[l.rank] <= w.tickNo && w.acceptAt(l.rank, l.announcement) == Accepted:
 			w.apply(l.rank, l.order, w.tickNo)
 		}
 	}
-	w.letters = kept
+	w.delayedRequests = kept
 }
 
-// meddle has a steward of the other group ask ranks that it takes for its own: it goes on
-// with a change of its group, which has a number of its own and the epoch of this one.
-func (w *world) meddle() {
-	n := &w.neighbour
+// orderFromOtherGroup has a coordinator of the other group order ranks that it believes to be
+// its own: it continues a change of its group, which has a number of its own and the epoch of
+// this group.
+func (w *world) orderFromOtherGroup() {
+	n := &w.other
 	if n.version == 0 || w.tickNo-n.started > 30 {
 		n.version, n.step, n.started = n.version+saltRange*int64(2+w.rng.IntN(3))+1, w.step+int64(3+w.rng.IntN(12)), w.tickNo
 	}
@@ -356,9 +357,9 @@
 	if age := w.tickNo - n.started; age > 6 {
 		o = engine.Order{Kind: engine.ArmMap, Epoch: w.epoch, Version: n.version, Step: max(n.step, w.step+2)}
 	}
-	word := Announcement{Group: engine.GroupID{Name: groupH, Epoch: w.epoch}, Term: w.term + 1, From: "h1"}
+	a := Announcement{Group: engine.GroupID{Name: groupH, Epoch: w.epoch}, Term: w.term + 1, From: "h1"}
 	i := w.rng.IntN(len(w.ranks))
-	if w.hears(i, word) == Accepted {
+	if w.acceptAt(i, a) == Accepted {
 		w.apply(i, o, w.tickNo)
 	}
 }
@@ -376,7 +377,7 @@
 	}
 	now := time.Unix(0, 0).Add(time.Duration(w.tickNo) * 100 * time.Millisecond)
 	for range 4 {
-		w.look(d)
+		w.readRanks(d)
 		if d.done {
 			return
 		}
@@ -389,7 +390,7 @@
 			return
 		}
 		if w.faults && w.rng.IntN(12) == 0 {
-			// The process stands still between deciding and sending.
+			// The process is paused between deciding and sending.
 			d.pending, d.paused = cmds, w.tickNo+w.rng.IntN(40)
 			return
 		}
@@ -403,7 +404,7 @@
 	}
 }
 
-// withoutHold is the fault that arming begins without a hold.
+// withoutHold injects the fault that arming begins without a hold.
 func (w *world) withoutHold(d *driver, cmds []Command) []Command {
 	if len(cmds) != 1 || cmds[0].Order.Kind != engine.HoldPass {
 		return cmds
@@ -425,11 +426,11 @@
 func (w *world) fault() {
 	switch w.rng.IntN(46) {
 	case 40, 41, 42, 43, 44, 45:
-		w.meddle()
+		w.orderFromOtherGroup()
 	case 0, 1:
 		w.takeOver()
 	case 2, 3:
-		w.cut[w.rng.IntN(len(w.ranks))] = w.tickNo + 1 + w.rng.IntN(40)
+		w.unreachableUntil[w.rng.IntN(len(w.ranks))] = w.tickNo + 1 + w.rng.IntN(40)
 	case 4:
 		if w.rng.IntN(6) == 0 {
 			w.restart()
@@ -441,20 +442,20 @@
 }
 
 func (w *world) step1() {
-	w.remember()
+	w.recordPast()
 	w.tickNo++
 	if w.faults {
 		w.fault()
 	}
-	kept := w.late[:0]
-	for _, l := range w.late {
+	kept := w.delayedOrders[:0]
+	for _, l := range w.delayedOrders {
 		if l.at <= w.tickNo {
 			w.apply(l.rank, l.order, w.tickNo)
 		} else {
 			kept = append(kept, l)
 		}
 	}
-	w.late = kept
+	w.delayedOrders = kept
 	w.deliver()
 	for _, d := range w.drivers {
 		w.drive(d)
@@ -465,7 +466,7 @@
 func newWorld(seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	n := 2 + rng.IntN(4)
-	w := &world{model: newModel(n, rng), cut: make([]int, n), listeners: make([]Follower, n), faults: true}
+	w := &world{model: newModel(n, rng), unreachableUntil: make([]int, n), followers: make([]Follower, n), faults: true}
 	w.takeOver()
 	return w
 }
@@ -475,8 +476,8 @@
 	calmTicks   = 150
 )
 
-// play returns an error if two ranks had different maps in one pass, or if the
-// group did not go on once the faults had stopped.
+// play returns an error if two ranks had different maps in one pass, or if the group did not
+// continue once the faults had stopped.
 func (w *world) play() error {
 	for range faultyTicks {
 		w.step1()
@@ -485,7 +486,7 @@
 		}
 	}
 	w.faults = false
-	clear(w.cut)
+	clear(w.unreachableUntil)
 	for _, d := range w.drivers {
 		d.paused = 0
 	}
@@ -503,10 +504,10 @@
 	return nil
 }
 
-// A caller would see garbled answers if ranks computed one pass on different
-// maps, and silence if a group stood for good. Stewards die, pause between
-// deciding and sending, and come two at a time; ranks are cut off; orders are
-// lost or carried out seconds late; ranks restart and the group forms anew.
+// Callers get garbled answers if ranks compute one pass on different maps, and no answers if a
+// group stays held. Coordinators die, pause between deciding and sending, and overlap; ranks
+// become unreachable; orders are lost or carried out seconds late; ranks restart and the group
+// is formed again.
 func TestExplore(t *testing.T) {
 	is := is.New(t)
 	for seed := range *runs {
@@ -518,9 +519,9 @@
 	}
 }
 
-// Readings that relays tell are some ticks old. In this run a steward gave a hold up while
-// the rank of the one before was missing, its order to take a rank back was carried out
-// late, and a third steward armed the rest meanwhile: one rank went on with the old map.
+// The states that relays report are some ticks old. In this run a coordinator abandoned a hold
+// while the rank of its predecessor was missing, its order to disarm a rank was carried out
+// late, and a third coordinator armed the rest meanwhile: one rank continued with the old map.
 func TestExploredFaults(t *testing.T) {
 	is := is.New(t)
 	for _, seed := range []uint64{22522} {
@@ -528,16 +529,15 @@
 	}
 }
 
-// Each guard is needed: without it the same runs end in ranks with different
-// maps.
+// Each guard is needed: without it the same runs end in ranks with different maps.
 func TestExploreMissesNoGuard(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		off  func(*world)
 	}{
 		{"hold before arming", func(w *world) { w.noHold = true }},
-		{"numbers of a steward's own", func(w *world) { w.sameNumbers = true }},
-		{"words of another group are refused", func(w *world) { w.anyGroup = true }},
+		{"numbers unique to a coordinator", func(w *world) { w.sameNumbers = true }},
+		{"announcements of another group are refused", func(w *world) { w.anyGroup = true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range 20000 {
--- a/core/experts/lockstep/listener_test.go
+++ b/core/experts/lockstep/listener_test.go
@@ -12,9 +12,9 @@
 	return engine.GroupID{Name: name, Epoch: epoch}
 }
 
-// seated returns the listener of rank 2 of the third life of group g, which has heard a
-// steward with term 20.
-func seated() *Follower {
+// followerInGroup returns the follower of rank 2 of group g in epoch 3, which has accepted a
+// coordinator with term 20.
+func followerInGroup() *Follower {
 	l := &Follower{}
 	l.SetMembership(Membership{Group: inGroup("g", 3), Rank: 2, StartedAt: 700})
 	l.Accept(Announcement{Group: inGroup("g", 3), Term: 20, From: "b"})
@@ -23,23 +23,23 @@
 
 func TestWhoIsHeeded(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		word Announcement
-		want Refusal
+		name         string
+		announcement Announcement
+		want         Refusal
 	}{
-		{"the steward", Announcement{Group: inGroup("g", 3), Term: 20, From: "b"}, Accepted},
+		{"the coordinator", Announcement{Group: inGroup("g", 3), Term: 20, From: "b"}, Accepted},
 		{"a newer one", Announcement{Group: inGroup("g", 3), Term: 21, From: "a"}, Accepted},
 		{"one that was paused", Announcement{Group: inGroup("g", 3), Term: 19, From: "z"}, NewerCoordinator},
 		{"another one with the same term, by its name", Announcement{Group: inGroup("g", 3), Term: 20, From: "a"}, NewerCoordinator},
-		{"that of another group, though newer", Announcement{Group: inGroup("h", 3), Term: 90, From: "z"}, OtherGroup},
-		{"one that has not heard that the group was formed anew", Announcement{Group: inGroup("g", 2), Term: 90, From: "z"}, OlderEpoch},
-		{"one that has heard it before this agent", Announcement{Group: inGroup("g", 4), Term: 20, From: "b"}, Accepted},
+		{"a newer one of another group", Announcement{Group: inGroup("h", 3), Term: 90, From: "z"}, OtherGroup},
+		{"one that does not know that the group was formed again", Announcement{Group: inGroup("g", 2), Term: 90, From: "z"}, OlderEpoch},
+		{"one that knew it before this agent", Announcement{Group: inGroup("g", 4), Term: 20, From: "b"}, Accepted},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			l := seated()
+			l := followerInGroup()
 			before := l.Latest()
-			is.Equal(l.Accept(tt.word), tt.want)
+			is.Equal(l.Accept(tt.announcement), tt.want)
 			if tt.want != Accepted {
 				is.Equal(l.Latest(), before)
 			}
@@ -48,27 +48,27 @@
 	is.New(t).Equal((&Follower{}).Accept(Announcement{Term: 1}), NoMembership)
 }
 
-// A server starts again under its ID, or its rank joins another group. The agent beside
-// it still knows a steward with a high term, maps and counts. If it kept them, it would
-// refuse the steward of its new group, or prepare maps that nobody else has.
+// A server restarts under its ID, or its rank joins another group. The agent beside it still
+// knows a coordinator with a high term, maps and counts. If it retained them, it would refuse
+// the coordinator of its new group, or prepare maps that nobody else has.
 func TestAnotherSeatVoidsWhatWasBelieved(t *testing.T) {
 	for _, tt := range []struct {
-		name string
-		seat Membership
-		want bool
+		name       string
+		membership Membership
+		want       bool
 	}{
 		{"the same", Membership{Group: inGroup("g", 3), Rank: 2, StartedAt: 700}, false},
-		{"the group formed anew", Membership{Group: inGroup("g", 4), Rank: 2, StartedAt: 700}, false},
+		{"the group formed again", Membership{Group: inGroup("g", 4), Rank: 2, StartedAt: 700}, false},
 		{"another group", Membership{Group: inGroup("h", 3), Rank: 2, StartedAt: 700}, true},
 		{"another rank", Membership{Group: inGroup("g", 3), Rank: 1, StartedAt: 700}, true},
-		{"started again", Membership{Group: inGroup("g", 4), Rank: 2, StartedAt: 900}, true},
+		{"restarted", Membership{Group: inGroup("g", 4), Rank: 2, StartedAt: 900}, true},
 		{"a group that counts its epochs from the start", Membership{Group: inGroup("g", 1), Rank: 2, StartedAt: 700}, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			l := seated()
-			is.Equal(l.SetMembership(tt.seat), tt.want)
-			is.Equal(l.Membership(), tt.seat)
+			l := followerInGroup()
+			is.Equal(l.SetMembership(tt.membership), tt.want)
+			is.Equal(l.Membership(), tt.membership)
 			is.Equal(l.Latest().Term == 0, tt.want)
 		})
 	}
--- a/core/experts/lockstep/lockstep_test.go
+++ b/core/experts/lockstep/lockstep_test.go
@@ -15,9 +15,9 @@
 	holdAt  = 40
 )
 
-// held returns three ranks on map 0, with a map prepared by the steward before
-// and a hold at rank 1, where the steward at rank 0 places its holds.
-func held() []Rank {
+// heldRanks returns three ranks on map 0, with a map prepared by the predecessor and a hold at
+// rank 1, where the coordinator at rank 0 places its holds.
+func heldRanks() []Rank {
 	ranks := make([]Rank, 3)
 	for i := range ranks {
 		ranks[i] = Rank{Known: true, State: engine.State{
@@ -38,22 +38,22 @@
 
 var start = time.Unix(100, 0)
 
-// stopgap stands for a map that loads nothing.
-var stopgap = Map{{{0}, {1}, {2}}}
+// placeholder stands for a map that loads nothing.
+var placeholder = Map{{{0}, {1}, {2}}}
 
-// heir returns the steward that follows the one that has placed the hold of held.
-func heir(self int) *Coordinator {
+// successor returns the coordinator that follows the one that placed the hold of heldRanks.
+func successor(self int) *Coordinator {
 	s := NewCoordinator(self, &Predecessor{Rank: 0, Salt: oldSalt}, 9)
-	s.Stopgap = stopgap
+	s.Placeholder = placeholder
 	return s
 }
 
-// Guards against a group that is held until a frozen steward is back.
+// Guards against a group that stays held until a frozen coordinator is back.
 func TestHoldOfLostStewardIsGivenUp(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	ranks[0].Known = false
-	s := heir(2)
+	s := successor(2)
 	is.Equal(len(s.Next(ranks, start)), 0)
 	now := start.Add(abandonAfter)
 	cmds := s.Next(ranks, now)
@@ -61,7 +61,7 @@
 	for _, c := range cmds {
 		is.Equal(c.Order.Kind, engine.PrepareMap)
 		is.True(c.Order.Version > oldMap)
-		is.Equal(c.Order.Map, [][][]int(stopgap))
+		is.Equal(c.Order.Map, [][][]int(placeholder))
 	}
 	ranks[1].State.Prepared = cmds[0].Order.Version
 	is.Equal(kinds(s.Next(ranks, now))[engine.ReleasePass], 0) // one may still be armed
@@ -73,12 +73,12 @@
 	is.Equal(cmds[0].Order.Step, int64(holdAt))
 }
 
-// Guards against putting a stopgap map in force after the steward before has come back.
+// Guards against putting a placeholder map in force after the predecessor has come back.
 func TestStopgapIsForgotten(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	ranks[0].Known = false
-	s := heir(2)
+	s := successor(2)
 	s.Next(ranks, start)
 	is.Equal(kinds(s.Next(ranks, start.Add(abandonAfter)))[engine.PrepareMap], 2)
 	ranks[0].Known = true
@@ -89,74 +89,74 @@
 	is.True(s.Stuck(ranks)) // a map is to be proposed
 }
 
-// Guards against releasing a group of which a missing rank may switch alone.
+// Guards against releasing a group in which a missing rank may switch alone.
 func TestHoldStaysIfTheMissingRankMayBeArmed(t *testing.T) {
-	t.Run("armed by this steward", func(t *testing.T) {
+	t.Run("armed by this coordinator", func(t *testing.T) {
 		is := is.New(t)
-		ranks := held()
-		s := heir(2)
+		ranks := heldRanks()
+		s := successor(2)
 		is.Equal(kinds(s.Next(ranks, start))[engine.HoldPass], 1) // a hold of its own
 		ranks[0].State.Held = holdAt
 		is.Equal(kinds(s.Next(ranks, start))[engine.ArmMap], 1)
 		ranks[0].Known = false
 		stays(is, s, ranks)
 	})
-	t.Run("prepared by a third steward", func(t *testing.T) {
+	t.Run("prepared by a third coordinator", func(t *testing.T) {
 		is := is.New(t)
-		ranks := held()
+		ranks := heldRanks()
 		ranks[0].Known = false
 		s := NewCoordinator(2, &Predecessor{Rank: 0, Salt: oldSalt + 1}, 9)
 		stays(is, s, ranks)
 	})
 	t.Run("another rank is missing", func(t *testing.T) {
 		is := is.New(t)
-		ranks := held()
+		ranks := heldRanks()
 		ranks[2].Known = false
 		s := NewCoordinator(1, &Predecessor{Rank: 0, Salt: oldSalt}, 9)
 		stays(is, s, ranks)
 	})
 	t.Run("all others are armed", func(t *testing.T) {
 		is := is.New(t)
-		ranks := held()
+		ranks := heldRanks()
 		ranks[0].Known = false
 		for i := range ranks {
 			ranks[i].State.ArmedMap, ranks[i].State.ArmedStep = oldMap, holdAt
 		}
-		s := heir(2)
+		s := successor(2)
 		stays(is, s, ranks)
 	})
-	t.Run("armed for a map of a third steward", func(t *testing.T) {
+	t.Run("armed for a map of a third coordinator", func(t *testing.T) {
 		is := is.New(t)
-		ranks := held()
+		ranks := heldRanks()
 		ranks[0].Known = false
 		ranks[2].State.ArmedMap, ranks[2].State.ArmedStep = oldMap+1, holdAt
-		s := heir(2)
+		s := successor(2)
 		stays(is, s, ranks)
 	})
-	t.Run("no stopgap is known", func(t *testing.T) {
+	t.Run("no placeholder is known", func(t *testing.T) {
 		is := is.New(t)
-		ranks := held()
+		ranks := heldRanks()
 		ranks[0].Known = false
-		s := heir(2)
-		s.Stopgap = nil
+		s := successor(2)
+		s.Placeholder = nil
 		stays(is, s, ranks)
 	})
 }
 
-// stays checks that a steward gives no order, now or a minute later.
+// stays checks that a coordinator gives no order, now or a minute later.
 func stays(is *is.I, s *Coordinator, ranks []Rank) {
 	is.Helper()
 	is.Equal(len(s.Next(ranks, start)), 0)
 	is.Equal(len(s.Next(ranks, start.Add(time.Minute))), 0)
 }
 
-// Guards against a group that is held since some of its ranks are armed.
+// Guards against a group that stays held because some of its ranks are armed.
 func TestHoldIsGivenUpWhileSomeAreArmed(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	ranks[0].Known = false
 	ranks[2].State.ArmedMap, ranks[2].State.ArmedStep = oldMap, holdAt
-	s := heir(1)
+	s := successor(1)
 	is.Equal(len(s.Next(ranks, start)), 0)
 	now := start.Add(abandonAfter)
 	cmds := s.Next(ranks, now)
@@ -165,7 +165,7 @@
 	is.Equal(cmds[0].Order.Kind, engine.PrepareMap)
 	barred := cmds[0].Order.Version
 	is.True(barred > oldMap)
-	is.Equal(len(s.Next(ranks, now)), 0) // nothing is taken back before
+	is.Equal(len(s.Next(ranks, now)), 0) // nothing is disarmed before
 	ranks[1].State.Prepared = barred
 	cmds = s.Next(ranks, now)
 	is.Equal(len(cmds), 1)
@@ -184,13 +184,13 @@
 	is.Equal(kinds(s.Next(ranks, now.Add(abandonAfter)))[engine.ReleasePass], 1)
 }
 
-// Guards against a late order that leaves one rank with the map before.
+// Guards against a late order that leaves one rank on the previous map.
 func TestMapThatWasBarredIsArmedByNobody(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	ranks[2].State.ArmedMap, ranks[2].State.ArmedStep = oldMap, holdAt
 	ranks[1].State.Prepared = oldMap + saltRange
-	for _, s := range []*Coordinator{NewCoordinator(1, nil, 9), heir(1), heir(2)} {
+	for _, s := range []*Coordinator{NewCoordinator(1, nil, 9), successor(1), successor(2)} {
 		for _, c := range s.Next(ranks, start) {
 			is.Equal(c.Order.Kind, engine.DisarmMap)
 			is.Equal(c.Rank, 2)
@@ -198,10 +198,10 @@
 	}
 }
 
-// Guards against arming under a hold whose release is on its way.
+// Guards against arming under a hold whose release is under way.
 func TestArmsUnderItsOwnHold(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	s := NewCoordinator(0, nil, 9)
 	cmds := s.Next(ranks, start)
 	is.Equal(len(cmds), 1)
@@ -212,10 +212,11 @@
 	is.Equal(kinds(s.Next(ranks, start))[engine.ArmMap], 1)
 }
 
-// Guards against a steward that freezes when nobody can tell whether its own rank is armed.
+// Guards against a coordinator that freezes when nobody can tell whether its own rank is
+// armed.
 func TestRanksAreArmedInTurn(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	for i := range 2 {
 		more := ranks[i+1]
 		more.State.Rank, more.State.Held = len(ranks), 0
@@ -240,7 +241,8 @@
 	is.Equal(turns, [][]int{{2, 3, 4}, {1}, {0}})
 }
 
-// Guards against a change that takes more rounds, or another order, than it needs.
+// Guards against a change that takes more rounds than it needs, or takes them in another
+// order.
 func TestMovesOfAChange(t *testing.T) {
 	is := is.New(t)
 	m := newModel(3, newRand())
@@ -275,10 +277,10 @@
 	is.Equal(version%saltRange, int64(5))
 }
 
-// Guards against repeating for ever a map that ranks do not understand.
+// Guards against retrying forever a map that ranks cannot parse.
 func TestMalformedMapIsGivenUp(t *testing.T) {
 	is := is.New(t)
-	ranks := held()
+	ranks := heldRanks()
 	for i := range ranks {
 		ranks[i].State.Held, ranks[i].State.Prepared = 0, 0
 	}
@@ -294,13 +296,13 @@
 	is.True(s.Next(ranks, start.Add(time.Second))[0].Order.Version != cmds[0].Order.Version)
 }
 
-// Guards against pauses as long as it takes to arm all ranks.
+// Guards against a pause of all ranks for as long as arming them takes.
 func TestHoldIsAsFarAheadAsChangesTake(t *testing.T) {
 	is := is.New(t)
 	const pass, arming = 50 * time.Millisecond, 200 * time.Millisecond
 	s := NewCoordinator(0, nil, 5)
-	s.pass.took, s.pass.windows = pass, maxLead // it has been at work for a while
-	ranks := held()
+	s.pass.perPass, s.pass.windows = pass, maxLead // it has been at work for a while
+	ranks := heldRanks()
 	s.epoch, s.version = 1, oldMap
 	for i := range ranks {
 		ranks[i].State.Held = 0
@@ -311,46 +313,46 @@
 	}
 	ranks[1].State.Held = holdAt
 	is.Equal(s.Next(ranks, start.Add(arming))[0].Order.Kind, engine.ReleasePass)
-	is.Equal(s.took, arming)
+	is.Equal(s.changeTime, arming)
 	s.holdAt = 0
-	is.Equal(s.hold(ranks)[0].Order.Step, holdAt-1+int64(arming/pass)+1)
-	// One quick change does not undo it: the next may be slow again.
+	is.Equal(s.placeHold(ranks)[0].Order.Step, holdAt-1+int64(arming/pass)+1)
+	// One quick change does not reset the time: the next may be slow again.
 	s.heldAt, s.now = start, start.Add(10*time.Millisecond)
-	s.measure()
-	is.Equal(s.took, time.Duration(tookKept*float64(arming)))
+	s.recordChangeTime()
+	is.Equal(s.changeTime, time.Duration(changeTimeDecay*float64(arming)))
 }
 
-// Guards against agents that all try at once when the steward is silent.
+// Guards against agents that all attempt to take over at once when the coordinator is silent.
 func TestCandidateTakesTurns(t *testing.T) {
 	is := is.New(t)
 	c := NewCandidate(start)
-	is.True(!c.Due(0, start.Add(silence-1)))
-	is.True(c.Due(0, start.Add(silence)))
-	is.True(!c.Due(3, start.Add(silence)))
-	is.True(c.Due(3, start.Add(silence+3*stagger)))
-	c.Attempted(start.Add(silence))
-	is.True(!c.Due(0, start.Add(silence+again-1)))
-	is.True(c.Due(0, start.Add(silence+again)))
+	is.True(!c.Due(0, start.Add(silenceLimit-1)))
+	is.True(c.Due(0, start.Add(silenceLimit)))
+	is.True(!c.Due(3, start.Add(silenceLimit)))
+	is.True(c.Due(3, start.Add(silenceLimit+3*stagger)))
+	c.Attempted(start.Add(silenceLimit))
+	is.True(!c.Due(0, start.Add(silenceLimit+retryInterval-1)))
+	is.True(c.Due(0, start.Add(silenceLimit+retryInterval)))
 	c.Observe(start.Add(time.Minute), false)
 	is.True(!c.Due(0, start.Add(time.Minute)))
-	is.True(c.Due(1000, start.Add(time.Minute+silence+maxStagger)))
+	is.True(c.Due(1000, start.Add(time.Minute+silenceLimit+maxStagger)))
 }
 
-// Guards against a held group that waits its turn for a steward.
+// Guards against a held group that waits the full time for a new coordinator.
 func TestHeldGroupWaitsLessForANewSteward(t *testing.T) {
 	is := is.New(t)
 	knows, other := NewCandidate(start), NewCandidate(start)
 	knows.Observe(start, true)
 	other.Observe(start, false)
-	is.True(!knows.Due(5, start.Add(heldSilence+5*heldStagger-1)))
-	is.True(knows.Due(5, start.Add(heldSilence+5*heldStagger)))
-	is.True(!other.Due(5, start.Add(silence+5*stagger-1)))
+	is.True(!knows.Due(5, start.Add(heldSilenceLimit+5*heldStagger-1)))
+	is.True(knows.Due(5, start.Add(heldSilenceLimit+5*heldStagger)))
+	is.True(!other.Due(5, start.Add(silenceLimit+5*stagger-1)))
 	knows.Observe(start, false) // the hold is over
-	is.True(!knows.Due(5, start.Add(silence)))
-	is.True(knows.Due(1000, start.Add(silence+maxStagger)))
+	is.True(!knows.Due(5, start.Add(silenceLimit)))
+	is.True(knows.Due(1000, start.Add(silenceLimit+maxStagger)))
 }
 
-// Guards against a time of passes that jumps from reading to reading.
+// Guards against a measured pass time that jumps from reading to reading.
 func TestPassClockIsSteady(t *testing.T) {
 	is := is.New(t)
 	var p passClock
@@ -362,20 +364,20 @@
 		step = max(step, 100+int64(now.Sub(start)-late)/int64(100*time.Millisecond))
 		p.observe(step, now)
 		if i > 20 {
-			is.True(p.took > 70*time.Millisecond && p.took < 160*time.Millisecond)
+			is.True(p.perPass > 70*time.Millisecond && p.perPass < 160*time.Millisecond)
 		}
 	}
-	// A group that makes no passes tells nothing: the last time stays.
-	before := p.took
+	// A group without passes gives no measurement: the last time stays.
+	before := p.perPass
 	p.observe(p.step, now.Add(time.Minute))
-	is.Equal(p.took, before)
+	is.Equal(p.perPass, before)
 }
 
-// Guards against filling a group whose passes are not timed while a rank is missing.
+// Guards against overloading a group whose passes are not timed while a rank is missing.
 func TestPassesAreTimedWithoutARank(t *testing.T) {
 	is := is.New(t)
 	const pass = 100 * time.Millisecond
-	ranks := held()
+	ranks := heldRanks()
 	ranks[0].Known, ranks[1].State.Held = false, 0
 	s := NewCoordinator(2, nil, 9)
 	for i := range 10 {
@@ -385,7 +387,7 @@
 	is.Equal(s.PassTime(), pass)
 }
 
-// Guards against a first map that is armed seconds ahead, by the passes of an empty group.
+// Guards against a first map that is armed seconds ahead, by the passes of an idle group.
 func TestLeadOfAGroupThatWasJustFormed(t *testing.T) {
 	is := is.New(t)
 	var p passClock
--- a/core/experts/lockstep/pass.go
+++ b/core/experts/lockstep/pass.go
@@ -5,40 +5,39 @@
 )
 
 const (
-	// minLead and maxLead bound how many passes ahead of the group a change is
-	// armed, leadTime is the time that it should be: the three moves of a change
-	// take a round trip each between instances of a region, some ten
-	// milliseconds in all.
+	// minLead and maxLead bound how many passes ahead of the group a change is armed; leadTime
+	// is how far ahead it should be. The three moves of a change take a round trip each
+	// between instances of a region, some ten milliseconds in all.
 	minLead  = 1
 	maxLead  = 12
 	leadTime = 40 * time.Millisecond
-	// tookKept is the part of a longer time from hold to release that is kept
-	// when the next change took less: while some orders are not answered, the
-	// slowest of all ranks decides, and it differs from change to change.
-	tookKept = 0.8
+	// changeTimeDecay is the fraction of a longer time from hold to release that is retained
+	// when the next change took less: while some orders are not answered, the slowest of all
+	// ranks determines the time, and it differs from change to change.
+	changeTimeDecay = 0.8
 )
 
-// measure records how long the change has taken from its hold. A hold that is
-// placed as far ahead as that makes nobody wait.
-func (s *Coordinator) measure() {
+// recordChangeTime records how long the change has taken since its hold. A hold that is placed
+// that far ahead makes no rank wait.
+func (s *Coordinator) recordChangeTime() {
 	if s.heldAt.IsZero() {
 		return
 	}
-	s.took = max(s.now.Sub(s.heldAt), time.Duration(tookKept*float64(s.took)))
+	s.changeTime = max(s.now.Sub(s.heldAt), time.Duration(changeTimeDecay*float64(s.changeTime)))
 	s.heldAt = time.Time{}
 }
 
-// passWindow is the span over which the time of a pass is measured. Readings are
-// some milliseconds old, each by another time: over a single pass that would be
-// half of the result.
+// passWindow is the span over which the time of a pass is measured. Readings are some
+// milliseconds old, each by a different amount: over a single pass that error would be half of
+// the result.
 const passWindow = 300 * time.Millisecond
 
 // passClock measures how long the passes of a group take.
 type passClock struct {
-	step int64
-	at   time.Time
-	took time.Duration
-	// windows is over how many spans in a row passes were measured.
+	step    int64
+	at      time.Time
+	perPass time.Duration
+	// windows is over how many consecutive spans passes were measured.
 	windows int64
 }
 
@@ -52,7 +51,7 @@
 		return
 	}
 	if n := step - p.step; n > 0 {
-		p.took = span / time.Duration(n)
+		p.perPass = span / time.Duration(n)
 		p.windows++
 	} else {
 		p.windows = 0
@@ -60,16 +59,16 @@
 	p.step, p.at = step, now
 }
 
-// lead returns how many passes ahead a change is armed that takes so long.
+// lead returns how many passes ahead to arm a change that takes the given time.
 //
-// A group that was just formed, or that stood idle, begins with passes of a few
-// milliseconds and has some of 0.3 s a moment later, when all callers are back. Armed as
-// far ahead as the first ones say, its change was in force 2.8 s after it was ready (192
-// ranks after a loss of power). So the lead grows with what was seen; that a group is held
-// for the length of one change costs less.
+// A group that was just formed, or that was idle, begins with passes of a few milliseconds and
+// has some of 0.3 s a moment later, when all callers have reconnected. Armed as far ahead as
+// the first passes suggest, its change was in force 2.8 s after it was ready (192 ranks after
+// a loss of power). So the lead grows with the number of measured spans; holding the group for
+// the length of one change costs less.
 func (p *passClock) lead(change time.Duration) int64 {
-	if p.took <= 0 {
+	if p.perPass <= 0 {
 		return minLead
 	}
-	return min(max(int64(change/p.took)+1, minLead), minLead+p.windows, maxLead)
+	return min(max(int64(change/p.perPass)+1, minLead), minLead+p.windows, maxLead)
 }
--- a/core/experts/lockstep/rank.go
+++ b/core/experts/lockstep/rank.go
@@ -4,7 +4,7 @@
 	"verbenashift/core/experts/engine"
 )
 
-// Rank is what was last read of a rank.
+// Rank is the last reading of a rank.
 type Rank struct {
 	// Known says that the rank was read in this round.
 	Known bool
@@ -13,7 +13,7 @@
 
 // InForce returns the number of the map that all ranks use, if they do.
 func InForce(ranks []Rank) (int64, bool) {
-	if !whole(ranks) {
+	if !complete(ranks) {
 		return 0, false
 	}
 	for i := range ranks {
@@ -34,10 +34,10 @@
 }
 
 // Complete reports whether every rank of one epoch of an open group is known.
-func Complete(ranks []Rank) bool { return whole(ranks) }
+func Complete(ranks []Rank) bool { return complete(ranks) }
 
-// whole reports whether every rank of one epoch of an open group is known.
-func whole(ranks []Rank) bool {
+// complete reports whether every rank of one epoch of an open group is known.
+func complete(ranks []Rank) bool {
 	if len(ranks) == 0 || len(ranks) != ranks[0].State.Size {
 		return false
 	}
@@ -50,8 +50,8 @@
 	return true
 }
 
-// Open reports whether a group serves, as far as its ranks are known: none of them
-// says that another one is lost.
+// Open reports whether a group serves, as far as its ranks are known: no known rank reports
+// that another one is lost.
 func Open(ranks []Rank) bool {
 	open := false
 	for i := range ranks {
@@ -63,8 +63,8 @@
 	return open
 }
 
-// engaged reports whether a rank is armed or holds the group.
-func engaged(ranks []Rank) bool {
+// armedOrHeld reports whether a rank is armed or holds the group.
+func armedOrHeld(ranks []Rank) bool {
 	for i := range ranks {
 		if ranks[i].State.ArmedMap != 0 || ranks[i].State.Held != 0 {
 			return true
@@ -73,7 +73,7 @@
 	return false
 }
 
-// Unfinished reports whether a rank that is known is armed or holds the group.
+// Unfinished reports whether a known rank is armed or holds the group.
 func Unfinished(ranks []Rank) bool {
 	for i := range ranks {
 		if ranks[i].Known && (ranks[i].State.ArmedMap != 0 || ranks[i].State.Held != 0) {
@@ -83,8 +83,8 @@
 	return false
 }
 
-// armed returns the newest map for which a rank is armed, and the earliest pass
-// for which one is.
+// armed returns the newest map for which a rank is armed, and the earliest pass for which a
+// rank is armed for it.
 func armed(ranks []Rank) (version, step int64) {
 	for i := range ranks {
 		st := &ranks[i].State
@@ -109,7 +109,7 @@
 	return lowest
 }
 
-// lastStep returns the last pass that a rank which is known has begun.
+// lastStep returns the last pass that a known rank has begun.
 func lastStep(ranks []Rank) int64 {
 	last := int64(0)
 	for i := range ranks {
@@ -129,7 +129,7 @@
 	return true
 }
 
-// allKnown is like all for the ranks that are known.
+// allKnown is like all for the known ranks.
 func allKnown(ranks []Rank, ok func(*engine.State) bool) bool {
 	for i := range ranks {
 		if ranks[i].Known && !ok(&ranks[i].State) {
--- a/sidecar/steward.go
+++ b/sidecar/steward.go
@@ -204,7 +204,7 @@
 	s.setDigest(s.digestOf(ranks))
 	s.propose(ranks)
 	if !s.planner.placed && lockstep.Unfinished(ranks) {
-		s.core.Stopgap = s.planner.stopgap(s.tells)
+		s.core.Placeholder = s.planner.stopgap(s.tells)
 	}
 	for range quickMoves {
 		quick := s.decide(ranks, time.Now())
