--- a/core/experts/group/codec.go
+++ b/core/experts/group/codec.go
@@ -13,7 +13,7 @@
 	kindReport   = "group-report"
 	kindPrepare  = "group-prepare"
 	kindArm      = "group-arm"
-	kindBallot   = "group-ballot"
+	kindVote     = "group-ballot"
 	kindOutcome  = "group-outcome"
 	kindForm     = "group-form"
 	kindHandover = "group-handover"
@@ -41,7 +41,7 @@
 	case Arm:
 		kind = kindArm
 	case VoteResponse:
-		kind = kindBallot
+		kind = kindVote
 	case Outcome:
 		kind = kindOutcome
 	case Form:
@@ -70,7 +70,7 @@
 		return decode[Prepare](data)
 	case kindArm:
 		return decode[Arm](data)
-	case kindBallot:
+	case kindVote:
 		return decode[VoteResponse](data)
 	case kindOutcome:
 		return decode[Outcome](data)
--- a/core/experts/group/end_test.go
+++ b/core/experts/group/end_test.go
@@ -8,7 +8,7 @@
 	"verbenashift/core/membership/lease"
 )
 
-// settledWorld returns a world without faults, come to rest on map 1.
+// settledWorld returns a world without faults that has settled on map 1.
 func settledWorld(t *testing.T, seed uint64) *world {
 	t.Helper()
 	w := newWorld(seed, guardsOff{})
@@ -30,24 +30,24 @@
 	t.Fatalf("not reached: %s", what)
 }
 
-// stewardNode returns the node whose agent holds the duty.
-func (w *world) stewardNode() *node {
+// coordinatorNode returns the node whose agent holds the lease.
+func (w *world) coordinatorNode() *node {
 	for _, n := range w.nodes {
-		if w.steward(n) != nil {
+		if w.coordinator(n) != nil {
 			return n
 		}
 	}
 	return nil
 }
 
-// The steward stops between arming the ranks and telling the outcome, and the
-// store is out, so that nobody can take over its duty. The callers of the group
-// would wait for the whole outage; the members count the votes themselves.
+// The coordinator stops between arming the ranks and sending the outcome, and the store is
+// unavailable, so that nobody can take over its role. The callers of the group would wait for
+// the whole outage; the members count the votes themselves.
 func TestSwitchEndsWithoutStewardAndStore(t *testing.T) {
 	is := is.New(t)
 	w := settledWorld(t, 2)
 	w.want = 2
-	st := w.stewardNode()
+	st := w.coordinatorNode()
 	w.rounds(t, "some rank armed", func() bool {
 		for _, n := range w.nodes {
 			if n.rank.State.Undecided() {
@@ -57,7 +57,7 @@
 		return false
 	})
 	w.store.down = true
-	st.duty = &Role{} // its process goes on; its steward and its lease are gone
+	st.role = &Role{} // its process continues without its coordinator and lease
 	st.holder = lease.NewHolder(lease.Config{Duty: simDuty, Owner: "again"})
 	epoch := st.rank.State.Epoch
 	w.rounds(t, "no rank waits", func() bool {
@@ -75,9 +75,9 @@
 	is.Equal(w.oracle.mixed, "")
 }
 
-// An engine dies for good in the middle of a switch. The others cannot step
-// without it; the group is formed without it under a new epoch, and when the
-// rank comes back on its old epoch's number it runs nothing there.
+// An engine dies permanently in the middle of a switch. The others cannot step without it; the
+// group is formed without it under a new epoch, and when the rank comes back in its old epoch
+// it runs no step there.
 func TestGroupIsFormedWithoutLostRank(t *testing.T) {
 	is := is.New(t)
 	w := settledWorld(t, 4)
--- a/core/experts/group/explorer_test.go
+++ b/core/experts/group/explorer_test.go
@@ -18,8 +18,8 @@
 
 var simNames = []string{"a", "b", "c", "d"}
 
-// world is one run: ranks, agents, a network and a store, all at the mercy of a
-// seeded random order of events.
+// world is one run: ranks, agents, a network and a store, driven by a seeded random order of
+// events.
 type world struct {
 	rng      *rand.Rand
 	now      time.Duration
@@ -34,15 +34,15 @@
 	off      guardsOff
 	oracle   oracle
 	commits  int
-	// lossy is the chance, as one in so many, of losing or repeating something;
-	// quiet is how many of a hundred fault events do nothing.
+	// lossy is the chance, as one in so many, of losing or repeating something; quiet is how
+	// many of a hundred fault events do nothing.
 	lossy int
 	quiet int
-	// stallLimit is the stewards' setting.
+	// stallLimit is the setting of the coordinators.
 	stallLimit time.Duration
 }
 
-// oracle knows nothing but which map each rank used in each step.
+// oracle knows only which map each rank used in each step.
 type oracle struct {
 	used  map[stepKey]Version
 	mixed string
@@ -72,8 +72,8 @@
 	stalled bool // the engine answers but does not step
 	frozen  bool // the engine does nothing; what was sent to it waits
 	since   time.Duration
-	// slow is how many times slower than others the clock of the agent's lease
-	// goes: it believes in the lease when the store has let another in.
+	// slow is how many times slower than others the clock of the agent's lease runs: it
+	// considers the lease valid when the store has already granted it to another.
 	slow   time.Duration
 	up     bool // the agent runs
 	paused bool
@@ -82,12 +82,12 @@
 	starts                uint64
 	member                *Member
 	holder                *lease.Holder
-	duty                  *Role
-	// out holds what the agent has decided and not yet sent: a pause between
-	// the check and the send leaves it there.
+	role                  *Role
+	// out holds what the agent has decided and not yet sent: a pause between the check and the
+	// send leaves it there.
 	out []any
-	// wire holds orders and readings on their way to the engine; back holds
-	// answers on their way to the agent.
+	// wire holds orders and readings on their way to the engine; back holds answers on their
+	// way to the agent.
 	wire []rankOp
 	back []func()
 }
@@ -163,7 +163,7 @@
 func (w *world) startAgent(i int) {
 	n := w.nodes[i]
 	n.starts++
-	n.up, n.paused, n.out, n.back, n.duty = true, false, nil, nil, &Role{}
+	n.up, n.paused, n.out, n.back, n.role = true, false, nil, nil, &Role{}
 	n.member = NewMember(MemberConfig{
 		Name: w.names[i], Habit: n.rank.Habit, Lifetime: w.lifetime, Timeout: 90 * time.Millisecond,
 		PollInterval: 20 * time.Millisecond, OutcomeTimeout: 60 * time.Millisecond, Stagger: 20 * time.Millisecond,
@@ -175,7 +175,7 @@
 	})
 }
 
-// take queues what an agent has decided.
+// take queues the actions of an agent.
 func (n *node) take(w *world, acts []Action) {
 	for _, a := range acts {
 		if d, ok := a.(Done); ok {
@@ -188,7 +188,7 @@
 	}
 }
 
-// tick lets an agent act: the lease first, then the steward, then the member.
+// tick lets an agent act: the lease first, then the coordinator, then the member.
 func (w *world) tick(i int) {
 	n := w.nodes[i]
 	if !n.up || n.paused {
@@ -196,20 +196,20 @@
 	}
 	take := lease.Takeover{Silence: 800 * time.Millisecond, Stagger: 100 * time.Millisecond}
 	due := take.Due(w.now, n.member.LastReceived(), simDuty, w.names[i], w.names) || n.member.Orphaned(w.now)
-	n.holder.Want(n.duty.Wanted(n.holder, due))
+	n.holder.Want(n.role.Wanted(n.holder, due))
 	for _, c := range n.holder.Tick(w.now / n.slow) {
 		n.out = append(n.out, c)
 	}
-	if st := w.steward(n); st != nil {
+	if st := w.coordinator(n); st != nil {
 		st.SetDesired(w.want)
 		n.take(w, st.Tick(w.now))
 	}
 	n.take(w, n.member.Tick(w.now))
 }
 
-// steward returns the steward that the node's agent may act as, if any.
-func (w *world) steward(n *node) *Coordinator {
-	return n.duty.Coordinator(w.now, w.stewardConfig(), slowHolder{n})
+// coordinator returns the coordinator that the node's agent may act as, if any.
+func (w *world) coordinator(n *node) *Coordinator {
+	return n.role.Coordinator(w.now, w.coordinatorConfig(), slowHolder{n})
 }
 
 // slowHolder is the lease of a node by the node's own clock.
@@ -218,7 +218,7 @@
 func (h slowHolder) Valid(now time.Duration) bool { return h.n.holder.Valid(now / h.n.slow) }
 func (h slowHolder) Fence() uint64                { return h.n.holder.Fence() }
 
-func (w *world) stewardConfig() CoordinatorConfig {
+func (w *world) coordinatorConfig() CoordinatorConfig {
 	return CoordinatorConfig{
 		Members: w.names, MinRanks: max(1, len(w.names)-1), Initial: 1, Lead: 5,
 		ProbeInterval: 500 * time.Millisecond, FastProbeInterval: 50 * time.Millisecond,
@@ -266,8 +266,8 @@
 	}
 }
 
-// reach lets the k-th operation reach the engine. Operations of a former agent
-// process reach it as well, within their lifetime.
+// reach lets the k-th operation reach the engine. Operations of an earlier agent process reach
+// it as well, within their lifetime.
 func (w *world) reach(n *node, k int) {
 	op := n.wire[k]
 	if n.frozen || w.now < op.after && !w.healed {
@@ -310,13 +310,13 @@
 		w.net = append(w.net, p)
 		return
 	}
-	if st := w.steward(n); st != nil {
+	if st := w.coordinator(n); st != nil {
 		n.take(w, st.Receive(w.now, w.names[p.from], p.msg))
 	}
 	n.take(w, n.member.Receive(w.now, w.names[p.from], p.msg))
 }
 
-// step lets a rank begin a step; in lock-step only when all others are there.
+// step lets a rank begin a step; in lock-step only when all others are ready for it.
 func (w *world) step(n *node) {
 	if n.down || n.stalled || n.frozen {
 		return
@@ -348,7 +348,7 @@
 	return ""
 }
 
-// chance is true once in n times while faults go on.
+// chance is true once in n times while faults continue.
 func (w *world) chance(n int) bool {
 	return !w.healed && w.rng.IntN(n) == 0
 }
@@ -392,7 +392,7 @@
 	f()
 }
 
-// fault makes something fail or come back.
+// fault makes something fail or recover.
 func (w *world) fault(i int) {
 	n := w.nodes[i]
 	if w.rng.IntN(3) == 0 {
@@ -404,7 +404,7 @@
 	back := w.now + time.Duration(w.rng.Int64N(int64(simTTL)))
 	switch w.rng.IntN(9) {
 	case 8:
-		n.take(w, n.duty.Resign(w.names[w.rng.IntN(len(w.names))]))
+		n.take(w, n.role.Resign(w.names[w.rng.IntN(len(w.names))]))
 	case 0, 1:
 		n.up, n.out, n.back, n.agentBack = false, nil, nil, back
 		if w.rng.IntN(2) == 0 {
@@ -432,7 +432,7 @@
 	}
 }
 
-// thaw lets an engine go on. The orders that waited have not aged meanwhile.
+// thaw resumes an engine. The orders that waited have not aged meanwhile.
 func (n *node) thaw(now time.Duration) {
 	if n.frozen {
 		for k := range n.wire {
@@ -464,8 +464,8 @@
 	}
 }
 
-// heal ends all faults and lets the world come to rest. It reports whether the
-// group got to one epoch, without a switch under way, on the wanted map, and
+// heal ends all faults and lets the world settle. It reports whether the
+// group got to one epoch, without a switch under way, on the desired map, and
 // steps again.
 func (w *world) heal() bool {
 	w.healed = true
@@ -480,7 +480,7 @@
 	return false
 }
 
-// round lets all that is under way arrive.
+// round delivers everything that is in flight.
 func (w *world) round() {
 	w.now += simRound
 	for i, n := range w.nodes {
--- a/core/experts/group/member.go
+++ b/core/experts/group/member.go
@@ -7,7 +7,7 @@
 	"verbenashift/core/membership/lease"
 )
 
-// MemberConfig is the setting of a Member. Zero values take the defaults.
+// MemberConfig configures a Member. Zero values take the defaults.
 type MemberConfig struct {
 	Name  string
 	Habit lease.Habit
@@ -15,21 +15,21 @@
 	Lifetime time.Duration
 	// Timeout is how long to wait for the rank's answer.
 	Timeout time.Duration
-	// PollInterval is the interval between readings of the rank, when nothing is going
-	// on; during a switch the reading follows each order.
+	// PollInterval is the interval between readings of the rank while nothing is under way;
+	// during a switch a reading follows each order.
 	PollInterval time.Duration
-	// OutcomeTimeout is how long a held rank waits for the steward before its agent
-	// counts the votes itself; Stagger is added for each place in the group, so
-	// that usually one agent counts.
+	// OutcomeTimeout is how long a held rank waits for the coordinator before its agent counts
+	// the votes itself. Stagger is added for each earlier member of the group, so that usually
+	// one agent counts.
 	OutcomeTimeout time.Duration
 	Stagger        time.Duration
 	// StallAfter is how long a rank may stay at a step before it is stalled.
 	StallAfter time.Duration
-	// DeadAfter is how long an engine may leave readings without an answer. One
-	// that refuses the connection is dead at once.
+	// DeadAfter is how long an engine may leave readings unanswered. One that refuses the
+	// connection is dead at once.
 	DeadAfter time.Duration
-	// OrphanTimeout is how long a stalled or held rank waits to hear from a steward
-	// before its agent should take over the duty.
+	// OrphanTimeout is how long a stalled or held rank waits for a message from a coordinator
+	// before its agent should take over the role.
 	OrphanTimeout time.Duration
 }
 
@@ -66,58 +66,58 @@
 	return c
 }
 
-// Member is the rank's side of a group, in the agent beside the rank. What it
-// must not forget is in the rank and read back; what it holds itself may be
-// lost with the agent at any time.
+// Member is the rank's side of a group, in the agent beside the rank. State that must survive
+// is stored in the rank and read back; the Member's own state may be lost with the agent at
+// any time.
 type Member struct {
-	cfg   MemberConfig
-	guard *lease.Guard
-	link  link
-	pulse pulse
+	cfg      MemberConfig
+	guard    *lease.Guard
+	link     link
+	progress progress
 
 	rank  RankState
 	known bool
 
-	steward string
-	heard   time.Duration
-	vacant  bool
-	sentAs  Health
-	reports uint64
+	coordinator    string
+	lastReceived   time.Duration
+	handedOver     bool
+	reportedHealth Health
+	reports        uint64
 
 	incarnation uint64
 
-	ballot  *ballot
-	prepare *Prepare
-	form    *Form
-	outcome Outcome
+	pendingVote *pendingVote
+	prepare     *Prepare
+	form        *Form
+	outcome     Outcome
 
-	heldSince time.Duration
-	held      bool
-	count     *VoteCount
-	askAt     time.Duration
-	askPause  time.Duration
+	heldSince     time.Duration
+	held          bool
+	count         *VoteCount
+	nextQuery     time.Duration
+	queryInterval time.Duration
 
 	off guardsOff
 }
 
-// ballot is a vote that others wait for.
-type ballot struct {
-	sw     Switch
-	askers []string
+// pendingVote is a vote that other agents have requested.
+type pendingVote struct {
+	sw         Switch
+	requesters []string
 	// rejected says that the rank refused to arm.
 	rejected bool
 }
 
-// NewMember returns the member of an agent that starts at now and knows
-// nothing. Incarnation must grow with every start of the agent.
+// NewMember returns the member of an agent that starts at now with no state. Incarnation must
+// grow with every start of the agent.
 func NewMember(cfg MemberConfig, incarnation uint64, now time.Duration) *Member {
 	cfg = cfg.withDefaults()
 	return &Member{
-		cfg:         cfg,
-		guard:       lease.NewGuard(cfg.Habit, cfg.Lifetime),
-		incarnation: incarnation,
-		pulse:       pulse{lastAnswer: now},
-		heard:       now,
+		cfg:          cfg,
+		guard:        lease.NewGuard(cfg.Habit, cfg.Lifetime),
+		incarnation:  incarnation,
+		progress:     progress{lastAnswer: now},
+		lastReceived: now,
 	}
 }
 
@@ -126,29 +126,29 @@
 	return m.rank, m.known
 }
 
-// Health returns the agent's view of its rank.
+// Health returns the agent's observation of its rank.
 func (m *Member) Health(now time.Duration) Health {
-	return m.pulse.health(now, m.rank, m.cfg)
+	return m.progress.health(now, m.rank, m.cfg)
 }
 
-// Fence returns the highest fencing number the agent has heard of.
+// Fence returns the highest fencing token that the agent has received.
 func (m *Member) Fence() uint64 {
 	return m.guard.Fence()
 }
 
-// LastReceived returns when a steward was last heard.
+// LastReceived returns when a message from a coordinator was last received.
 func (m *Member) LastReceived() time.Duration {
-	return m.heard
+	return m.lastReceived
 }
 
-// Orphaned reports whether a candidate should take the duty without waiting for
-// the steward's usual silence: the steward has handed it over, or the rank stands
-// still and no steward has been heard for a while.
+// Orphaned reports whether a candidate should take over the role without waiting for the
+// coordinator's usual silence: the coordinator has handed it over, or the rank has stopped and
+// no message from a coordinator has been received for a while.
 func (m *Member) Orphaned(now time.Duration) bool {
-	if m.vacant {
+	if m.handedOver {
 		return true
 	}
-	if now-m.heard < m.cfg.OrphanTimeout {
+	if now-m.lastReceived < m.cfg.OrphanTimeout {
 		return false
 	}
 	switch m.Health(now) {
@@ -159,44 +159,44 @@
 	}
 }
 
-// Receive takes a message from another agent.
+// Receive handles a message from another agent.
 func (m *Member) Receive(now time.Duration, from string, msg Message) []Action {
 	var acts []Action
 	switch msg := msg.(type) {
 	case Probe:
-		acts = m.probed(now, from, msg)
+		acts = m.handleProbe(now, from, msg)
 	case Prepare:
-		acts = m.prepared(now, from, msg)
+		acts = m.handlePrepare(now, from, msg)
 	case Arm:
-		acts = m.voteOn(now, from, msg.Switch)
+		acts = m.handleArm(now, from, msg.Switch)
 	case Form:
-		acts = m.formed(now, from, msg)
+		acts = m.handleForm(now, from, msg)
 	case VoteResponse:
-		acts = m.voted(from, msg)
+		acts = m.handleVote(from, msg)
 	case Outcome:
-		m.learned(msg)
+		m.handleOutcome(msg)
 	case Handover:
-		m.vacant = m.vacant || msg.Fence >= m.guard.Fence()
+		m.handedOver = m.handedOver || msg.Fence >= m.guard.Fence()
 	}
 	return append(acts, m.advance(now)...)
 }
 
-// follow reports whether a steward's message may be acted on. A steward that
-// was paused past its lease is told of the newer fence by the report.
+// follow reports whether a coordinator's message may be acted on. A coordinator that was
+// paused past its lease learns of the newer fencing token from the report.
 func (m *Member) follow(now time.Duration, from string, fence uint64) bool {
 	if m.guard.Hear(fence) != nil && !m.off.fence {
 		return false
 	}
-	m.steward, m.heard, m.vacant = from, now, false
+	m.coordinator, m.lastReceived, m.handedOver = from, now, false
 	return true
 }
 
-func (m *Member) probed(now time.Duration, from string, p Probe) []Action {
+func (m *Member) handleProbe(now time.Duration, from string, p Probe) []Action {
 	m.follow(now, from, p.Fence)
 	return m.report(now, from, p.Known != m.rank.Epoch)
 }
 
-func (m *Member) prepared(now time.Duration, from string, p Prepare) []Action {
+func (m *Member) handlePrepare(now time.Duration, from string, p Prepare) []Action {
 	if m.follow(now, from, p.Number.Fence) {
 		m.prepare = &p
 	}
@@ -206,12 +206,12 @@
 	return nil
 }
 
-func (m *Member) formed(now time.Duration, from string, f Form) []Action {
+func (m *Member) handleForm(now time.Duration, from string, f Form) []Action {
 	if !m.follow(now, from, f.Number.Fence) {
 		return m.report(now, from, false)
 	}
-	// A repeated order of an epoch that has been joined or left must not put
-	// the rank back to the epoch's first map.
+	// A repeated order of an epoch that has been joined or left must not put the rank back to
+	// the epoch's first map.
 	if m.known && !m.rank.Epoch.Less(f.Number) && !m.off.fence {
 		return m.report(now, from, false)
 	}
@@ -221,12 +221,12 @@
 	return nil
 }
 
-func (m *Member) voteOn(now time.Duration, from string, sw Switch) []Action {
+func (m *Member) handleArm(now time.Duration, from string, sw Switch) []Action {
 	_ = m.guard.Hear(sw.Number.Fence) // a lower one is refused in the vote
 	if m.known {
-		// A vote once said stays true, so that the last reading will do.
+		// A vote never changes once sent, so that the last reading is sufficient.
 		if m.count == nil && sw == m.rank.Armed {
-			// Someone is counting already.
+			// Another member is already counting the votes.
 			m.heldSince = now
 		}
 		if v := m.rank.Vote(sw); v != Open {
@@ -236,47 +236,47 @@
 			return m.report(now, from, false)
 		}
 	}
-	b := m.ballot
+	b := m.pendingVote
 	if b == nil || b.sw.Number.Less(sw.Number) || m.known && b.sw.Epoch != m.rank.Epoch {
-		m.ballot = &ballot{sw: sw, askers: []string{from}}
+		m.pendingVote = &pendingVote{sw: sw, requesters: []string{from}}
 		return nil
 	}
-	if b.sw.Number == sw.Number && !slices.Contains(b.askers, from) {
-		b.askers = append(b.askers, from)
+	if b.sw.Number == sw.Number && !slices.Contains(b.requesters, from) {
+		b.requesters = append(b.requesters, from)
 	}
 	return nil
 }
 
-// learned notes an outcome. It may come before the order to arm, which is then
-// refused: the rank would only stop for an outcome that is long known.
-func (m *Member) learned(o Outcome) {
+// handleOutcome records an outcome. It may arrive before the order to arm, which is then
+// refused: the rank would only stop for an outcome that is already known.
+func (m *Member) handleOutcome(o Outcome) {
 	if m.known && o.Epoch == m.rank.Epoch && m.outcome.Number.Less(o.Number) {
 		m.outcome = o
 	}
 }
 
-// Tick lets time pass.
+// Tick handles the passing of time.
 func (m *Member) Tick(now time.Duration) []Action {
 	var acts []Action
-	if m.link.late(now, m.cfg.Timeout) {
-		m.settle(lease.Lost)
+	if m.link.timedOut(now, m.cfg.Timeout) {
+		m.endOperation(lease.Lost)
 	}
-	acts = append(acts, m.tellHealth(now)...)
+	acts = append(acts, m.reportHealthChange(now)...)
 	acts = append(acts, m.countVotes(now)...)
 	return append(acts, m.advance(now)...)
 }
 
-// tellHealth tells the steward when the rank's health changes, so that it need
-// not ask often.
-func (m *Member) tellHealth(now time.Duration) []Action {
-	if m.steward == "" || m.Health(now) == m.sentAs {
+// reportHealthChange sends the coordinator a report when the rank's health changes, so that it
+// need not probe often.
+func (m *Member) reportHealthChange(now time.Duration) []Action {
+	if m.coordinator == "" || m.Health(now) == m.reportedHealth {
 		return nil
 	}
-	return m.report(now, m.steward, false)
+	return m.report(now, m.coordinator, false)
 }
 
-// report says nothing before the rank has been read: an empty report would look
-// like a rank that has lost its epoch.
+// report sends nothing before the rank has been read: an empty report would look like a rank
+// that has lost its epoch.
 func (m *Member) report(now time.Duration, to string, members bool) []Action {
 	health := m.Health(now)
 	if !m.known && health != Dead {
@@ -287,10 +287,10 @@
 	if !members {
 		s.Members = nil
 	}
-	if to == m.steward {
-		m.sentAs = health
+	if to == m.coordinator {
+		m.reportedHealth = health
 	}
 	return []Action{Send{To: to, Message: Report{
-		Incarnation: m.incarnation, Sequence: m.reports, Fence: m.guard.Fence(), Health: health, Rank: s, StepTime: m.pulse.perStep,
+		Incarnation: m.incarnation, Sequence: m.reports, Fence: m.guard.Fence(), Health: health, Rank: s, StepTime: m.progress.perStep,
 	}}}
 }
--- a/core/experts/group/member_count.go
+++ b/core/experts/group/member_count.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// answerBallot tells the askers how the rank has voted, once its state shows it.
-func (m *Member) answerBallot() []Action {
-	b := m.ballot
+// answerPendingVote sends the requesters the rank's vote, once its state shows it.
+func (m *Member) answerPendingVote() []Action {
+	b := m.pendingVote
 	if b == nil {
 		return nil
 	}
@@ -15,15 +15,15 @@
 	if v == Open {
 		return nil
 	}
-	m.ballot = nil
+	m.pendingVote = nil
 	var acts []Action
-	for _, to := range b.askers {
+	for _, to := range b.requesters {
 		acts = append(acts, Send{To: to, Message: VoteResponse{Number: b.sw.Number, Vote: v}})
 	}
 	return acts
 }
 
-func (m *Member) noteHeld(now time.Duration) {
+func (m *Member) updateHeld(now time.Duration) {
 	if !m.rank.Undecided() {
 		m.held, m.count = false, nil
 		return
@@ -33,14 +33,14 @@
 	}
 }
 
-// maxAskPause bounds the pause between two rounds of asking, which doubles so
-// that a whole group does not flood one member that is away.
-const maxAskPause = 2 * time.Second
+// maxQueryInterval bounds the interval between two rounds of queries, which doubles so that a
+// group does not flood one member that is unreachable.
+const maxQueryInterval = 2 * time.Second
 
-// countVotes makes a held rank's agent ask the others for their votes, when the
-// steward has not told the outcome in time. The steward may be dead, paused or
-// cut off; the votes are in the ranks, and a lock-step group cannot go on
-// without any of its ranks in any case.
+// countVotes makes a held rank's agent query the others for their votes when the coordinator
+// has not sent the outcome in time. The coordinator may be dead, paused or cut off; the votes
+// are in the ranks, and a lock-step group cannot continue without any of its ranks in any
+// case.
 func (m *Member) countVotes(now time.Duration) []Action {
 	place := slices.Index(m.rank.Members, m.cfg.Name)
 	wait := m.cfg.OutcomeTimeout + time.Duration(max(place, 0))*m.cfg.Stagger
@@ -50,13 +50,13 @@
 	if m.count == nil || m.count.Switch != m.rank.Armed {
 		m.count = NewVoteCount(m.rank.Armed)
 		m.count.Add(m.cfg.Name, Armed)
-		m.askAt, m.askPause = now, m.cfg.OutcomeTimeout
+		m.nextQuery, m.queryInterval = now, m.cfg.OutcomeTimeout
 	}
-	if now < m.askAt {
+	if now < m.nextQuery {
 		return nil
 	}
-	m.askAt = now + m.askPause
-	m.askPause = min(2*m.askPause, maxAskPause)
+	m.nextQuery = now + m.queryInterval
+	m.queryInterval = min(2*m.queryInterval, maxQueryInterval)
 	var acts []Action
 	for _, to := range m.rank.Members {
 		if m.count.Missing(to) {
@@ -66,9 +66,9 @@
 	return acts
 }
 
-// voted counts a vote that the member has asked for, and tells everyone the
-// outcome when it is fixed.
-func (m *Member) voted(from string, b VoteResponse) []Action {
+// handleVote counts a vote that the member has requested, and sends all others the outcome
+// once the votes determine it.
+func (m *Member) handleVote(from string, b VoteResponse) []Action {
 	if m.count == nil || b.Number != m.count.Switch.Number || m.rank.Epoch != m.count.Switch.Epoch {
 		return nil
 	}
--- a/core/experts/group/member_link.go
+++ b/core/experts/group/member_link.go
@@ -7,7 +7,7 @@
 	"verbenashift/core/membership/lease"
 )
 
-// link is the one operation that a member has out at its rank.
+// link is the one operation that a member has in flight at its rank.
 type link struct {
 	id    uint64
 	busy  bool
@@ -18,7 +18,7 @@
 	fresh  bool
 }
 
-func (l *link) late(now, timeout time.Duration) bool {
+func (l *link) timedOut(now, timeout time.Duration) bool {
 	return l.busy && now-l.sent >= timeout
 }
 
@@ -28,8 +28,8 @@
 	return l.id
 }
 
-// Applied takes the rank's answer to an Apply: nil if it was applied, else the
-// refusal. A lost answer is not told; it is noticed by its timeout.
+// Applied handles the rank's answer to an Apply: nil if it was applied, else the refusal. A
+// lost answer is not reported; the operation times out.
 func (m *Member) Applied(now time.Duration, id uint64, err error) []Action {
 	if !m.link.busy || id != m.link.id {
 		return nil
@@ -38,54 +38,54 @@
 	if err != nil {
 		r = lease.Refused
 	}
-	m.settle(r)
+	m.endOperation(r)
 	return m.advance(now)
 }
 
-// settle ends the operation that is out. Whatever became of an order, the rank
-// is read before the next one: the answer may have been lost after the order
-// took effect, and votes are read from the rank and not from memory.
-func (m *Member) settle(r lease.Result) {
+// endOperation ends the operation in flight. Whatever the result of an order, the rank is read
+// before the next one: the answer may have been lost after the order took effect, and votes
+// are read from the rank and not from memory.
+func (m *Member) endOperation(r lease.Result) {
 	o := m.link.order
 	m.link.busy, m.link.fresh = false, false
 	if o.Kind == 0 {
 		return
 	}
 	m.guard.Done(r)
-	if r == lease.Refused && o.Kind == ArmMap && m.ballot != nil && m.ballot.sw.Number == o.Base {
-		m.ballot.rejected = true
+	if r == lease.Refused && o.Kind == ArmMap && m.pendingVote != nil && m.pendingVote.sw.Number == o.Base {
+		m.pendingVote.rejected = true
 	}
 }
 
-// Observed takes the answer to a Read. Alive is false if the engine refused the
-// connection; a reading that is only late is noticed by its timeout.
+// Observed handles the answer to a Read. Alive is false if the engine refused the connection;
+// a reading that is only late times out.
 func (m *Member) Observed(now time.Duration, id uint64, s RankState, alive bool) []Action {
 	if !m.link.busy || id != m.link.id || m.link.order.Kind != 0 {
 		return nil
 	}
 	m.link.busy, m.link.readAt = false, now
 	if !alive {
-		m.pulse.refused = true
-		return append(m.tellHealth(now), m.advance(now)...)
+		m.progress.unreachable = true
+		return append(m.reportHealthChange(now), m.advance(now)...)
 	}
-	m.pulse.observe(now, s)
-	if !m.guard.Learn(now, s.Last) && !m.off.settle {
+	m.progress.observe(now, s)
+	if !m.guard.Learn(now, s.Last) && !m.off.readBack {
 		return m.advance(now)
 	}
-	news := m.known && newsworthy(m.rank, s)
+	changed := m.known && reportable(m.rank, s)
 	m.rank, m.known, m.link.fresh = s, true, true
-	m.noteHeld(now)
-	acts := m.answerBallot()
-	if m.steward != "" && news {
-		acts = append(acts, m.report(now, m.steward, false)...)
+	m.updateHeld(now)
+	acts := m.answerPendingVote()
+	if m.coordinator != "" && changed {
+		acts = append(acts, m.report(now, m.coordinator, false)...)
 	}
-	acts = append(acts, m.tellHealth(now)...)
+	acts = append(acts, m.reportHealthChange(now)...)
 	return append(acts, m.advance(now)...)
 }
 
-// newsworthy reports whether the steward waits for the change from a to b.
-// Arming is not among them, because the vote tells it.
-func newsworthy(a, b RankState) bool {
+// reportable reports whether the coordinator waits for the change from a to b. Arming is not
+// among these changes, because the vote shows it.
+func reportable(a, b RankState) bool {
 	disarmed := !a.Armed.Number.IsZero() && b.Armed.Number.IsZero()
 	return disarmed || a.Epoch != b.Epoch || a.Since != b.Since || a.Loaded != b.Loaded ||
 		a.Incarnation != b.Incarnation
@@ -104,15 +104,15 @@
 			return []Action{Apply{ID: m.link.begin(now, o), Order: o}}
 		}
 	}
-	if now-m.link.readAt >= m.poll() {
+	if now-m.link.readAt >= m.pollInterval() {
 		return m.read(now)
 	}
 	return nil
 }
 
-// poll returns the interval of readings, which is short while the rank may come
-// to stand still.
-func (m *Member) poll() time.Duration {
+// pollInterval returns the interval of readings, which is short while the rank may come to a
+// stop.
+func (m *Member) pollInterval() time.Duration {
 	const armedDivisor = 5
 	if m.rank.Undecided() {
 		return m.cfg.PollInterval / armedDivisor
@@ -120,44 +120,44 @@
 	return m.cfg.PollInterval
 }
 
-// begin asks the guard. A stale order is not sent; what it was for has been
-// overtaken and the next report shows it.
+// begin reports whether the guard lets an order be sent. A stale order is not sent: newer
+// orders have replaced its purpose, and the next report shows it.
 func (m *Member) begin(o Order) bool {
 	err := m.guard.Begin(o.Number)
 	var wait *lease.WaitError
-	unsettled := m.off.settle && errors.As(err, &wait)
+	unsettled := m.off.readBack && errors.As(err, &wait)
 	return err == nil || m.off.fence || unsettled
 }
 
-// read reads the rank, but not while an earlier order may still arrive after
-// the reading: it would show a rank that is about to change.
+// read reads the rank, but not while an earlier order may still arrive after the reading: it
+// would show a rank that is about to change.
 func (m *Member) read(now time.Duration) []Action {
-	if m.guard.CanRead(now) != nil && !m.off.settle {
+	if m.guard.CanRead(now) != nil && !m.off.readBack {
 		return nil
 	}
 	return []Action{Read{ID: m.link.begin(now, Order{})}}
 }
 
-// choose returns the order that the rank needs next: an outcome before
-// anything else, because a held rank holds the whole group.
+// choose returns the order that the rank needs next: an outcome before anything else, because
+// a held rank stops the whole group.
 func (m *Member) choose() (Order, bool) {
 	s := m.rank
 	if s.Undecided() && m.outcome.Number == s.Armed.Number {
 		return Order{
-			Number: s.Armed.Number.Add(resolvePlace), Base: s.Armed.Number,
+			Number: s.Armed.Number.Add(resolveOffset), Base: s.Armed.Number,
 			Kind: ResolveMap, Epoch: s.Epoch, Commit: m.outcome.Commit,
 		}, true
 	}
 	if o, ok := m.chooseForm(); ok {
 		return o, true
 	}
-	// A rank with a switch under way takes no part in another one: the second
-	// would overwrite what the rank has promised for the first.
+	// A rank with a switch under way does not take part in another one: the second would
+	// overwrite what the rank has promised for the first.
 	if !s.Armed.Number.IsZero() {
 		return Order{}, false
 	}
-	if m.ballot != nil && s.Vote(m.ballot.sw) == Open && s.Epoch == m.ballot.sw.Epoch {
-		return m.vote(m.ballot), true
+	if m.pendingVote != nil && s.Vote(m.pendingVote.sw) == Open && s.Epoch == m.pendingVote.sw.Epoch {
+		return m.vote(m.pendingVote), true
 	}
 	return m.chooseLoad()
 }
@@ -167,8 +167,8 @@
 	if f == nil {
 		return Order{}, false
 	}
-	overtaken := !s.Last.Less(f.Number.Add(mainPlace))
-	if (overtaken || f.Incarnation != s.Incarnation) && !m.off.fence {
+	stale := !s.Last.Less(f.Number.Add(mainOffset))
+	if (stale || f.Incarnation != s.Incarnation) && !m.off.fence {
 		m.form = nil
 		return Order{}, false
 	}
@@ -176,7 +176,7 @@
 		m.form = nil
 	}
 	return Order{
-		Number: f.Number.Add(mainPlace), Base: f.Number, Kind: FormGroup,
+		Number: f.Number.Add(mainOffset), Base: f.Number, Kind: FormGroup,
 		Version: f.Version, Step: f.Step, Members: f.Members,
 	}, true
 }
@@ -186,25 +186,25 @@
 	if p == nil || s.Has(p.Version) || s.Loading == p.Version || !s.Ready() {
 		return Order{}, false
 	}
-	number := p.Number.Add(loadPlace)
+	number := p.Number.Add(loadOffset)
 	if !s.Last.Less(number) {
 		return Order{}, false
 	}
 	return Order{Number: number, Base: p.Number, Kind: LoadMap, Version: p.Version}, true
 }
 
-// vote returns the order that makes the rank's vote: arming, or a refusal that
-// the rank remembers. A switch of a steward that has been overtaken is refused.
-func (m *Member) vote(b *ballot) Order {
+// vote returns the order that makes the rank's vote: arming, or a refusal that the rank
+// stores. A switch of a superseded coordinator is refused.
+func (m *Member) vote(b *pendingVote) Order {
 	sw, s := b.sw, m.rank
 	late := sw.Step < s.Next && !m.off.arm
 	stale := sw.Number.Fence < m.guard.Fence() && !m.off.fence
 	aborted := m.outcome.Number == sw.Number && !m.outcome.Commit
 	if b.rejected || aborted || late || stale || !s.Has(sw.Version) {
-		return Order{Number: sw.Number.Add(resolvePlace), Base: sw.Number, Kind: ResolveMap, Epoch: sw.Epoch}
+		return Order{Number: sw.Number.Add(resolveOffset), Base: sw.Number, Kind: ResolveMap, Epoch: sw.Epoch}
 	}
 	return Order{
-		Number: sw.Number.Add(mainPlace), Base: sw.Number, Kind: ArmMap,
+		Number: sw.Number.Add(mainOffset), Base: sw.Number, Kind: ArmMap,
 		Epoch: sw.Epoch, Version: sw.Version, Step: sw.Step,
 	}
 }
--- a/core/experts/group/member_test.go
+++ b/core/experts/group/member_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A switch is given up. Callers must not notice: the rank runs the step it was
-// armed for, and all later ones, on the map it had.
+// A switch is aborted. Callers must not notice: the rank runs the step it was armed for, and
+// all later ones, on the map it had.
 func TestAbortLeavesRankAsItWas(t *testing.T) {
 	is := is.New(t)
 	r := formedRank()
@@ -97,7 +97,7 @@
 	is := is.New(t)
 	r := formedRank()
 	is.NoErr(r.Apply(armOrder(12)))
-	is.NoErr(r.Apply(resolveOrder(true))) // told before it gets there: no stop
+	is.NoErr(r.Apply(resolveOrder(true))) // resolved before the step: no stop
 	_, v := runTo(r, 11)
 	is.Equal(v, Version(1))
 	_, v = runTo(r, 12)
@@ -107,9 +107,8 @@
 	is.True(!r.State.Has(1)) // the old map made room
 }
 
-// A rank arms, its agent dies after the vote was sent, and a new one starts
-// empty. If it voted otherwise than its predecessor, one member could count a
-// commit and another an abort.
+// A rank arms, its agent dies after the vote was sent, and a new one starts empty. If it voted
+// differently from its predecessor, one member could count a commit and another an abort.
 func TestVoteIsReadBackFromRank(t *testing.T) {
 	sw := Switch{Number: num(1, 12), Epoch: num(1, 4), Version: 2, Step: 12}
 	tests := []struct {
@@ -127,7 +126,7 @@
 			is.NoErr(r.Apply(tt.order))
 			m := NewMember(MemberConfig{Name: "a", Habit: r.Habit}, 2, time.Second)
 			acts := m.Receive(time.Second, "b", Arm{Switch: sw})
-			read := acts[0].(Read) // it says nothing before it has read the rank
+			read := acts[0].(Read) // it sends nothing before it has read the rank
 			is.Equal(len(acts), 1)
 			acts = m.Observed(time.Second, read.ID, r.State, true)
 			is.Equal(acts[0], Send{To: "b", Message: VoteResponse{Number: sw.Number, Vote: tt.want}})
@@ -135,8 +134,8 @@
 	}
 }
 
-// A steward is paused past its lease while a new one forms the group again. Its
-// delayed Form must not bring a rank back, and it must learn that it is deposed.
+// A coordinator is paused past its lease while a new one forms the group again. Its delayed
+// Form must not bring a rank back, and it must learn that it is superseded.
 func TestDelayedFormOfOldSteward(t *testing.T) {
 	is := is.New(t)
 	r := formedRank()
@@ -167,10 +166,9 @@
 	return found
 }
 
-// An instance is replaced by one of another name while its group runs. Without
-// a new epoch the group would wait for the old name for good; and a steward that
-// finds a name in the epoch that its settings lack must bear it until enough
-// ranks answer.
+// An instance is replaced by one with another name while its group runs. Without a new epoch
+// the group would wait for the old name forever. A coordinator that finds a name in the epoch
+// that its settings lack must accept it until enough ranks answer.
 func TestReplacedMemberIsTakenIn(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
@@ -206,9 +204,9 @@
 func (l leaseAt) Valid(time.Duration) bool { return l.valid }
 func (l leaseAt) Fence() uint64            { return l.fence }
 
-// A renewal is late, so that the lease is not valid for a moment, and then is
-// again. A new steward under the same fence would number its orders from the
-// start, and two different epochs would have one number.
+// A renewal is late, so that the lease is invalid for a moment and then valid again. A new
+// coordinator under the same fencing token would number its orders from the start, and two
+// different epochs would have one number.
 func TestOneStewardForEachFence(t *testing.T) {
 	is := is.New(t)
 	var d Role
@@ -219,33 +217,33 @@
 	is.True(d.Coordinator(4, cfg, leaseAt{true, 5}) != first)
 }
 
-// One rank is slow, another's engine is gone. Forming the group again costs
-// every request in it, so that it must not be done for the slow one; and the
-// ranks that only wait for the slow one must not be blamed.
+// One rank is slow, another's engine is lost. Forming the group again costs every request in
+// it, so that it must not be done for the slow one; and the ranks that only wait for the slow
+// one must not be reported as stalled.
 func TestStalledIsNotDead(t *testing.T) {
 	cfg := MemberConfig{}.withDefaults()
-	at := func(d time.Duration, next uint64, waiting bool) func(p *pulse) {
+	at := func(d time.Duration, next uint64, waiting bool) func(p *progress) {
 		s := RankState{Epoch: num(1, 4), Next: next, Waiting: waiting}
-		return func(p *pulse) { p.observe(d, s) }
+		return func(p *progress) { p.observe(d, s) }
 	}
-	refuse := func(p *pulse) { p.refused = true }
+	refuse := func(p *progress) { p.unreachable = true }
 	tests := []struct {
 		name string
-		do   []func(p *pulse)
+		do   []func(p *progress)
 		want Health
 	}{
 		{"nothing read", nil, Unknown},
-		{"steps", []func(p *pulse){at(0, 5, true), at(10*time.Second, 9, false)}, Stepping},
-		{"does not finish", []func(p *pulse){at(8*time.Second, 5, false), at(10*time.Second, 5, false)}, Stalled},
-		{"waits for others", []func(p *pulse){at(8*time.Second, 5, true), at(10*time.Second, 5, true)}, Waiting},
-		{"refuses connections", []func(p *pulse){at(10*time.Second, 5, false), refuse}, Dead},
-		{"answers nothing", []func(p *pulse){at(time.Second, 5, false)}, Dead},
-		{"came back empty", []func(p *pulse){at(8*time.Second, 5, true), func(p *pulse) { p.observe(10*time.Second, RankState{}) }}, Empty},
+		{"steps", []func(p *progress){at(0, 5, true), at(10*time.Second, 9, false)}, Stepping},
+		{"does not finish", []func(p *progress){at(8*time.Second, 5, false), at(10*time.Second, 5, false)}, Stalled},
+		{"waits for others", []func(p *progress){at(8*time.Second, 5, true), at(10*time.Second, 5, true)}, Waiting},
+		{"refuses connections", []func(p *progress){at(10*time.Second, 5, false), refuse}, Dead},
+		{"answers nothing", []func(p *progress){at(time.Second, 5, false)}, Dead},
+		{"restarted empty", []func(p *progress){at(8*time.Second, 5, true), func(p *progress) { p.observe(10*time.Second, RankState{}) }}, Empty},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			p := pulse{lastAnswer: 9 * time.Second}
+			p := progress{lastAnswer: 9 * time.Second}
 			for _, do := range tt.do {
 				do(&p)
 			}
--- a/core/experts/group/message.go
+++ b/core/experts/group/message.go
@@ -6,74 +6,74 @@
 	"verbenashift/core/membership/lease"
 )
 
-// Message is what agents say to each other about a group. Every message may be
-// lost, repeated, delayed and reordered.
+// Message is what agents send each other about a group. Every message may be lost, duplicated,
+// delayed and reordered.
 type Message interface{ message() }
 
-// Probe asks a member for a Report. A steward sends it under its fence.
+// Probe requests a Report from a member. A coordinator sends it with its fencing token.
 type Probe struct {
 	Fence uint64 `json:"fence,omitzero"`
-	// Known is the epoch whose members the steward knows.
+	// Known is the epoch whose members the coordinator knows.
 	Known lease.Number `json:"known,omitzero"`
 }
 
-// Report is a member's view of its rank.
+// Report is a member's state as seen by its agent.
 type Report struct {
-	// Incarnation grows with every start of the agent; Sequence orders the
-	// reports of one incarnation.
+	// Incarnation grows with every start of the agent; Sequence orders the reports of one
+	// incarnation.
 	Incarnation uint64 `json:"incarnation,omitzero"`
 	Sequence    uint64 `json:"sequence,omitzero"`
-	// Fence is the highest fencing number the agent has heard of.
+	// Fence is the highest fencing token that the agent has received.
 	Fence uint64 `json:"fence,omitzero"`
-	// Health is the agent's first-hand view of the rank.
+	// Health is the agent's own observation of the rank.
 	Health Health `json:"health,omitzero"`
-	// Rank is the rank's state, its members only if the steward lacks them.
+	// Rank is the rank's state. It lists the members only if the coordinator lacks them.
 	Rank RankState `json:"rank,omitzero"`
 	// StepTime is the recent time for one step.
 	StepTime time.Duration `json:"step-time,omitzero"`
 }
 
-// Prepare asks a member to load a map's weights beside those in use.
+// Prepare tells a member to load a map's weights beside those in use.
 type Prepare struct {
 	Number  lease.Number `json:"number,omitzero"`
 	Version Version      `json:"version,omitzero"`
 }
 
-// Arm asks a member for its vote on a switch: to arm its rank for it, or to
-// refuse it for good. Members ask each other the same when the steward is gone.
+// Arm requests a member's vote on a switch: to arm its rank for it, or to refuse it
+// permanently. Members send each other the same request when the coordinator is unreachable.
 type Arm struct {
 	Switch Switch `json:"switch,omitzero"`
 }
 
-// VoteResponse is a member's vote. Armed and Refused never change once said.
+// VoteResponse is a member's vote. Armed and Refused never change once sent.
 type VoteResponse struct {
 	Number lease.Number `json:"number,omitzero"`
 	Vote   Vote         `json:"vote,omitzero"`
 }
 
-// Outcome says how a switch ended. It is a function of the votes, so that it is
-// the same whoever has counted them.
+// Outcome says how a switch ended. It is a function of the votes, so that it is the same for
+// everyone who counts them.
 type Outcome struct {
 	Number lease.Number `json:"number,omitzero"`
 	Epoch  lease.Number `json:"epoch,omitzero"`
 	Commit bool         `json:"commit,omitzero"`
 }
 
-// Form asks a member to leave its epoch and to join a new one.
+// Form tells a member to leave its epoch and to join a new one.
 type Form struct {
 	Number  lease.Number `json:"number,omitzero"`
 	Members []string     `json:"members,omitzero"`
 	Version Version      `json:"version,omitzero"`
 	// Step is the first step of the epoch.
 	Step uint64 `json:"step,omitzero"`
-	// Incarnation is that of the receiver's engine as the steward knows it. An
-	// engine that has been in the epoch and has lost its memory since must not
-	// come back into it on the epoch's first map.
+	// Incarnation is that of the receiver's engine as the coordinator knows it. An engine that
+	// has been in the epoch and has lost its memory since must not rejoin it on the epoch's
+	// first map.
 	Incarnation uint64 `json:"incarnation,omitzero"`
 }
 
-// Handover tells a member's agent that the steward has given up its lease, and
-// that the agent should ask for the duty without waiting.
+// Handover tells a member's agent that the coordinator has given up its lease, and that the
+// agent should request it without waiting.
 type Handover struct {
 	Fence uint64 `json:"fence,omitzero"`
 }
@@ -104,8 +104,8 @@
 	Message Message
 }
 
-// Apply gives an order to the agent's own rank. The answer goes to
-// Member.Applied with the same ID.
+// Apply sends an order to the agent's own rank. The answer goes to Member.Applied with the
+// same ID.
 type Apply struct {
 	ID    uint64
 	Order Order
@@ -117,8 +117,8 @@
 	ID uint64
 }
 
-// Done tells that a switch or a forming has ended; for operators and counters.
-// It may come twice for a switch that was left undecided by another steward.
+// Done reports that a switch or a group formation has ended, for operators and counters. It
+// may come twice for a switch that was left undecided by another coordinator.
 type Done struct {
 	Number lease.Number
 	// Formed says that it was a new epoch and not a switch.
@@ -132,7 +132,7 @@
 func (Read) action()  {}
 func (Done) action()  {}
 
-// Vote is a member's answer on a switch.
+// Vote is a member's vote on a switch.
 type Vote int
 
 // The votes. The zero value is no vote.
@@ -143,13 +143,13 @@
 	Armed
 	// Refused means that the rank will never arm for the switch.
 	Refused
-	// Passed means that the rank is beyond the switch, by a later one or in a
-	// later epoch, and cannot tell any more. It counts as no vote.
+	// Passed means that the rank is beyond the switch, by a later one or in a later epoch, and
+	// no longer knows its vote. It counts as no vote.
 	Passed
 )
 
-// Vote reads the rank's vote on a switch from its state alone, so that an agent
-// with empty memory answers as its predecessor did.
+// Vote derives the rank's vote on a switch from its state alone, so that an agent with empty
+// memory answers as its predecessor did.
 func (s RankState) Vote(sw Switch) Vote {
 	switch {
 	case s.Epoch.Less(sw.Epoch):
@@ -160,7 +160,7 @@
 		return Armed
 	case sw.Number.Less(s.Since):
 		return Passed
-	case sw.Number.Add(mainPlace).Less(s.Last):
+	case sw.Number.Add(mainOffset).Less(s.Last):
 		return Refused
 	default:
 		return Open
@@ -173,7 +173,7 @@
 	votes  map[string]Vote
 }
 
-// NewVoteCount returns a tally without votes.
+// NewVoteCount returns a count without votes.
 func NewVoteCount(sw Switch) *VoteCount {
 	return &VoteCount{Switch: sw, votes: make(map[string]Vote)}
 }
@@ -185,13 +185,13 @@
 	}
 }
 
-// Missing reports whether a member's vote is still wanted.
+// Missing reports whether a member's vote is still missing.
 func (t *VoteCount) Missing(member string) bool {
 	return t.votes[member] == Open
 }
 
-// Outcome returns the outcome once the votes fix it: abort as soon as one
-// member has refused, commit when every member of the epoch is armed.
+// Outcome returns the outcome once the votes determine it: abort as soon as one member has
+// refused, commit when every member of the epoch is armed.
 func (t *VoteCount) Outcome(members []string) (commit, known bool) {
 	all := len(members) > 0
 	for _, m := range members {
--- a/core/experts/group/rank.go
+++ b/core/experts/group/rank.go
@@ -7,40 +7,40 @@
 	"verbenashift/core/membership/lease"
 )
 
-// Version names one expert map by the digest of its content, so that the same
-// version is the same placement everywhere. The zero Version is no map.
+// Version identifies one expert map by the digest of its content, so that the same version is
+// the same placement everywhere. The zero Version is no map.
 type Version uint64
 
-// Kind says what an order asks of a rank.
+// Kind says what an order makes a rank do.
 type Kind int
 
 // The kinds of orders. The zero value is no order.
 const (
 	// LoadMap starts loading the weights that a map needs, beside those in use.
 	LoadMap Kind = iota + 1
-	// ArmMap makes the rank stop before Step until it is told the outcome.
+	// ArmMap makes the rank stop before Step until it receives the outcome.
 	ArmMap
-	// ResolveMap tells the outcome of a switch; refusing one in advance is
-	// resolving it with Commit false.
+	// ResolveMap sets the outcome of a switch; refusing one in advance is resolving it with
+	// Commit false.
 	ResolveMap
 	// FormGroup makes the rank leave its epoch and join a new one.
 	FormGroup
 )
 
-// The places of a steward's numbers: each base number is followed by one number
-// for each order that may come of it, in this order.
+// The offsets of order numbers: each base number of a coordinator is followed by one number
+// for each order that may result from it, in this order.
 const (
-	loadPlace    = 1
-	mainPlace    = 2
-	resolvePlace = 3
-	// places is the distance between two base numbers.
-	places = 4
+	loadOffset    = 1
+	mainOffset    = 2
+	resolveOffset = 3
+	// numberStride is the distance between two base numbers.
+	numberStride = 4
 )
 
-// Switch is one attempt to change a group's map. Its content is fixed by its
-// number: another step or map is another switch.
+// Switch is one attempt to change a group's map. Its content is fixed by its number: another
+// step or map is another switch.
 type Switch struct {
-	// Number is the base number the steward gave it.
+	// Number is the base number that the coordinator gave it.
 	Number lease.Number `json:"number,omitzero"`
 	// Epoch is the epoch of the group it belongs to.
 	Epoch   lease.Number `json:"epoch,omitzero"`
@@ -62,8 +62,8 @@
 	Members []string     `json:"members,omitempty"`
 }
 
-// RankState is what a rank knows of itself. It lives in the engine, survives
-// the agent, and is lost with the engine.
+// RankState is the state of a rank. It lives in the engine, survives the agent, and is lost
+// with the engine.
 type RankState struct {
 	// Incarnation changes with every start of the engine.
 	Incarnation uint64 `json:"incarnation,omitzero"`
@@ -85,7 +85,7 @@
 	Committed bool `json:"committed,omitzero"`
 	// Loaded is a map whose weights are in memory beside those in use.
 	Loaded Version `json:"loaded,omitzero"`
-	// Loading is a map whose weights are on their way.
+	// Loading is a map whose weights are being loaded.
 	Loading Version `json:"loading,omitzero"`
 	// Last is the number of the order applied last.
 	Last lease.Number `json:"last,omitzero"`
@@ -102,12 +102,12 @@
 	return !s.Epoch.IsZero() && s.Loading != s.Version
 }
 
-// Undecided reports whether the rank is armed and not yet told the outcome.
+// Undecided reports whether the rank is armed and has not received the outcome yet.
 func (s RankState) Undecided() bool {
 	return !s.Armed.Number.IsZero() && !s.Committed
 }
 
-// Held reports whether the rank is standing still for want of an outcome.
+// Held reports whether the rank has stopped because it lacks an outcome.
 func (s RankState) Held() bool {
 	return s.Undecided() && s.Next == s.Armed.Step
 }
@@ -123,11 +123,10 @@
 	return fmt.Sprintf("order %d.%d refused: %s", e.Order.Number.Fence, e.Order.Number.Sequence, e.Reason)
 }
 
-// Rank is the part of an engine that the switch relies on, as a reference for
-// adapters and stand-ins. The engine owes four things: it applies one order at
-// a time, it refuses to arm for a step it has begun or a map it has not loaded,
-// it does not begin the step it is armed for before it is told the outcome, and
-// it reports its state truthfully.
+// Rank is the part of an engine that the switch relies on, as a reference for adapters and
+// stand-ins. The engine has four obligations: it applies one order at a time, it refuses to
+// arm for a step it has begun or a map it has not loaded, it does not begin the step it is
+// armed for before it receives the outcome, and it reports its state truthfully.
 type Rank struct {
 	State RankState
 	Habit lease.Habit
@@ -137,9 +136,9 @@
 	off guardsOff
 }
 
-// guardsOff switches guards off, to show that each is needed. Only tests set it.
+// guardsOff disables guards, to show that each is needed. Only tests set it.
 type guardsOff struct {
-	arm, wait, fence, settle bool
+	arm, wait, fence, readBack bool
 }
 
 // Apply carries out an order, or returns a *RefusedError and changes nothing.
@@ -178,11 +177,11 @@
 		return "other-epoch"
 	case o.Kind == ArmMap && !s.Has(o.Version):
 		return "not-loaded"
-	// Loading makes room first, and an armed rank needs both of its maps.
+	// Loading frees memory first, and an armed rank needs both of its maps.
 	case o.Kind == LoadMap && !s.Armed.Number.IsZero():
 		return "armed"
-	// A rank that has begun the step used the old map in it. If it armed, the
-	// others could commit and use the new map in the same step.
+	// A rank that has begun the step used the old map in it. If it armed, the others could
+	// commit and use the new map in the same step.
 	case o.Kind == ArmMap && o.Step < s.Next && !r.off.arm:
 		return "step-begun"
 	default:
@@ -198,7 +197,7 @@
 	s.Loaded, s.Loading = 0, v
 }
 
-// FinishLoad says that the weights on their way have arrived.
+// FinishLoad records that the weights being loaded have arrived.
 func (r *Rank) FinishLoad() {
 	s := &r.State
 	if s.Loading != 0 && s.Loading != s.Version {
@@ -207,8 +206,8 @@
 	s.Loading = 0
 }
 
-// resolve ends the armed switch. An abort leaves the map in force and the
-// loaded weights as they were.
+// resolve ends the armed switch. An abort leaves the map in force and the loaded weights as
+// they were.
 func (r *Rank) resolve(o Order) {
 	s := &r.State
 	if s.Armed.Number != o.Base || s.Committed {
@@ -240,9 +239,9 @@
 	s.Armed, s.Committed = Switch{}, false
 }
 
-// Begin begins the next step and returns it with the map it uses. It returns
-// false if the rank is not ready, or is held at the step of a switch whose
-// outcome it does not know: going on would choose one of two maps by guess.
+// Begin begins the next step and returns it with the map it uses. It returns false if the rank
+// is not ready, or is held at the step of a switch whose outcome it does not know: continuing
+// would mean guessing between two maps.
 func (r *Rank) Begin() (uint64, Version, bool) {
 	s := &r.State
 	if !s.Ready() {
@@ -253,7 +252,7 @@
 		return 0, 0, false
 	}
 	if s.Committed && s.Next >= s.Armed.Step {
-		// The old weights stay in memory until the next load needs the room.
+		// The old weights stay in memory until the next load needs the memory.
 		s.Loaded, s.Version, s.Since = s.Version, s.Armed.Version, s.Armed.Number
 		s.Armed, s.Committed = Switch{}, false
 	}
@@ -263,7 +262,7 @@
 	return step, s.Version, true
 }
 
-// Finish says that the rank has done its part of the step it has begun.
+// Finish records that the rank has completed its part of the step it has begun.
 func (r *Rank) Finish() {
 	r.State.Waiting = true
 }
--- a/core/experts/group/steward.go
+++ b/core/experts/group/steward.go
@@ -7,7 +7,7 @@
 	"verbenashift/core/membership/lease"
 )
 
-// The defaults of StewardConfig.
+// The defaults of CoordinatorConfig.
 const (
 	defaultLead        = 16
 	defaultMaxLead     = 1024
@@ -17,78 +17,79 @@
 	defaultRejoinAfter = 5 * time.Second
 )
 
-// seat is what the steward knows of one member.
-type seat struct {
+// memberState is what the coordinator knows of one member.
+type memberState struct {
 	report Report
 	known  bool
-	// heard is when the last report came. If owing, the probe of asked and those
-	// after it have had no answer; probed is when the last one went out.
-	heard  time.Duration
-	owing  bool
-	asked  time.Duration
-	probed time.Duration
+	// lastReport is when the last report was received. If awaitingReport, the probe sent at
+	// firstProbe and those after it are unanswered; lastProbe is when the last one was sent.
+	lastReport     time.Duration
+	awaitingReport bool
+	firstProbe     time.Duration
+	lastProbe      time.Duration
 	// engine is the incarnation for which the present epoch was formed.
 	engine uint64
-	// back is since when the rank has answered without pause.
-	back time.Duration
+	// answeringSince is since when the rank has answered without interruption.
+	answeringSince time.Duration
 	// stalledSince is 0 for a rank that does not stall.
 	stalledSince time.Duration
 }
 
-// Coordinator drives a group's switches and formings while its agent holds the
-// duty. It is made anew for every lease and holds nothing that must last: what
-// it needs is in the reports. Its adapter drops it when the lease is no longer
-// valid, and asks lease.Holder.Valid right before each Tick and send.
+// Coordinator drives a group's switches and formations while its agent holds the lease. It is
+// made anew for every lease and stores nothing that must survive: what it needs is in the
+// reports. Its adapter drops it when the lease is no longer valid, and calls
+// lease.Holder.Valid right before each Tick and send.
 type Coordinator struct {
-	// given is the setting without its defaults.
+	// given is the configuration without its defaults.
 	given CoordinatorConfig
 	cfg   CoordinatorConfig
 	fence uint64
-	// sequence is the last base number given out.
+	// sequence is the last base number issued.
 	sequence uint64
-	seats    map[string]*seat
-	want     Version
+	states   map[string]*memberState
+	desired  Version
 	form     *Form
-	// issued says that form is this steward's own and may be repeated.
-	issued   bool
-	announce bool
-	prepare  *Prepare
-	tally    *VoteCount
+	// issued says that form is this coordinator's own and may be repeated.
+	issued  bool
+	forming bool
+	prepare *Prepare
+	votes   *VoteCount
 	// decided is the outcome of the last switch.
 	decided  Outcome
 	began    time.Duration
 	formedAt time.Duration
 	lead     uint64
-	// swept is when all members were last probed out of turn.
-	swept time.Duration
-	// repeatAt is when unanswered messages are sent again; pause is the time
-	// from then to the next, which doubles up to Beat.
-	repeatAt time.Duration
-	pause    time.Duration
-	deposed  bool
+	// lastFullProbe is when probes to all members were last made due early.
+	lastFullProbe time.Duration
+	// repeatAt is when unanswered messages are sent again; pause is the time from then to the
+	// next, which doubles up to ProbeInterval.
+	repeatAt   time.Duration
+	pause      time.Duration
+	superseded bool
 }
 
-// NewCoordinator returns the steward of a lease that was given under fence.
+// NewCoordinator returns the coordinator of a lease that was granted under the fencing token
+// fence.
 func NewCoordinator(cfg CoordinatorConfig, fence uint64, now time.Duration) *Coordinator {
-	s := &Coordinator{given: cfg, cfg: cfg.withDefaults(), fence: fence, seats: make(map[string]*seat)}
+	s := &Coordinator{given: cfg, cfg: cfg.withDefaults(), fence: fence, states: make(map[string]*memberState)}
 	s.lead = s.cfg.Lead
 	for _, m := range cfg.Members {
-		s.seat(m, now)
+		s.addMember(m, now)
 	}
-	s.swept = now
-	s.hurry(now)
+	s.lastFullProbe = now
+	s.resetRepeat(now)
 	return s
 }
 
-// seat makes sure that a member has a seat.
-func (s *Coordinator) seat(member string, now time.Duration) {
-	if s.seats[member] == nil {
-		s.seats[member] = &seat{probed: now - s.cfg.ProbeInterval}
+// addMember makes sure that there is a state for a member.
+func (s *Coordinator) addMember(member string, now time.Duration) {
+	if s.states[member] == nil {
+		s.states[member] = &memberState{lastProbe: now - s.cfg.ProbeInterval}
 	}
 }
 
-// SetMembers changes the configured ranks, as when an instance is replaced by
-// one of another name. The group is formed again once enough of them answer.
+// SetMembers changes the configured ranks, as when an instance is replaced by one with another
+// name. The group is formed again once enough of them answer.
 func (s *Coordinator) SetMembers(now time.Duration, members []string) {
 	if slices.Equal(members, s.cfg.Members) {
 		return
@@ -96,68 +97,68 @@
 	s.given.Members = slices.Clone(members)
 	s.cfg = s.given.withDefaults()
 	for _, m := range members {
-		s.seat(m, now)
+		s.addMember(m, now)
 	}
 }
 
-// SetDesired sets the map that the group should use; the zero Version means the one it
-// uses. A change before ranks are armed drops the switch that was prepared.
+// SetDesired sets the map that the group should use; the zero Version means the one it uses. A
+// change before ranks are armed drops the switch that was prepared.
 func (s *Coordinator) SetDesired(v Version) {
-	if v == s.want {
+	if v == s.desired {
 		return
 	}
-	s.want, s.prepare = v, nil
+	s.desired, s.prepare = v, nil
 }
 
-// Superseded reports whether a member knows of a newer lease. The adapter gives up
-// the duty then.
+// Superseded reports whether a member knows of a newer lease. The adapter gives up the lease
+// then.
 func (s *Coordinator) Superseded() bool {
-	return s.deposed
+	return s.superseded
 }
 
-// Settled reports whether every member is in one epoch, no switch is under way
-// and the wanted map is in force.
+// Settled reports whether every member is in one epoch, no switch is under way and the desired
+// map is in force.
 func (s *Coordinator) Settled() bool {
-	if s.form == nil || s.announce || s.tally != nil {
+	if s.form == nil || s.forming || s.votes != nil {
 		return false
 	}
 	for _, m := range s.form.Members {
-		r := s.seats[m].report
+		r := s.states[m].report
 		if r.Rank.Epoch != s.form.Number || !r.Rank.Armed.Number.IsZero() {
 			return false
 		}
-		if s.want != 0 && r.Rank.Version != s.want {
+		if s.desired != 0 && r.Rank.Version != s.desired {
 			return false
 		}
 	}
 	return true
 }
 
-// Receive takes a message from a member's agent.
+// Receive handles a message from a member's agent.
 func (s *Coordinator) Receive(now time.Duration, from string, msg Message) []Action {
-	if s.seats[from] == nil || s.deposed {
+	if s.states[from] == nil || s.superseded {
 		return nil
 	}
 	switch msg := msg.(type) {
 	case Report:
-		s.reported(now, from, msg)
-		return s.work(now)
+		s.handleReport(now, from, msg)
+		return s.advance(now)
 	case VoteResponse:
-		if s.tally != nil && s.tally.Switch.Number == msg.Number {
-			s.tally.Add(from, msg.Vote)
+		if s.votes != nil && s.votes.Switch.Number == msg.Number {
+			s.votes.Add(from, msg.Vote)
 			return s.finish(now)
 		}
 	}
 	return nil
 }
 
-func (s *Coordinator) reported(now time.Duration, from string, r Report) {
+func (s *Coordinator) handleReport(now time.Duration, from string, r Report) {
 	if r.Fence > s.fence {
-		s.deposed = true
+		s.superseded = true
 		return
 	}
-	st := s.seats[from]
-	// A report that was overtaken by a later one would bring back an old state.
+	st := s.states[from]
+	// A report that arrives after a later one would restore an old state.
 	if st.known && !st.report.before(r) {
 		return
 	}
@@ -165,36 +166,36 @@
 		r.Rank.Members = st.report.Rank.Members
 	}
 	if !st.known || s.silent(now, st) || r.Health == Dead {
-		st.back = now
+		st.answeringSince = now
 	}
-	st.report, st.known, st.heard, st.owing = r, true, now, false
+	st.report, st.known, st.lastReport, st.awaitingReport = r, true, now, false
 	switch {
 	case r.Health != Stalled:
 		st.stalledSince = 0
 	case st.stalledSince == 0:
 		st.stalledSince = now
 	}
-	if r.Health != Stepping && now-s.swept >= s.cfg.DeadAfter {
-		s.sweep(now)
+	if r.Health != Stepping && now-s.lastFullProbe >= s.cfg.DeadAfter {
+		s.probeAllSoon(now)
 	}
 }
 
-// sweep has every member probed at the next tick. Members tell when their ranks
-// stop, and in a lock-step group all ranks stop when one does, so that even an
-// instance that died with its agent is missed at once between rare probes.
-func (s *Coordinator) sweep(now time.Duration) {
-	s.swept = now
-	for _, st := range s.seats {
-		st.probed = now - s.cfg.ProbeInterval
+// probeAllSoon makes the next tick probe every member. Members report when their ranks stop,
+// and in a lock-step group all ranks stop when one does, so that even an instance that died
+// with its agent is detected at once between rare probes.
+func (s *Coordinator) probeAllSoon(now time.Duration) {
+	s.lastFullProbe = now
+	for _, st := range s.states {
+		st.lastProbe = now - s.cfg.ProbeInterval
 	}
 }
 
-// Tick lets time pass: it probes, and repeats what has not been answered.
+// Tick handles the passing of time: it probes, and repeats what has not been answered.
 func (s *Coordinator) Tick(now time.Duration) []Action {
-	if s.deposed {
+	if s.superseded {
 		return nil
 	}
-	acts := append(s.probe(now), s.work(now)...)
+	acts := append(s.probe(now), s.advance(now)...)
 	if now < s.repeatAt {
 		return acts
 	}
@@ -203,65 +204,65 @@
 	return append(acts, s.repeat()...)
 }
 
-// hurry makes repeats frequent again, at the start of something new.
-func (s *Coordinator) hurry(now time.Duration) {
+// resetRepeat makes repeats frequent again, at the start of a new operation.
+func (s *Coordinator) resetRepeat(now time.Duration) {
 	s.pause = s.cfg.FastProbeInterval
 	s.repeatAt = now + s.pause
 }
 
-// probe asks for reports: each member now and then, and those that owe an
-// answer often.
+// probe requests reports: from each member at ProbeInterval, and from those that have not
+// answered at FastProbeInterval.
 func (s *Coordinator) probe(now time.Duration) []Action {
 	var acts []Action
 	for _, m := range s.cfg.Members {
-		st := s.seats[m]
+		st := s.states[m]
 		pause := s.cfg.ProbeInterval
-		if st.owing {
+		if st.awaitingReport {
 			pause = s.cfg.FastProbeInterval
 		}
-		if now-st.probed < pause {
+		if now-st.lastProbe < pause {
 			continue
 		}
-		if !st.owing {
-			st.owing, st.asked = true, now
+		if !st.awaitingReport {
+			st.awaitingReport, st.firstProbe = true, now
 		}
-		st.probed = now
+		st.lastProbe = now
 		acts = append(acts, Send{To: m, Message: Probe{Fence: s.fence, Known: s.knownEpoch(st)}})
 	}
 	return acts
 }
 
 // knownEpoch returns the epoch whose members the member need not list again.
-func (s *Coordinator) knownEpoch(st *seat) lease.Number {
+func (s *Coordinator) knownEpoch(st *memberState) lease.Number {
 	if s.form == nil && len(st.report.Rank.Members) == 0 {
 		return lease.Number{}
 	}
 	return st.report.Rank.Epoch
 }
 
-// next returns a fresh base number.
-func (s *Coordinator) next() lease.Number {
-	s.sequence += places
+// nextNumber returns an unused base number.
+func (s *Coordinator) nextNumber() lease.Number {
+	s.sequence += numberStride
 	return lease.Number{Fence: s.fence, Sequence: s.sequence}
 }
 
-// work does what the reports call for. It is safe to call at any time: nothing
-// depends on which message came last.
-func (s *Coordinator) work(now time.Duration) []Action {
-	if s.deposed {
+// advance does what the reports require. It is safe to call at any time: nothing depends on
+// which message came last.
+func (s *Coordinator) advance(now time.Duration) []Action {
+	if s.superseded {
 		return nil
 	}
-	acts, busy := s.workForm(now)
+	acts, busy := s.advanceForm(now)
 	switch {
 	case busy:
 		return acts
-	case s.tally != nil:
+	case s.votes != nil:
 		return append(acts, s.finish(now)...)
 	}
-	if asked := s.adoptSwitch(now); len(asked) > 0 {
-		return append(acts, asked...)
+	if requests := s.adoptSwitch(now); len(requests) > 0 {
+		return append(acts, requests...)
 	}
-	return append(acts, s.workSwitch(now)...)
+	return append(acts, s.advanceSwitch(now)...)
 }
 
 // repeat sends again what a member has not yet answered.
@@ -269,9 +270,9 @@
 	switch {
 	case s.form == nil:
 		return nil
-	case s.announce:
+	case s.forming:
 		return s.sendForm()
-	case s.tally != nil:
+	case s.votes != nil:
 		return s.sendArm()
 	case s.prepare != nil:
 		return append(s.sendOutcome(), s.sendPrepare()...)
--- a/core/experts/group/steward_config.go
+++ b/core/experts/group/steward_config.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// CoordinatorConfig is the setting of a Steward. Zero values take the defaults.
+// CoordinatorConfig configures a Coordinator. Zero values take the defaults.
 type CoordinatorConfig struct {
 	// Members are the ranks configured for the group, by the names of their
 	// targets.
@@ -18,17 +18,17 @@
 	// short, up to MaxLead.
 	Lead    uint64
 	MaxLead uint64
-	// ProbeInterval is the interval of probes while all is well; FastBeat while
+	// ProbeInterval is the interval of probes in the steady state; FastProbeInterval while
 	// something is under way or a rank is not stepping.
 	ProbeInterval     time.Duration
 	FastProbeInterval time.Duration
-	// DeadAfter is how long an agent may leave fast probes without an answer.
+	// DeadAfter is how long an agent may leave fast probes unanswered.
 	DeadAfter time.Duration
 	// StallLimit is how long a rank may stall before the group is formed
 	// without it; 0 means never.
 	StallLimit time.Duration
-	// RejoinAfter is how long a returned rank must have answered before the
-	// group is formed again for its sake.
+	// RejoinAfter is how long a returned rank must have answered before the group is formed
+	// again to include it.
 	RejoinAfter time.Duration
 }
 
--- a/core/experts/group/steward_form.go
+++ b/core/experts/group/steward_form.go
@@ -7,19 +7,18 @@
 	"verbenashift/core/membership/lease"
 )
 
-// silent reports whether an agent has left probes without an answer for too
-// long. Silence counts from the first unanswered probe, not from the last
-// report: probes are rare while all is well.
-func (s *Coordinator) silent(now time.Duration, st *seat) bool {
-	return st.owing && now-st.asked >= s.cfg.DeadAfter
+// silent reports whether an agent has left probes unanswered for too long. Silence counts from
+// the first unanswered probe, not from the last report: probes are rare in the steady state.
+func (s *Coordinator) silent(now time.Duration, st *memberState) bool {
+	return st.awaitingReport && now-st.firstProbe >= s.cfg.DeadAfter
 }
 
-// lost reports whether a member's rank is to be taken as gone: its agent says
-// that it is dead, the agent is silent, or the rank has stalled beyond the
-// limit. A rank that merely stalls is kept; forming a group costs every request
-// in it more than a short wait does. A rank left out for a stall is taken back
-// once it has done its part of the step, or its engine has started again.
-func (s *Coordinator) lost(now time.Duration, st *seat) bool {
+// lost reports whether a member's rank is to be treated as lost: its agent reports that it is
+// dead, the agent is silent, or the rank has stalled beyond the limit. A rank that merely
+// stalls is retained; forming a group costs every request in it more than a short wait does. A
+// rank removed for a stall is included again once it has done its part of the step, or its
+// engine has restarted.
+func (s *Coordinator) lost(now time.Duration, st *memberState) bool {
 	if s.silent(now, st) || st.known && st.report.Health == Dead {
 		return true
 	}
@@ -27,47 +26,47 @@
 	return limit > 0 && st.stalledSince != 0 && now-st.stalledSince >= limit
 }
 
-// usable returns the members whose ranks can be in a new epoch; an engine that
-// has come back empty is one of them.
+// usable returns the members whose ranks can be in a new epoch; an engine that has restarted
+// empty is one of them.
 func (s *Coordinator) usable(now time.Duration) []string {
 	var names []string
 	for _, m := range s.cfg.Members {
-		if st := s.seats[m]; st.known && !s.lost(now, st) {
+		if st := s.states[m]; st.known && !s.lost(now, st) {
 			names = append(names, m)
 		}
 	}
 	return names
 }
 
-// workForm sees to it that the usable ranks are in one epoch. Busy says that
-// this has to be done first.
-func (s *Coordinator) workForm(now time.Duration) (acts []Action, busy bool) {
-	if s.form == nil && !s.heardAll(now) {
+// advanceForm brings the usable ranks into one epoch. Busy says that this has to be completed
+// first.
+func (s *Coordinator) advanceForm(now time.Duration) (acts []Action, busy bool) {
+	if s.form == nil && !s.allReported(now) {
 		return nil, true
 	}
 	if s.form == nil && s.adoptEpoch(now) {
 		return nil, true
 	}
 	if s.form == nil || s.mustForm(now) {
-		return s.formAnew(now), true
+		return s.formEpoch(now), true
 	}
-	if !s.announce {
+	if !s.forming {
 		return nil, false
 	}
 	for _, m := range s.form.Members {
-		if s.seats[m].report.Rank.Epoch != s.form.Number {
+		if s.states[m].report.Rank.Epoch != s.form.Number {
 			return nil, true
 		}
 	}
-	s.announce = false
+	s.forming = false
 	return []Action{Done{Number: s.form.Number, Formed: true, Commit: true, Took: now - s.formedAt}}, false
 }
 
-// heardAll reports whether every member has reported to this steward or is
-// silent. Before that, an undecided switch or a newer epoch may be unseen.
-func (s *Coordinator) heardAll(now time.Duration) bool {
+// allReported reports whether every member has reported to this coordinator or is silent.
+// Before that, an undecided switch or a newer epoch may not have been reported yet.
+func (s *Coordinator) allReported(now time.Duration) bool {
 	for _, m := range s.cfg.Members {
-		st := s.seats[m]
+		st := s.states[m]
 		if !st.known && !s.silent(now, st) {
 			return false
 		}
@@ -75,12 +74,12 @@
 	return true
 }
 
-// adoptEpoch takes over the epoch that all usable members are in. Wait says that
-// none of them has listed its members yet.
+// adoptEpoch adopts the epoch that all usable members are in. Wait says that none of them has
+// listed its members yet.
 func (s *Coordinator) adoptEpoch(now time.Duration) (wait bool) {
 	var found *Form
 	for _, m := range s.usable(now) {
-		r := s.seats[m].report.Rank
+		r := s.states[m].report.Rank
 		if r.Epoch.IsZero() {
 			continue
 		}
@@ -98,28 +97,28 @@
 		return true
 	}
 	for _, m := range found.Members {
-		s.seat(m, now)
+		s.addMember(m, now)
 	}
-	s.form, s.issued, s.announce = found, false, false
+	s.form, s.issued, s.forming = found, false, false
 	return false
 }
 
-// mustForm reports whether the epoch cannot go on: a member is lost or has left
-// it, or a returned rank has been well for long enough to be taken in.
+// mustForm reports whether the epoch cannot continue: a member is lost or has left it, or a
+// returned rank has been healthy for long enough to be included.
 func (s *Coordinator) mustForm(now time.Duration) bool {
 	usable := s.usable(now)
 	if len(usable) < s.cfg.MinRanks {
 		return false
 	}
 	for _, m := range s.form.Members {
-		st := s.seats[m]
+		st := s.states[m]
 		if !slices.Contains(s.cfg.Members, m) || s.lost(now, st) || s.left(st) {
 			return true
 		}
 	}
 	for _, m := range usable {
-		st := s.seats[m]
-		if !slices.Contains(s.form.Members, m) && now-st.back >= s.cfg.RejoinAfter {
+		st := s.states[m]
+		if !slices.Contains(s.form.Members, m) && now-st.answeringSince >= s.cfg.RejoinAfter {
 			return true
 		}
 	}
@@ -129,42 +128,41 @@
 // left reports whether a member's rank is in another epoch and cannot be
 // brought into this one: it has been in it and lost its memory, or has applied
 // a later order.
-func (s *Coordinator) left(st *seat) bool {
+func (s *Coordinator) left(st *memberState) bool {
 	r := st.report.Rank
 	if r.Epoch == s.form.Number {
 		return false
 	}
-	if !s.issued || !s.announce || r.Incarnation != st.engine {
+	if !s.issued || !s.forming || r.Incarnation != st.engine {
 		return true
 	}
-	return !r.Last.Less(s.form.Number.Add(mainPlace))
+	return !r.Last.Less(s.form.Number.Add(mainOffset))
 }
 
-// formAnew forms a new epoch from the usable ranks. It starts on the newest map
-// that any of them has used: a rank uses a new map only if all were armed for
-// it, and an armed rank has loaded it, so that the survivors of the last epoch
-// need not load anything. Any single map would be safe, because no step of the
-// new epoch has been run.
-func (s *Coordinator) formAnew(now time.Duration) []Action {
+// formEpoch forms a new epoch from the usable ranks. It starts on the newest map that any of
+// them has used: a rank uses a new map only if all were armed for it, and an armed rank has
+// loaded it, so that the survivors of the last epoch need not load anything. Any single map
+// would be safe, because no step of the new epoch has been run.
+func (s *Coordinator) formEpoch(now time.Duration) []Action {
 	members := s.usable(now)
 	if len(members) < s.cfg.MinRanks || len(members) == 0 {
 		return nil
 	}
-	f := Form{Number: s.next(), Members: members, Version: s.cfg.Initial, Step: 1}
+	f := Form{Number: s.nextNumber(), Members: members, Version: s.cfg.Initial, Step: 1}
 	var epoch, since lease.Number
 	for _, m := range members {
-		r := s.seats[m].report.Rank
+		r := s.states[m].report.Rank
 		f.Step = max(f.Step, r.Next+1)
 		newer := epoch.Less(r.Epoch) || epoch == r.Epoch && since.Less(r.Since)
 		if !r.Epoch.IsZero() && newer {
 			epoch, since, f.Version = r.Epoch, r.Since, r.Version
 		}
 	}
-	s.form, s.issued, s.announce, s.formedAt = &f, true, true, now
-	s.tally, s.prepare = nil, nil
-	s.hurry(now)
+	s.form, s.issued, s.forming, s.formedAt = &f, true, true, now
+	s.votes, s.prepare = nil, nil
+	s.resetRepeat(now)
 	for _, m := range members {
-		s.seats[m].engine = s.seats[m].report.Rank.Incarnation
+		s.states[m].engine = s.states[m].report.Rank.Incarnation
 	}
 	return s.sendForm()
 }
@@ -172,9 +170,9 @@
 func (s *Coordinator) sendForm() []Action {
 	var acts []Action
 	for _, m := range s.form.Members {
-		if s.seats[m].report.Rank.Epoch != s.form.Number {
+		if s.states[m].report.Rank.Epoch != s.form.Number {
 			f := *s.form
-			f.Incarnation = s.seats[m].engine
+			f.Incarnation = s.states[m].engine
 			acts = append(acts, Send{To: m, Message: f})
 		}
 	}
--- a/core/experts/group/switch_test.go
+++ b/core/experts/group/switch_test.go
@@ -61,7 +61,7 @@
 		t.Fatal(worst.err)
 	}
 	if commits == 0 {
-		t.Fatal("no run committed a switch while faults went on")
+		t.Fatal("no run committed a switch while faults were injected")
 	}
 	t.Logf("%d runs, %d commits under faults, %v", *runs, commits, time.Since(began).Round(time.Millisecond))
 }
@@ -76,13 +76,13 @@
 	}{
 		// A rank arms for a step it has begun on the old map; the others commit.
 		{"arm check", guardsOff{arm: true}},
-		// A rank reaches the step without the outcome and goes on as it was.
+		// A rank reaches the step without the outcome and continues on the old map.
 		{"wait", guardsOff{wait: true}},
-		// A delayed order of an older steward or epoch is carried out.
+		// A delayed order of an older coordinator or epoch is carried out.
 		{"fencing check", guardsOff{fence: true}},
 		// An order of a dead agent arrives after its successor has read the
 		// rank, at an engine that ignores fencing.
-		{"settling time", guardsOff{settle: true}},
+		{"settling time", guardsOff{readBack: true}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
