--- a/core/request/quarantine/print.go
+++ b/core/request/quarantine/print.go
@@ -7,18 +7,18 @@
 	"fmt"
 )
 
-// Fingerprint is the fingerprint of a request: the same for two requests with the same content
-// of the same caller, whatever their identifiers. Nothing of the content can be read from
-// it.
+// Fingerprint identifies a request by its content: it is the same for two requests with the
+// same content of the same workspace, whatever their identifiers. The content can't be read
+// from it.
 type Fingerprint [16]byte
 
-// Content is what makes two requests the same.
+// Content is the part of a request that its fingerprint covers.
 type Content struct {
 	Method, Host string
 	// Target is the path with the query.
 	Target string
-	// Workspace is whose request it is, so that one caller's requests say nothing of
-	// another's.
+	// Workspace is that of the caller, so that the requests of one workspace have no effect on
+	// those of another.
 	Workspace string
 	Body      []byte
 }
@@ -28,7 +28,7 @@
 	sum := sha256.New()
 	for _, field := range [][]byte{[]byte(c.Method), []byte(c.Host), []byte(c.Target), []byte(c.Workspace), c.Body} {
 		var length [8]byte
-		// The lengths keep two contents apart whose fields join to the same bytes.
+		// The length prefixes distinguish contents whose fields concatenate to the same bytes.
 		binary.BigEndian.PutUint64(length[:], uint64(len(field)))
 		sum.Write(length[:])
 		sum.Write(field)
@@ -36,28 +36,29 @@
 	return Fingerprint(sum.Sum(nil))
 }
 
-// FingerprintError says that a text is no fingerprint.
+// FingerprintError reports a text that is not a fingerprint.
 type FingerprintError struct {
 	Text string
 }
 
-// Error shows the text.
-func (e *FingerprintError) Error() string { return fmt.Sprintf("%q is no fingerprint", e.Text) }
+// Error quotes the text.
+func (e *FingerprintError) Error() string { return fmt.Sprintf("%q is not a fingerprint", e.Text) }
 
 // String returns the fingerprint in hexadecimal.
 func (p Fingerprint) String() string { return hex.EncodeToString(p[:]) }
 
-// shortDigits is how much of a fingerprint lines have: enough to tell apart the requests
-// of a day.
+// shortDigits is the length of the abbreviated fingerprint in log lines: enough to distinguish
+// the requests of a day.
 const shortDigits = 8
 
-// Short returns the beginning of the fingerprint for logs.
+// Short returns the first digits of the fingerprint for logs.
 func (p Fingerprint) Short() string { return p.String()[:shortDigits] }
 
 // MarshalText returns the fingerprint in hexadecimal.
 func (p Fingerprint) MarshalText() ([]byte, error) { return []byte(p.String()), nil }
 
-// UnmarshalText reads a fingerprint in hexadecimal; a *PrintError says that it is none.
+// UnmarshalText parses a fingerprint in hexadecimal. It returns a *FingerprintError if the
+// text is malformed.
 func (p *Fingerprint) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(len(p)) {
 		return &FingerprintError{string(text)}
--- a/core/request/quarantine/recent.go
+++ b/core/request/quarantine/recent.go
@@ -1,24 +1,24 @@
 package quarantine
 
-// maxRecent is how many requests of each of two generations are remembered: some seconds of
-// a busy gateway, in 64 KB.
+// maxRecent is the size of each of the two generations that are remembered: some seconds of a
+// busy gateway, in 64 KB.
 const maxRecent = 1024
 
-// recent remembers the last requests that were added, between maxRecent and twice as many.
-// The zero value remembers none.
+// recent is a set of the requests that were added last, between maxRecent and twice as many.
+// The zero value is empty.
 type recent struct {
-	young, old map[Fingerprint]struct{}
+	current, previous map[Fingerprint]struct{}
 }
 
 func (r *recent) add(p Fingerprint) {
-	if r.young == nil || len(r.young) >= maxRecent {
-		r.old, r.young = r.young, map[Fingerprint]struct{}{}
+	if r.current == nil || len(r.current) >= maxRecent {
+		r.previous, r.current = r.current, map[Fingerprint]struct{}{}
 	}
-	r.young[p] = struct{}{}
+	r.current[p] = struct{}{}
 }
 
 func (r *recent) has(p Fingerprint) bool {
-	_, young := r.young[p]
-	_, old := r.old[p]
-	return young || old
+	_, inCurrent := r.current[p]
+	_, inPrevious := r.previous[p]
+	return inCurrent || inPrevious
 }
--- a/core/request/quarantine/register.go
+++ b/core/request/quarantine/register.go
@@ -7,87 +7,89 @@
 )
 
 const (
-	// enough is how many targets must have crashed under a request for it to be held back.
-	enough = 3
-	// trialTime is how long a trial may take, for which others are told to stay away.
-	trialTime = time.Second
-	// settle is how old the word of a crash must be to count: other gateways tell meanwhile
-	// of what was under way there, which may be the culprit. It leaves half of the three
-	// seconds after a third crash in which all gateways are to know it.
-	settle = 1500 * time.Millisecond
-	// tellFrom is from how many crashes on a request that is answered whole is worth a word
-	// to the other gateways.
-	tellFrom = 2
-
-	// maxCrashes and maxRequests bound what is remembered: some weeks of failing instances,
-	// and more requests than a target takes at once. Together they are 512 KB at most.
+	// crashThreshold is how many targets must have crashed while running a request for it to
+	// be quarantined.
+	crashThreshold = 3
+	// probeTimeout is how long a probe request may take. Other callers of the same request are
+	// asked to wait that long.
+	probeTimeout = time.Second
+	// reportDelay is the age from which a crash counts as evidence. In the meantime other
+	// gateways report their requests on that target, one of which may be the cause. It leaves
+	// half of the three seconds after a third crash within which all gateways must know it.
+	reportDelay = 1500 * time.Millisecond
+	// publishThreshold is the number of crashes from which a complete response to a request is
+	// reported to the other gateways.
+	publishThreshold = 2
+
+	// maxCrashes and maxRequests bound the memory: some weeks of failing instances, and more
+	// requests than a target runs at once. Together they take 512 KB at most.
 	maxCrashes  = 512
 	maxRequests = 64
-	// maxReports and maxHolds bound what stands in the store.
+	// maxReports and maxHolds bound the items in the store.
 	maxReports = 256
 	maxHolds   = 1024
 	// maxDeletes is how many old items one call removes.
 	maxDeletes = 16
 )
 
-// trialWaits are the times after which a request that is held back is tried again, if not
-// sooner. There is no trial after the last: each costs a target, or a whole group, if the
-// request still crashes them.
-var trialWaits = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour}
+// probeDelays are the delays after which a quarantined request is probed, if not sooner. There
+// is no probe after the last: each costs a target, or a complete group, if the request still
+// crashes them.
+var probeDelays = [...]time.Duration{10 * time.Minute, time.Hour, 6 * time.Hour}
 
-// life is one life of a target.
-type life struct {
-	target string
-	born   int64
+// targetRun identifies one process of a target.
+type targetRun struct {
+	target    string
+	startedAt int64
 }
 
-// crash is what all gateways have told of the end of a target.
+// crash is what all gateways have reported of the crash of one target.
 type crash struct {
-	life
-	requests []Fingerprint
-	heard    time.Time
+	targetRun
+	requests   []Fingerprint
+	reportedAt time.Time
 }
 
-// held is a request that is held back.
-type held struct {
+// quarantinedRequest is the state of a request that is quarantined.
+type quarantinedRequest struct {
 	Hold
-	// revision is that of the store; 0 until the hold stands there.
+	// revision is that of the hold in the store; 0 until it is stored.
 	revision int64
-	// since is when this process has learned of it or of its last trial.
+	// since is when this process learned of the hold or of its last probe.
 	since time.Time
 }
 
-// Register decides which requests are held back. It is not safe for concurrent use.
+// Register decides which requests are quarantined. It is not safe for concurrent use.
 type Register struct {
-	// crashes are the last ones, oldest first; counts says in how many of them each request
-	// was under way.
-	crashes []*crash
-	counts  map[Fingerprint]int
-	held    map[Fingerprint]*held
-	// unjudged says that crashes are known that have not been judged, or not since the last
-	// change of what is known, or whose word has not settled.
-	unjudged bool
-	// done are requests that targets have answered to this gateway.
-	done recent
-	// reports and holds are the items in the store, by key, with their revisions.
+	// crashes are the most recent ones, oldest first; counts is the number of them in which
+	// each request was in progress.
+	crashes     []*crash
+	counts      map[Fingerprint]int
+	quarantined map[Fingerprint]*quarantinedRequest
+	// needsEvaluation reports that some crashes have not been evaluated, were evaluated before
+	// the last change of state, or are more recent than reportDelay.
+	needsEvaluation bool
+	// answered are the requests of this gateway that targets have answered completely.
+	answered recent
+	// reports and holds are the revisions of the items in the store, by key.
 	reports, holds map[string]int64
 }
 
-// New returns a Register that holds nothing back.
+// New returns a Register in which no request is quarantined.
 func New() *Register {
-	return &Register{counts: map[Fingerprint]int{}, held: map[Fingerprint]*held{}, reports: map[string]int64{}, holds: map[string]int64{}}
+	return &Register{counts: map[Fingerprint]int{}, quarantined: map[Fingerprint]*quarantinedRequest{}, reports: map[string]int64{}, holds: map[string]int64{}}
 }
 
-// Crashes returns in how many crashes that are remembered a request was under way.
+// Crashes returns the number of remembered crashes in which a request was in progress.
 func (g *Register) Crashes(p Fingerprint) int { return g.counts[p] }
 
-// Quarantined returns how many requests are held back.
-func (g *Register) Quarantined() int { return len(g.held) }
+// Quarantined returns how many requests are quarantined.
+func (g *Register) Quarantined() int { return len(g.quarantined) }
 
-// Apply takes an item that stands in the store under Prefix, in the order of the revisions.
-// It returns the requests that targets have answered whole here, and that others may hold
-// for culprits. An *ItemError says that the item is not understood.
-func (g *Register) Apply(key string, revision int64, value []byte, now time.Time) (innocent []Fingerprint, err error) {
+// Apply processes an item that is stored under Prefix; items come in the order of their
+// revisions. It returns the requests that targets have answered completely here and that other
+// gateways may still suspect. An *ItemError says that the item is malformed.
+func (g *Register) Apply(key string, revision int64, value []byte, now time.Time) (cleared []Fingerprint, err error) {
 	if isReport(key) {
 		var r Report
 		if err := decode(key, value, &r); err != nil {
@@ -96,7 +98,7 @@
 		g.reports[key] = revision
 		return g.Report(&r, now), nil
 	}
-	p, err := heldPrint(key)
+	p, err := holdFingerprint(key)
 	if err != nil {
 		return nil, err
 	}
@@ -104,31 +106,31 @@
 	if err := decode(key, value, &h); err != nil {
 		return nil, err
 	}
-	h.Probes = max(h.Probes, 0) // whoever has written it
+	h.Probes = max(h.Probes, 0) // The store may contain any number.
 	g.holds[key] = revision
-	if old := g.held[p]; old == nil || old.revision < revision {
-		g.held[p] = &held{Hold: h, revision: revision, since: now}
+	if old := g.quarantined[p]; old == nil || old.revision < revision {
+		g.quarantined[p] = &quarantinedRequest{Hold: h, revision: revision, since: now}
 	}
 	return nil, nil
 }
 
-// Remove takes the word that an item has been removed from the store. A request whose hold
-// is removed, by an operator or after a trial, is free: what was known of its crashes does
-// not count any more. It reports whether one was freed that was held back until then: the
-// reports of its crashes still stand in the store, and must not count for whoever reads
-// them next.
-func (g *Register) Remove(key string) (freed Fingerprint, ok bool) {
+// Remove processes the removal of an item from the store. A request whose hold is removed, by
+// an operator or after a probe, is released: its earlier crashes no longer count. Remove
+// reports whether the request was quarantined until then. In that case the caller must publish
+// the release, because the reports of its crashes are still stored and must not count for a
+// gateway that reads them later.
+func (g *Register) Remove(key string) (released Fingerprint, ok bool) {
 	delete(g.reports, key)
 	delete(g.holds, key)
-	p, err := heldPrint(key)
-	if err != nil || g.held[p] == nil {
+	p, err := holdFingerprint(key)
+	if err != nil || g.quarantined[p] == nil {
 		return Fingerprint{}, false
 	}
-	g.acquit(p)
+	g.release(p)
 	return p, true
 }
 
-// RetainOnly takes the keys that stand in the store after everything was read: the others have
+// RetainOnly takes the keys that exist in the store, after a complete read: all others have
 // been removed.
 func (g *Register) RetainOnly(keys map[string]bool) {
 	for key := range g.reports {
@@ -143,95 +145,96 @@
 	}
 }
 
-// Report takes what a gateway, this one or another, has seen. It returns the requests that
-// targets have answered whole here, and that others may hold for culprits.
-func (g *Register) Report(r *Report, now time.Time) (innocent []Fingerprint) {
+// Report processes what a gateway, this one or another, has observed. It returns the requests
+// that targets have answered completely here and that other gateways may still suspect.
+func (g *Register) Report(r *Report, now time.Time) (cleared []Fingerprint) {
 	for _, p := range r.Completed {
-		g.acquit(p)
+		g.release(p)
 	}
 	for i := range r.Crashes {
-		g.record(&r.Crashes[i], now)
+		g.recordCrash(&r.Crashes[i], now)
 	}
 	for i := range r.Crashes {
 		for _, p := range r.Crashes[i].Requests {
-			if g.done.has(p) && g.counts[p] >= tellFrom {
-				g.clear(p)
-				innocent = append(innocent, p)
+			if g.answered.has(p) && g.counts[p] >= publishThreshold {
+				g.forgetCrashes(p)
+				cleared = append(cleared, p)
 			}
 		}
 	}
-	return innocent
+	return cleared
 }
 
-// record adds the requests of a crash to what others have told of it.
-func (g *Register) record(told *Crash, now time.Time) {
-	c := g.crash(life{told.Target, told.StartedAt}, now)
-	for _, p := range told.Requests {
+// recordCrash merges a report of a crash into what other gateways have reported of it.
+func (g *Register) recordCrash(reported *Crash, now time.Time) {
+	c := g.crash(targetRun{reported.Target, reported.StartedAt}, now)
+	for _, p := range reported.Requests {
 		if len(c.requests) < maxRequests && !slices.Contains(c.requests, p) {
 			c.requests = append(c.requests, p)
 			g.counts[p]++
-			g.unjudged = true
+			g.needsEvaluation = true
 		}
 	}
 }
 
-// crash returns what is known of the end of a target, a new one in place of the oldest.
-func (g *Register) crash(of life, now time.Time) *crash {
+// crash returns the record of the crash of a target. A new one replaces the oldest if there
+// are maxCrashes.
+func (g *Register) crash(run targetRun, now time.Time) *crash {
 	for _, c := range g.crashes {
-		if c.life == of {
+		if c.targetRun == run {
 			return c
 		}
 	}
 	if len(g.crashes) >= maxCrashes {
 		for _, p := range g.crashes[0].requests {
-			g.uncount(p)
+			g.decrement(p)
 		}
 		g.crashes = slices.Delete(g.crashes, 0, 1)
 	}
-	c := &crash{life: of, heard: now}
+	c := &crash{targetRun: run, reportedAt: now}
 	g.crashes = append(g.crashes, c)
 	return c
 }
 
-func (g *Register) uncount(p Fingerprint) {
-	g.unjudged = true
+func (g *Register) decrement(p Fingerprint) {
+	g.needsEvaluation = true
 	if g.counts[p]--; g.counts[p] <= 0 {
 		delete(g.counts, p)
 	}
 }
 
-// clear forgets the crashes in which a request was under way.
-func (g *Register) clear(p Fingerprint) {
+// forgetCrashes removes a request from all crashes in which it was in progress.
+func (g *Register) forgetCrashes(p Fingerprint) {
 	if g.counts[p] == 0 {
 		return
 	}
-	g.unjudged = true
+	g.needsEvaluation = true
 	delete(g.counts, p)
 	for _, c := range g.crashes {
 		c.requests = slices.DeleteFunc(c.requests, func(q Fingerprint) bool { return q == p })
 	}
 }
 
-// acquit frees a request.
-func (g *Register) acquit(p Fingerprint) {
-	g.unjudged = true
-	delete(g.held, p)
-	g.clear(p)
+// release ends the quarantine of a request.
+func (g *Register) release(p Fingerprint) {
+	g.needsEvaluation = true
+	delete(g.quarantined, p)
+	g.forgetCrashes(p)
 }
 
-// Completed takes the word that a target has answered a request of this gateway whole. It
-// reports whether the other gateways should know: they may hold it for a culprit.
+// Completed records that a target has answered a request of this gateway completely. It
+// reports whether the other gateways must be informed because they may suspect it.
 func (g *Register) Completed(p Fingerprint) bool {
-	g.done.add(p)
-	_, held := g.held[p]
-	if !held && g.counts[p] < tellFrom {
+	g.answered.add(p)
+	_, held := g.quarantined[p]
+	if !held && g.counts[p] < publishThreshold {
 		return false
 	}
-	g.acquit(p)
+	g.release(p)
 	return true
 }
 
-// Surplus returns the oldest items that stand in the store beyond what is kept there.
+// Surplus returns the oldest stored items beyond maxHolds and maxReports.
 func (g *Register) Surplus() []string {
 	old := oldest(g.holds, len(g.holds)-maxHolds)
 	old = append(old, oldest(g.reports, len(g.reports)-maxReports)...)
--- a/core/request/quarantine/register_test.go
+++ b/core/request/quarantine/register_test.go
@@ -10,16 +10,15 @@
 	"github.com/matryer/is"
 )
 
-// start is when the tests begin; they add to it.
 var start = time.Unix(1_000_000, 0)
 
-func printOf(n int) Fingerprint {
+func fingerprintOf(n int) Fingerprint {
 	c := Content{Target: fmt.Sprint(n)}
 	return c.Fingerprint()
 }
 
-// bench is a Register with a clock and the crashes that it is told.
-type bench struct {
+// fixture is a Register with a clock and a count of the crashes that were reported to it.
+type fixture struct {
 	*is.I
 	*Register
 	now    time.Time
@@ -27,23 +26,24 @@
 	stored int64
 }
 
-func newBench(t *testing.T) *bench {
-	return &bench{I: is.New(t), Register: New(), now: start}
+func newFixture(t *testing.T) *fixture {
+	return &fixture{I: is.New(t), Register: New(), now: start}
 }
 
-// crash tells of a further target that has crashed under requests.
-func (b *bench) crash(requests ...int) {
+// crash reports a further target that has crashed while running requests.
+func (b *fixture) crash(requests ...int) {
 	b.ended++
 	c := Crash{Target: fmt.Sprintf("t%d", b.ended), StartedAt: 7}
 	for _, n := range requests {
-		c.Requests = append(c.Requests, printOf(n))
+		c.Requests = append(c.Requests, fingerprintOf(n))
 	}
 	b.Report(&Report{Crashes: []Crash{c}}, b.now)
 }
 
-// held returns which of the requests 0 to 99 are held back once all words have settled.
-func (b *bench) held() []int {
-	b.now = b.now.Add(settle)
+// quarantinedRequests returns which of the requests 0 to 99 are quarantined once reportDelay
+// has passed.
+func (b *fixture) quarantinedRequests() []int {
+	b.now = b.now.Add(reportDelay)
 	for p, h := range b.PendingWrites(b.now) {
 		b.stored++
 		_, err := b.Apply(HoldKey(p), b.stored, h.Bytes(), b.now)
@@ -51,18 +51,18 @@
 	}
 	var held []int
 	for n := range 100 {
-		if b.Decide(printOf(n), b.now).Quarantined {
+		if b.Decide(fingerprintOf(n), b.now).Quarantined {
 			held = append(held, n)
 		}
 	}
 	return held
 }
 
-// doubtful returns which of the requests that are held back may be tried at once.
-func (b *bench) doubtful() []int {
+// probeable returns which of the quarantined requests may be probed at once.
+func (b *fixture) probeable() []int {
 	var list []int
 	for n := range 100 {
-		if b.Decide(printOf(n), b.now).Probe {
+		if b.Decide(fingerprintOf(n), b.now).Probe {
 			list = append(list, n)
 		}
 	}
@@ -70,19 +70,19 @@
 }
 
 // store writes a hold into the store, as a gateway does.
-func (b *bench) store(n int, h Hold) {
+func (b *fixture) store(n int, h Hold) {
 	b.stored++
-	_, err := b.Apply(HoldKey(printOf(n)), b.stored, h.Bytes(), b.now)
+	_, err := b.Apply(HoldKey(fingerprintOf(n)), b.stored, h.Bytes(), b.now)
 	b.NoErr(err)
 }
 
 func TestWhoIsHeldBack(t *testing.T) {
 	for name, tt := range map[string]struct {
-		// crashes are the requests that broke off with each target, in order.
+		// crashes are the requests that were cut off with each target, in order.
 		crashes [][]int
 		want    []int
-		// doubtful are those of them that are tried at once.
-		doubtful []int
+		// probeable are those of want that are probed at once.
+		probeable []int
 	}{
 		"two crashes":                                {[][]int{{1}, {1}}, nil, nil},
 		"three crashes":                              {[][]int{{1}, {1}, {1}}, []int{1}, nil},
@@ -90,204 +90,208 @@
 		"a neighbour twice":                          {[][]int{{1, 2}, {1, 2}, {1, 3}}, []int{1}, []int{1}},
 		"a neighbour twice, and a fourth crash":      {[][]int{{1, 2}, {1, 2}, {1, 3}, {1}}, []int{1}, nil},
 		"a neighbour in three of four":               {[][]int{{1, 2}, {1, 2}, {1, 2}, {1}}, []int{1}, []int{1}},
-		"nobody tells the two apart":                 {[][]int{{1, 2}, {1, 2}, {1, 2}}, []int{1, 2}, []int{1, 2}},
-		"a neighbour of three culprits":              {[][]int{{1, 9}, {1}, {1}, {2, 9}, {2}, {2}, {3, 9}, {3}, {3}}, []int{1, 2, 3, 9}, []int{1, 2, 3, 9}},
-		"a neighbour in more than each culprit":      {[][]int{{1, 9}, {1, 9}, {2, 9}, {2}}, []int{9}, []int{9}},
-		"two culprits, once together":                {[][]int{{1, 2}, {1}, {1}, {2}, {2}, {2}}, []int{1, 2}, []int{1}},
-		"only ever beside a culprit":                 {[][]int{{1, 2}, {1, 2}, {1, 2}, {1}, {1}}, []int{1}, nil},
+		"the two are always together":                {[][]int{{1, 2}, {1, 2}, {1, 2}}, []int{1, 2}, []int{1, 2}},
+		"a neighbour of three causes":                {[][]int{{1, 9}, {1}, {1}, {2, 9}, {2}, {2}, {3, 9}, {3}, {3}}, []int{1, 2, 3, 9}, []int{1, 2, 3, 9}},
+		"a neighbour in more than each cause":        {[][]int{{1, 9}, {1, 9}, {2, 9}, {2}}, []int{9}, []int{9}},
+		"two causes, once together":                  {[][]int{{1, 2}, {1}, {1}, {2}, {2}, {2}}, []int{1, 2}, []int{1}},
+		"only ever beside a cause":                   {[][]int{{1, 2}, {1, 2}, {1, 2}, {1}, {1}}, []int{1}, nil},
 		"targets that fail with whatever runs there": {[][]int{{1}, {2}, {3}, {4}, {5}, {6}}, nil, nil},
 		"a crash under nothing":                      {[][]int{{}, {}, {}}, nil, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t)
+			b := newFixture(t)
 			for _, requests := range tt.crashes {
 				b.crash(requests...)
 			}
-			b.Equal(b.held(), tt.want)
-			b.Equal(b.doubtful(), tt.doubtful)
+			b.Equal(b.quarantinedRequests(), tt.want)
+			b.Equal(b.probeable(), tt.probeable)
 		})
 	}
 }
 
-// Several gateways tell of one crash, each of its own requests: it counts once.
+// Guards against counting a crash once per gateway: several report it, each with its own
+// requests.
 func TestCrashToldByMany(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for range 5 {
-		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: 7, Requests: []Fingerprint{printOf(1)}}}}, b.now)
+		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: 7, Requests: []Fingerprint{fingerprintOf(1)}}}}, b.now)
 	}
-	b.Equal(b.held(), nil)
-	// The same target in two more lives.
-	for born := range int64(2) {
-		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: born, Requests: []Fingerprint{printOf(1)}}}}, b.now)
+	b.Equal(b.quarantinedRequests(), nil)
+	// The same target crashes in two further processes.
+	for startedAt := range int64(2) {
+		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: startedAt, Requests: []Fingerprint{fingerprintOf(1)}}}}, b.now)
 	}
-	b.Equal(b.held(), []int{1})
+	b.Equal(b.quarantinedRequests(), []int{1})
 }
 
-// Guards against deciding on a culprit before the other gateways can have told.
+// Guards against quarantining a request before the other gateways can have reported theirs.
 func TestDecisionWaitsForTheOthers(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for range 3 {
 		b.crash(1)
 	}
-	b.now = b.now.Add(settle - 1)
+	b.now = b.now.Add(reportDelay - 1)
 	b.Equal(len(b.PendingWrites(b.now)), 0)
 	for ended := range 4 {
-		c := Crash{Target: fmt.Sprintf("t%d", ended+1), StartedAt: 7, Requests: []Fingerprint{printOf(2)}}
+		c := Crash{Target: fmt.Sprintf("t%d", ended+1), StartedAt: 7, Requests: []Fingerprint{fingerprintOf(2)}}
 		b.Report(&Report{Crashes: []Crash{c}}, b.now)
 	}
-	b.Equal(b.held(), []int{2})
+	b.Equal(b.quarantinedRequests(), []int{2})
 }
 
-// Guards against taking a request that is always under way for the culprit.
+// Guards against quarantining a frequent request that is in progress in every crash and that
+// targets answer completely.
 func TestWhatWasAnsweredHasNotCrashed(t *testing.T) {
-	b := newBench(t)
-	b.Equal(b.Completed(printOf(1)), false) // nobody holds it for a culprit
+	b := newFixture(t)
+	b.Equal(b.Completed(fingerprintOf(1)), false) // nobody suspects it
 	b.crash(1)
-	innocent := b.Report(&Report{Crashes: []Crash{{Target: "t9", Requests: []Fingerprint{printOf(1)}}}}, b.now)
-	b.Equal(innocent, []Fingerprint{printOf(1)})
+	cleared := b.Report(&Report{Crashes: []Crash{{Target: "t9", Requests: []Fingerprint{fingerprintOf(1)}}}}, b.now)
+	b.Equal(cleared, []Fingerprint{fingerprintOf(1)})
 	b.crash(1)
-	b.Equal(b.held(), nil)
+	b.Equal(b.quarantinedRequests(), nil)
 
-	other := newBench(t)
+	other := newFixture(t)
 	other.crash(1)
 	other.crash(1)
 	other.crash(1)
-	other.Report(&Report{Completed: innocent}, other.now)
-	other.Equal(other.held(), nil)
+	other.Report(&Report{Completed: cleared}, other.now)
+	other.Equal(other.quarantinedRequests(), nil)
 	other.crash(1)
 	other.crash(1)
-	other.Equal(other.Completed(printOf(1)), true) // after two crashes it is worth a word
+	other.Equal(other.Completed(fingerprintOf(1)), true) // from two crashes on it is published
 	other.crash(1)
-	other.Equal(other.held(), nil)
+	other.Equal(other.quarantinedRequests(), nil)
 }
 
-// Guards against trials without end, and callers who are not told when the next one is.
+// Guards against probes without end, and refusals that don't say when the next one is due.
 func TestTrials(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for range 3 {
 		b.crash(1)
 	}
-	b.now = b.now.Add(settle)
-	b.Equal(b.PendingWrites(b.now), map[Fingerprint]Hold{printOf(1): {Crashes: 3}})
-	b.True(b.Decide(printOf(1), b.now).Quarantined) // also while the store is away
+	b.now = b.now.Add(reportDelay)
+	b.Equal(b.PendingWrites(b.now), map[Fingerprint]Hold{fingerprintOf(1): {Crashes: 3}})
+	b.True(b.Decide(fingerprintOf(1), b.now).Quarantined) // also while the store is unavailable
 	h := Hold{Crashes: 3}
-	for trial, wait := range trialWaits {
+	for probe, delay := range probeDelays {
 		b.store(1, h)
-		b.Equal(len(b.PendingWrites(b.now)), 0) // it stands in the store
+		b.Equal(len(b.PendingWrites(b.now)), 0) // it is stored
 		b.now = b.now.Add(time.Minute)
-		b.Equal(b.Decide(printOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored, RetryAfter: wait - time.Minute})
-		b.now = b.now.Add(wait - time.Minute)
-		v := b.Decide(printOf(1), b.now)
+		b.Equal(b.Decide(fingerprintOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored, RetryAfter: delay - time.Minute})
+		b.now = b.now.Add(delay - time.Minute)
+		v := b.Decide(fingerprintOf(1), b.now)
 		b.True(v.Probe)
 		h = v.Hold.WithProbe()
-		b.Equal(h, Hold{Crashes: 3, Probes: trial + 1})
+		b.Equal(h, Hold{Crashes: 3, Probes: probe + 1})
 	}
 	b.store(1, h)
 	b.now = b.now.Add(100 * time.Hour)
-	b.Equal(b.Decide(printOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored})
+	b.Equal(b.Decide(fingerprintOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored})
 }
 
-// Guards against holding a neighbour back that was in the same crashes.
+// Guards against a long quarantine of a request that was in the same crashes as the cause.
 func TestTrialsTellCulpritFromNeighbour(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for range 3 {
 		b.crash(1, 2)
 	}
-	b.now = b.now.Add(settle)
+	b.now = b.now.Add(reportDelay)
 	b.Equal(len(b.PendingWrites(b.now)), 2)
-	b.True(!b.Decide(printOf(1), b.now).Quarantined)
-	b.Equal(b.held(), []int{1, 2})
+	b.True(!b.Decide(fingerprintOf(1), b.now).Quarantined)
+	b.Equal(b.quarantinedRequests(), []int{1, 2})
 	for n := range 2 {
-		v := b.Decide(printOf(n+1), b.now)
+		v := b.Decide(fingerprintOf(n+1), b.now)
 		b.Equal(v.Hold, Hold{Crashes: 3, ProbeNow: true})
 		b.store(n+1, v.Hold.WithProbe())
-		b.True(!b.Decide(printOf(n+1), b.now).Probe) // one at a time
+		b.True(!b.Decide(fingerprintOf(n+1), b.now).Probe) // one at a time
 	}
 	b.crash(1)
-	b.True(b.Completed(printOf(2)))
-	b.Equal(b.held(), []int{1})
-	b.Equal(b.doubtful(), nil)
+	b.True(b.Completed(fingerprintOf(2)))
+	b.Equal(b.quarantinedRequests(), []int{1})
+	b.Equal(b.probeable(), nil)
 }
 
-// Guards against a neighbour that is held for ever since its trials tell nothing.
+// Guards against an endless quarantine of a request whose probes are all inconclusive.
 func TestTrialThatTellsNothing(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	h := Hold{Crashes: 3, ProbeNow: true}
-	for trials := range len(trialWaits) {
+	for probes := range len(probeDelays) {
 		b.store(1, h)
-		v := b.Decide(printOf(1), b.now)
+		v := b.Decide(fingerprintOf(1), b.now)
 		b.True(v.Probe)
 		h = v.Hold.WithProbe().WithInconclusiveProbe()
-		b.Equal(h.Probes, trials+1)
+		b.Equal(h.Probes, probes+1)
 	}
 	b.store(1, h)
-	b.Equal(b.Decide(printOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored, RetryAfter: trialWaits[0]})
-	b.now = b.now.Add(trialWaits[0])
-	b.True(b.Decide(printOf(1), b.now).Probe)
+	b.Equal(b.Decide(fingerprintOf(1), b.now), Decision{Quarantined: true, Hold: h, Revision: b.stored, RetryAfter: probeDelays[0]})
+	b.now = b.now.Add(probeDelays[0])
+	b.True(b.Decide(fingerprintOf(1), b.now).Probe)
 }
 
-// A trial is answered whole: the request is free, and what was known of it counts no more.
+// A probe is answered completely: the request is released and its earlier crashes no longer
+// count.
 func TestTrialFrees(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for range 3 {
 		b.crash(1)
 	}
-	b.Equal(b.held(), []int{1})
+	b.Equal(b.quarantinedRequests(), []int{1})
 	b.store(1, Hold{Crashes: 3, Probes: 1})
-	b.True(b.Completed(printOf(1)))
-	b.Equal(b.held(), nil)
+	b.True(b.Completed(fingerprintOf(1)))
+	b.Equal(b.quarantinedRequests(), nil)
 
-	other := newBench(t)
+	other := newFixture(t)
 	other.store(1, Hold{Crashes: 3, Probes: 1})
-	other.Equal(other.held(), []int{1})
-	freed, ok := other.Remove(HoldKey(printOf(1)))
+	other.Equal(other.quarantinedRequests(), []int{1})
+	released, ok := other.Remove(HoldKey(fingerprintOf(1)))
 	other.True(ok)
-	other.Equal(freed, printOf(1))
-	other.Equal(other.held(), nil)
+	other.Equal(released, fingerprintOf(1))
+	other.Equal(other.quarantinedRequests(), nil)
 }
 
-// Guards against holding a request again by reports of before an operator freed it.
+// Guards against quarantining a request again because of reports from before an operator
+// released it.
 func TestFreedRequestStaysFree(t *testing.T) {
 	var items [][2]string
 	put := func(n int, r Report) { items = append(items, [2]string{ReportKey("front-1", n), string(r.Bytes())}) }
 	for n := range 3 {
-		put(n, Report{Crashes: []Crash{{Target: fmt.Sprint(n), Requests: []Fingerprint{printOf(1)}}}})
+		put(n, Report{Crashes: []Crash{{Target: fmt.Sprint(n), Requests: []Fingerprint{fingerprintOf(1)}}}})
 	}
-	b := newBench(t)
+	b := newFixture(t)
 	b.store(1, Hold{Crashes: 3})
-	freed, ok := b.Remove(HoldKey(printOf(1)))
+	released, ok := b.Remove(HoldKey(fingerprintOf(1)))
 	b.True(ok)
-	put(3, Report{Completed: []Fingerprint{freed}}) // as a gateway does that has seen it
-	later := newBench(t)
+	put(3, Report{Completed: []Fingerprint{released}}) // as a gateway does that observed the removal
+	later := newFixture(t)
 	for i, it := range items {
 		_, err := later.Apply(it[0], int64(i+1), []byte(it[1]), later.now)
 		later.NoErr(err)
 	}
-	later.Equal(later.held(), nil)
-	_, ok = later.Remove(HoldKey(printOf(1)))
-	later.True(!ok) // it was told already
+	later.Equal(later.quarantinedRequests(), nil)
+	_, ok = later.Remove(HoldKey(fingerprintOf(1)))
+	later.True(!ok) // it was reported already
 }
 
-// Guards against a gateway that does not know after a start what is held back or free.
+// Guards against a gateway that does not know after its start which requests are quarantined.
 func TestStart(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	b.store(1, Hold{Crashes: 3})
 	b.store(2, Hold{Crashes: 3})
-	report := Report{Crashes: []Crash{{Target: "t1", Requests: []Fingerprint{printOf(3)}}}}
+	report := Report{Crashes: []Crash{{Target: "t1", Requests: []Fingerprint{fingerprintOf(3)}}}}
 	_, err := b.Apply(ReportKey("front-1", 1), 9, report.Bytes(), b.now)
 	b.NoErr(err)
-	b.Equal(b.held(), []int{1, 2})
-	b.RetainOnly(map[string]bool{HoldKey(printOf(1)): true})
-	b.Equal(b.held(), []int{1})
+	b.Equal(b.quarantinedRequests(), []int{1, 2})
+	b.RetainOnly(map[string]bool{HoldKey(fingerprintOf(1)): true})
+	b.Equal(b.quarantinedRequests(), []int{1})
 }
 
-// Anybody may write into the store. What is no item of ours is told and changes nothing.
+// Anyone may write into the store. Malformed items give errors and change nothing.
 func TestItemsNotUnderstood(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for key, value := range map[string]string{
 		Prefix + "other":              `{}`,
 		holdPrefix + "zz":             `{}`,
-		HoldKey(printOf(1)):           `[]`,
+		HoldKey(fingerprintOf(1)):     `[]`,
 		ReportKey("front-1", 1):       `{"crashes":[{"requests":["short"]}]}`,
 		reportPrefix + "ab/1":         "\x00",
 		ReportKey("front-1", 2) + "x": `{"crashes":7}`,
@@ -297,22 +301,22 @@
 		b.True(errors.As(err, &bad))
 		b.Equal(bad.Key, key)
 	}
-	b.Equal(b.held(), nil)
-	_, err := b.Apply(HoldKey(printOf(1)), 2, []byte(`{"trials":-5}`), b.now)
+	b.Equal(b.quarantinedRequests(), nil)
+	_, err := b.Apply(HoldKey(fingerprintOf(1)), 2, []byte(`{"trials":-5}`), b.now)
 	b.NoErr(err)
-	b.True(b.Decide(printOf(1), b.now).RetryAfter > 0)
+	b.True(b.Decide(fingerprintOf(1), b.now).RetryAfter > 0)
 }
 
-// Targets crash for years, with other requests each time.
+// Targets crash for years, each time with other requests.
 func TestMemoryIsBounded(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	for n := range 3 * maxCrashes {
 		c := Crash{Target: fmt.Sprint(n)}
 		for k := range 2 * maxRequests {
-			c.Requests = append(c.Requests, printOf(n*1000+k))
+			c.Requests = append(c.Requests, fingerprintOf(n*1000+k))
 		}
 		b.Report(&Report{Crashes: []Crash{c}}, b.now)
-		b.Completed(printOf(-n))
+		b.Completed(fingerprintOf(-n))
 	}
 	b.Equal(len(b.crashes), maxCrashes)
 	b.Equal(len(b.counts), maxCrashes*maxRequests)
@@ -321,11 +325,11 @@
 	}
 	surplus := b.Surplus()
 	b.Equal(len(surplus), maxDeletes)
-	b.Equal(surplus[0], HoldKey(printOf(1000))) // the oldest
+	b.Equal(surplus[0], HoldKey(fingerprintOf(1000))) // the oldest
 	for n := range 3 * maxRecent {
-		b.Completed(printOf(-n))
+		b.Completed(fingerprintOf(-n))
 	}
-	b.True(len(b.done.young)+len(b.done.old) <= 2*maxRecent)
+	b.True(len(b.answered.current)+len(b.answered.previous) <= 2*maxRecent)
 	slots := map[string]bool{}
 	for n := range 1000 {
 		slots[ReportKey("front-1", n)] = true
@@ -334,7 +338,7 @@
 }
 
 func TestSurplusOfReports(t *testing.T) {
-	b := newBench(t)
+	b := newFixture(t)
 	r := Report{}
 	for n := range maxReports + 2 {
 		_, err := b.Apply(ReportKey(fmt.Sprintf("front-%d", n), 0), int64(n+1), r.Bytes(), b.now)
--- a/core/request/quarantine/replay_test.go
+++ b/core/request/quarantine/replay_test.go
@@ -8,58 +8,58 @@
 	"time"
 )
 
-// shape is what a replayed load meets: targets that are lost together with what runs there,
-// and callers that wait until they are back.
-type shape struct {
+// scenario is a simulated load: targets that crash together with the requests that run there,
+// and callers that wait until the targets are back.
+type scenario struct {
 	targets, gateways int
-	// rush is how many requests are placed when the targets are back.
-	rush int
-	// copies is how many of the request that crashes its targets are let in at once, at most.
+	// backlog is how many requests wait when the targets are back.
+	backlog int
+	// copies is the maximum number of copies of the crashing request that are sent at once.
 	copies int
 	seeds  uint64
 }
 
 const (
-	// replayTries is how often a request is sent in all: by its gateway twice, and twice when
-	// its caller has come back.
+	// replayTries is how often a request is sent in all: twice by its gateway, and twice more
+	// after its caller has retried.
 	replayTries = 4
-	// replayDelay is the longest time in which a gateway hears of what another has told.
+	// replayDelay is the longest time until a gateway receives what another has published.
 	replayDelay = 700 * time.Millisecond
-	// replayWave is the time from one opening of a group to the next.
+	// replayWave is the time from one recovery of a group to the next.
 	replayWave  = 4300 * time.Millisecond
 	replayWaves = 8
 	replayStep  = 100 * time.Millisecond
 )
 
-// event is what a gateway hears at a time.
+// event is an update that a gateway receives at a given time.
 type event struct {
 	at    time.Time
 	apply func(*Register)
 }
 
-// storm is a group under requests that crash its targets, with the gateways before it and
-// their store.
-type storm struct {
-	shape
+// simulation is a group that gets requests which crash its targets, with the gateways in front
+// of it and their store.
+type simulation struct {
+	scenario
 	rng       *rand.Rand
 	now       time.Time
 	registers []*Register
-	coming    [][]event
+	inboxes   [][]event
 	revision  int64
 	holds     map[Fingerprint]int64
-	// tries are how often the requests that wait may still be sent.
+	// tries is how often each waiting request may still be sent.
 	tries map[int]int
 	next  int
 	ended int
-	// refused are neighbours that were not sent.
+	// refused are requests other than the cause that were refused.
 	refused map[int]bool
-	// sent are the culprits' copies that were sent after the third crash under them.
+	// sent counts the copies of each crashing request that were sent after its third crash.
 	sent, crashed map[int]int
 }
 
-func newStorm(sh shape, seed uint64) *storm {
-	s := &storm{
-		shape: sh, rng: rand.New(rand.NewPCG(seed, 1)), now: start, coming: make([][]event, sh.gateways),
+func newSimulation(sh scenario, seed uint64) *simulation {
+	s := &simulation{
+		scenario: sh, rng: rand.New(rand.NewPCG(seed, 1)), now: start, inboxes: make([][]event, sh.gateways),
 		holds: map[Fingerprint]int64{}, tries: map[int]int{}, next: 1000, refused: map[int]bool{}, sent: map[int]int{}, crashed: map[int]int{},
 	}
 	for range sh.gateways {
@@ -68,57 +68,57 @@
 	return s
 }
 
-// tell has all gateways hear of something, the one that it comes from at once.
-func (s *storm) tell(from int, apply func(*Register)) {
-	for to := range s.coming {
+// broadcast delivers an update to all gateways, without delay to the one that it comes from.
+func (s *simulation) broadcast(from int, apply func(*Register)) {
+	for to := range s.inboxes {
 		delay := time.Duration(s.rng.Int64N(int64(replayDelay)))
 		if to == from {
 			delay = 0
 		}
-		s.coming[to] = append(s.coming[to], event{s.now.Add(delay), apply})
+		s.inboxes[to] = append(s.inboxes[to], event{s.now.Add(delay), apply})
 	}
 }
 
-// write writes a hold if it has a revision in the store, and reports whether it had.
-func (s *storm) write(from int, p Fingerprint, revision int64, h Hold) bool {
+// write stores a hold if its stored revision is the given one, and reports whether it was.
+func (s *simulation) write(from int, p Fingerprint, revision int64, h Hold) bool {
 	if s.holds[p] != revision {
 		return false
 	}
 	s.revision++
 	s.holds[p] = s.revision
 	written, at := s.revision, s.now
-	s.tell(from, func(g *Register) {
+	s.broadcast(from, func(g *Register) {
 		_, err := g.Apply(HoldKey(p), written, h.Bytes(), at)
 		if err != nil {
-			panic(err) // It was built here.
+			panic(err) // The item is well-formed.
 		}
 	})
 	return true
 }
 
-// let reports whether a gateway sends a request.
-func (s *storm) let(from, n int) bool {
-	v := s.registers[from].Decide(printOf(n), s.now)
-	return !v.Quarantined || v.Probe && s.write(from, printOf(n), v.Revision, v.Hold.WithProbe())
+// admit reports whether a gateway sends a request.
+func (s *simulation) admit(from, n int) bool {
+	v := s.registers[from].Decide(fingerprintOf(n), s.now)
+	return !v.Quarantined || v.Probe && s.write(from, fingerprintOf(n), v.Revision, v.Hold.WithProbe())
 }
 
-// place is a request at a target.
-type place struct{ gateway, request int }
+// placement is a request at a target.
+type placement struct{ gateway, request int }
 
-// open places what waits, new requests and copies of the culprits, and crashes the targets
-// that got one. All that was under way in the group breaks off with it.
-func (s *storm) open(culprits []int) {
-	at := make([][]place, s.targets)
+// admitWave sends the waiting requests, new ones and copies of the crashing ones, and crashes
+// the targets that got one of those. All requests in progress in the group are cut off.
+func (s *simulation) admitWave(crashing []int) {
+	at := make([][]placement, s.targets)
 	put := func(n int) bool {
 		from := s.rng.IntN(s.gateways)
-		if !s.let(from, n) {
+		if !s.admit(from, n) {
 			return false
 		}
 		target := s.rng.IntN(s.targets)
-		at[target] = append(at[target], place{from, n})
+		at[target] = append(at[target], placement{from, n})
 		return true
 	}
-	for len(s.tries) < s.rush {
+	for len(s.tries) < s.backlog {
 		s.next++
 		s.tries[s.next] = replayTries
 	}
@@ -129,8 +129,8 @@
 		}
 	}
 	hit := map[int]bool{}
-	for _, n := range culprits {
-		late := s.crashed[n] >= enough
+	for _, n := range crashing {
+		late := s.crashed[n] >= crashThreshold
 		for range 1 + s.rng.IntN(s.copies) {
 			if put(n) && late {
 				s.sent[n]++
@@ -138,44 +138,44 @@
 		}
 	}
 	for target, placed := range at {
-		for _, n := range culprits {
-			if slices.ContainsFunc(placed, func(p place) bool { return p.request == n }) {
+		for _, n := range crashing {
+			if slices.ContainsFunc(placed, func(p placement) bool { return p.request == n }) {
 				hit[target] = true
 				s.crashed[n]++
 			}
 		}
 	}
 	for target := range hit {
-		s.lose(at[target])
+		s.crashTarget(at[target])
 	}
 	if len(hit) == 0 {
 		s.complete(at)
 	}
 }
 
-// lose crashes a target: each gateway tells of its own requests there.
-func (s *storm) lose(placed []place) {
+// crashTarget crashes a target: each gateway reports its own requests there.
+func (s *simulation) crashTarget(placed []placement) {
 	s.ended++
 	by := make([][]Fingerprint, s.gateways)
 	for _, p := range placed {
-		by[p.gateway] = append(by[p.gateway], printOf(p.request))
+		by[p.gateway] = append(by[p.gateway], fingerprintOf(p.request))
 	}
 	for from, requests := range by {
-		told := Report{Crashes: []Crash{{Target: fmt.Sprint(s.ended), Requests: requests}}}
+		report := Report{Crashes: []Crash{{Target: fmt.Sprint(s.ended), Requests: requests}}}
 		at := s.now
-		s.tell(from, func(g *Register) { g.Report(&told, at) })
+		s.broadcast(from, func(g *Register) { g.Report(&report, at) })
 	}
 }
 
-// complete answers all requests whole.
-func (s *storm) complete(at [][]place) {
+// complete answers all requests completely.
+func (s *simulation) complete(at [][]placement) {
 	for _, placed := range at {
 		for _, p := range placed {
 			delete(s.tries, p.request)
-			key, done := printOf(p.request), Report{Completed: []Fingerprint{printOf(p.request)}}
+			key, done := fingerprintOf(p.request), Report{Completed: []Fingerprint{fingerprintOf(p.request)}}
 			if s.registers[p.gateway].Completed(key) {
 				delete(s.holds, key)
-				s.tell(p.gateway, func(g *Register) {
+				s.broadcast(p.gateway, func(g *Register) {
 					g.Report(&done, s.now)
 					g.Remove(HoldKey(key))
 				})
@@ -184,19 +184,19 @@
 	}
 }
 
-// pass lets time pass: gateways hear of each other, and decide.
-func (s *storm) pass(d time.Duration) {
+// advance moves the clock on: gateways receive updates from each other, and decide.
+func (s *simulation) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(replayStep) {
 		for i, g := range s.registers {
 			var later []event
-			for _, e := range s.coming[i] {
+			for _, e := range s.inboxes[i] {
 				if e.at.After(s.now) {
 					later = append(later, e)
 					continue
 				}
 				e.apply(g)
 			}
-			s.coming[i] = later
+			s.inboxes[i] = later
 			for p, h := range g.PendingWrites(s.now) {
 				s.write(i, p, 0, h)
 			}
@@ -204,37 +204,38 @@
 	}
 }
 
-// A request that crashes its targets comes again several times a second at all gateways, and
-// a group opens every 4 s. Some copies of it are let in at once, each of which takes a
-// target with all that runs there, and the rest of the group breaks off; they come
-// again too. The culprit must not be sent more than three times later than the opening after
-// its third crash, and of the hundreds beside it none may be refused.
+// A request that crashes its targets is retried several times a second at all gateways, and a
+// group recovers every 4 s. Some copies of it are admitted at once; each crashes a target with
+// everything that runs there, and the rest of the group is cut off and retried too. The
+// crashing request must not be sent more than three times after the recovery that follows its
+// third crash, and none of the hundreds of other requests may be refused.
 func TestReplayOfAStorm(t *testing.T) {
-	for name, sh := range map[string]shape{
-		"a group of 16":    {targets: 16, gateways: 6, rush: 160, copies: 4, seeds: 60},
-		"a group of 192":   {targets: 192, gateways: 53, rush: 600, copies: 8, seeds: 2},
-		"a plain service":  {targets: 3, gateways: 6, rush: 18, copies: 2, seeds: 60},
-		"one plain server": {targets: 1, gateways: 2, rush: 6, copies: 1, seeds: 60},
+	for name, sh := range map[string]scenario{
+		"a group of 16":    {targets: 16, gateways: 6, backlog: 160, copies: 4, seeds: 60},
+		"a group of 192":   {targets: 192, gateways: 53, backlog: 600, copies: 8, seeds: 2},
+		"a plain service":  {targets: 3, gateways: 6, backlog: 18, copies: 2, seeds: 60},
+		"one plain server": {targets: 1, gateways: 2, backlog: 6, copies: 1, seeds: 60},
 	} {
 		t.Run(name, func(t *testing.T) {
 			crashes := 0
 			for seed := range sh.seeds {
-				crashes = max(crashes, play(t, sh, seed))
+				crashes = max(crashes, runScenario(t, sh, seed))
 			}
 			t.Logf("at most %d crashes under one request", crashes)
 		})
 	}
 }
 
-// play plays one storm, of one culprit or two, and returns the most crashes under one.
-func play(t *testing.T, sh shape, seed uint64) (crashes int) {
-	s := newStorm(sh, seed)
-	culprits := []int{1, 2}[:1+seed%2]
+// runScenario simulates a scenario with one crashing request or two, and returns the most
+// crashes that one of them caused.
+func runScenario(t *testing.T, sh scenario, seed uint64) (crashes int) {
+	s := newSimulation(sh, seed)
+	crashing := []int{1, 2}[:1+seed%2]
 	for range replayWaves {
-		s.open(culprits)
-		s.pass(replayWave)
+		s.admitWave(crashing)
+		s.advance(replayWave)
 	}
-	for _, n := range culprits {
+	for _, n := range crashing {
 		crashes = max(crashes, s.crashed[n])
 		if s.sent[n] > 3 {
 			t.Errorf("seed %d: request %d was sent %d times after its third crash", seed, n, s.sent[n])
@@ -242,7 +243,7 @@
 	}
 	for n, was := range s.refused {
 		if was {
-			t.Errorf("seed %d: neighbour %d was refused", seed, n)
+			t.Errorf("seed %d: request %d was refused", seed, n)
 		}
 	}
 	return crashes
--- a/core/request/quarantine/report.go
+++ b/core/request/quarantine/report.go
@@ -8,7 +8,7 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// Prefix begins the keys of the store that this package reads.
+// Prefix is the prefix of the store keys that this package reads.
 const Prefix = "verbenashift/quarantine/"
 
 const (
@@ -16,11 +16,11 @@
 	holdPrefix   = Prefix + "held/"
 )
 
-// ReasonQuarantined is why a request is refused that is held back.
+// ReasonQuarantined is the reason of refusals of quarantined requests.
 const ReasonQuarantined = "held-back"
 
-// reportSlots is how many reports of one gateway stand in the store at a time; a later one
-// takes the place of the oldest.
+// reportSlots is how many reports of one gateway are stored at a time; a newer one overwrites
+// the oldest.
 const reportSlots = 16
 
 // ReportKey returns the key for the n-th report of a gateway.
@@ -28,64 +28,65 @@
 	return fmt.Sprintf("%s%s/%d", reportPrefix, kv.Short(instance), n%reportSlots)
 }
 
-// HoldKey returns the key that says that a request is held back.
+// HoldKey returns the key of the hold of a request.
 func HoldKey(p Fingerprint) string { return holdPrefix + p.String() }
 
-// Crash is the end of a target with the requests whose answers broke off with it, as one
-// gateway saw it.
+// Crash is the crash of a target as one gateway observed it, with the requests whose responses
+// were cut off by it.
 type Crash struct {
 	Target string `json:"target"`
-	// StartedAt is when the target had started, in Unix milliseconds: one with the same
-	// identifier may have started again.
+	// StartedAt is when the target process started, in Unix milliseconds: a target with the
+	// same identifier may have started again.
 	StartedAt int64         `json:"born"`
 	Requests  []Fingerprint `json:"requests"`
 }
 
-// Report is what one gateway has seen since its last one.
+// Report is what one gateway has observed since its last report.
 type Report struct {
 	Crashes []Crash `json:"crashes,omitempty"`
-	// Completed are requests that others may hold for culprits and that a target has
-	// answered whole.
+	// Completed are requests that a target has answered completely and that other gateways may
+	// suspect.
 	Completed []Fingerprint `json:"completed,omitempty"`
 }
 
-// Empty reports whether there is nothing to tell.
+// Empty reports whether the report contains nothing.
 func (r *Report) Empty() bool { return len(r.Crashes) == 0 && len(r.Completed) == 0 }
 
-// Bytes returns the report as it stands in the store.
+// Bytes returns the encoding of the report in the store.
 func (r *Report) Bytes() []byte { return encode(r) }
 
-// Hold says that a request is held back.
+// Hold is the record of a quarantined request.
 type Hold struct {
-	// Crashes is how many targets had crashed under it. It is for operators.
+	// Crashes is how many targets had crashed while running it. It is shown to operators.
 	Crashes int `json:"crashes"`
-	// Probes is how often it was sent again to find out whether it crashes targets.
+	// Probes is how often the request was sent again to find out whether it still crashes
+	// targets.
 	Probes int `json:"trials"`
-	// ProbeNow says that the next trial needs no wait: another request may be the culprit, or
-	// the last trial told nothing.
+	// ProbeNow says that the next probe needs no delay: another request may be the cause, or
+	// the last probe was inconclusive.
 	ProbeNow bool `json:"soon"`
 }
 
-// WithProbe returns the hold once a further trial has begun.
+// WithProbe returns the hold after a further probe has begun.
 func (h Hold) WithProbe() Hold { return Hold{Crashes: h.Crashes, Probes: h.Probes + 1} }
 
-// WithInconclusiveProbe returns the hold after a trial that has told nothing.
+// WithInconclusiveProbe returns the hold after a probe that was inconclusive.
 func (h Hold) WithInconclusiveProbe() Hold {
 	return Hold{Crashes: h.Crashes, Probes: h.Probes, ProbeNow: true}
 }
 
-// Bytes returns the hold as it stands in the store.
+// Bytes returns the encoding of the hold in the store.
 func (h Hold) Bytes() []byte { return encode(h) }
 
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // Structs of strings and numbers always have a form.
+		panic(err) // Structs of strings and numbers can always be encoded.
 	}
 	return data
 }
 
-// ItemError says that an item of the store is none of this package's.
+// ItemError reports a malformed item in the store.
 type ItemError struct {
 	Key, Reason string
 }
@@ -93,11 +94,11 @@
 // Error names the key and the reason.
 func (e *ItemError) Error() string { return fmt.Sprintf("item %s: %s", e.Key, e.Reason) }
 
-// isReport reports whether a key holds a Report.
+// isReport reports whether a key is that of a Report.
 func isReport(key string) bool { return strings.HasPrefix(key, reportPrefix) }
 
-// heldPrint returns the request that a key holds back; an *ItemError says that it is none.
-func heldPrint(key string) (Fingerprint, error) {
+// holdFingerprint returns the request of a hold's key, or an *ItemError for any other key.
+func holdFingerprint(key string) (Fingerprint, error) {
 	text, ok := strings.CutPrefix(key, holdPrefix)
 	if !ok {
 		return Fingerprint{}, &ItemError{key, "unknown key"}
--- a/core/request/quarantine/verdict.go
+++ b/core/request/quarantine/verdict.go
@@ -5,66 +5,67 @@
 	"time"
 )
 
-// Decision is what is decided on a request that is about to be sent.
+// Decision says whether a request may be sent.
 type Decision struct {
-	// Quarantined says that the request is not to be sent.
+	// Quarantined says that the request must not be sent, unless Probe is set.
 	Quarantined bool
-	// Hold is what is known of it, and Revision that of the store, 0 if the hold does not
-	// stand there yet.
+	// Hold is the hold of the request, and Revision its revision in the store, 0 if it is not
+	// stored yet.
 	Hold     Hold
 	Revision int64
-	// Probe says that the request may be sent once, by the gateway that writes Hold.Tried
-	// over Revision.
+	// Probe says that the request may be sent once, by the gateway that replaces Revision in
+	// the store with Hold.WithProbe.
 	Probe bool
-	// RetryAfter is how long it is until the next trial; 0 if there will be none.
+	// RetryAfter is the time until the next probe; 0 if there will be none.
 	RetryAfter time.Duration
 }
 
-// Decide decides on a request that is about to be sent.
+// Decide returns the decision on a request that is about to be sent.
 func (g *Register) Decide(p Fingerprint, now time.Time) Decision {
-	h := g.held[p]
+	h := g.quarantined[p]
 	if h == nil || h.ProbeNow && h.revision == 0 {
-		// Where another request may be the culprit, a trial must be possible at once, and
-		// it takes the store.
+		// Where another request may be the cause, a probe must be possible at once, and a
+		// probe needs the hold in the store.
 		return Decision{}
 	}
-	v := Decision{Quarantined: true, Hold: h.Hold, Revision: h.revision}
-	wait, more := h.nextTrial()
-	if !more {
-		return v
+	d := Decision{Quarantined: true, Hold: h.Hold, Revision: h.revision}
+	delay, ok := h.nextProbe()
+	if !ok {
+		return d
 	}
-	v.RetryAfter = max(wait-now.Sub(h.since), 0)
-	if v.RetryAfter == 0 {
-		v.Probe, v.RetryAfter = h.revision > 0, trialTime
+	d.RetryAfter = max(delay-now.Sub(h.since), 0)
+	if d.RetryAfter == 0 {
+		d.Probe, d.RetryAfter = h.revision > 0, probeTimeout
 	}
-	return v
+	return d
 }
 
-// nextTrial returns how long after the last one the next trial is due, and false if there is
-// none.
-func (h Hold) nextTrial() (time.Duration, bool) {
+// nextProbe returns how long after the previous probe the next one is due, and false if there
+// is none.
+func (h Hold) nextProbe() (time.Duration, bool) {
 	switch {
-	case h.ProbeNow && h.Probes < len(trialWaits):
+	case h.ProbeNow && h.Probes < len(probeDelays):
 		return 0, true
 	case h.ProbeNow:
-		// None of the trials has told anything: a neighbour must not be held for ever.
-		return trialWaits[0], true
-	case h.Probes < len(trialWaits):
-		return trialWaits[h.Probes], true
+		// None of the probes was conclusive: a request that is not the cause must not stay
+		// quarantined for ever.
+		return probeDelays[0], true
+	case h.Probes < len(probeDelays):
+		return probeDelays[h.Probes], true
 	}
 	return 0, false
 }
 
-// PendingWrites holds back the requests that have been found to crash their targets since the last
-// call, and returns all holds that are not in the store.
+// PendingWrites quarantines the requests that were found to crash their targets since the last
+// call. It returns all holds that are not in the store yet.
 func (g *Register) PendingWrites(now time.Time) map[Fingerprint]Hold {
-	if g.unjudged && len(g.crashes) >= enough {
-		g.convict(now)
+	if g.needsEvaluation && len(g.crashes) >= crashThreshold {
+		g.quarantineSuspects(now)
 		newest := g.crashes[len(g.crashes)-1]
-		g.unjudged = now.Sub(newest.heard) < settle
+		g.needsEvaluation = now.Sub(newest.reportedAt) < reportDelay
 	}
 	due := map[Fingerprint]Hold{}
-	for p, h := range g.held {
+	for p, h := range g.quarantined {
 		if h.revision == 0 {
 			due[p] = h.Hold
 		}
@@ -72,42 +73,42 @@
 	return due
 }
 
-// convict holds back the requests under which enough targets have crashed.
-func (g *Register) convict(now time.Time) {
+// quarantineSuspects quarantines the requests with enough evidence against them.
+func (g *Register) quarantineSuspects(now time.Time) {
 	for p, n := range g.counts {
-		if n < enough || g.held[p] != nil || len(g.held) >= 2*maxHolds {
+		if n < crashThreshold || g.quarantined[p] != nil || len(g.quarantined) >= 2*maxHolds {
 			continue
 		}
-		settled, likely, sure := g.evidence(p, now)
-		if settled >= enough && likely > 0 {
-			g.held[p] = &held{Hold: Hold{Crashes: n, ProbeNow: sure < enough}, since: now}
+		counted, likely, certain := g.evidence(p, now)
+		if counted >= crashThreshold && likely > 0 {
+			g.quarantined[p] = &quarantinedRequest{Hold: Hold{Crashes: n, ProbeNow: certain < crashThreshold}, since: now}
 		}
 	}
 }
 
-// evidence counts the crashes that speak against a request: all of which the word has
-// settled, those of which no other request is more likely the culprit, and those of which
-// no other one is nearly as likely.
-func (g *Register) evidence(p Fingerprint, now time.Time) (settled, likely, sure int) {
+// evidence counts the crashes that count against a request: counted are those that are older
+// than reportDelay, likely those among them in which no other request was in more crashes, and
+// certain those in which every other request was in at least two crashes fewer.
+func (g *Register) evidence(p Fingerprint, now time.Time) (counted, likely, certain int) {
 	n := g.counts[p]
 	for _, c := range g.crashes {
-		if now.Sub(c.heard) < settle || !slices.Contains(c.requests, p) {
+		if now.Sub(c.reportedAt) < reportDelay || !slices.Contains(c.requests, p) {
 			continue
 		}
-		settled++
-		most := g.mostOf(c, p)
+		counted++
+		most := g.maxOtherCount(c, p)
 		if most <= n {
 			likely++
 		}
 		if most < n-1 {
-			sure++
+			certain++
 		}
 	}
-	return settled, likely, sure
+	return counted, likely, certain
 }
 
-// mostOf returns the most crashes in which one of the other requests of a crash was.
-func (g *Register) mostOf(c *crash, p Fingerprint) int {
+// maxOtherCount returns the highest crash count among the other requests of a crash.
+func (g *Register) maxOtherCount(c *crash, p Fingerprint) int {
 	most := 0
 	for _, other := range c.requests {
 		if other != p {
