--- a/core/request/quarantine/recent.go
+++ b/core/request/quarantine/recent.go
@@ -18,7 +18,7 @@
 }
 
 func (r *recent) has(p Fingerprint) bool {
-	_, inCurrent := r.current[p]
-	_, inPrevious := r.previous[p]
-	return inCurrent || inPrevious
+	_, current := r.current[p]
+	_, previous := r.previous[p]
+	return current || previous
 }
--- a/core/request/quarantine/register.go
+++ b/core/request/quarantine/register.go
@@ -50,8 +50,8 @@
 	reportedAt time.Time
 }
 
-// quarantinedRequest is the state of a request that is quarantined.
-type quarantinedRequest struct {
+// quarantined is the state of a quarantined request.
+type quarantined struct {
 	Hold
 	// revision is that of the hold in the store; 0 until it is stored.
 	revision int64
@@ -65,7 +65,7 @@
 	// each request was in progress.
 	crashes     []*crash
 	counts      map[Fingerprint]int
-	quarantined map[Fingerprint]*quarantinedRequest
+	quarantined map[Fingerprint]*quarantined
 	// needsEvaluation reports that some crashes have not been evaluated, were evaluated before
 	// the last change of state, or are more recent than reportDelay.
 	needsEvaluation bool
@@ -77,7 +77,7 @@
 
 // New returns a Register in which no request is quarantined.
 func New() *Register {
-	return &Register{counts: map[Fingerprint]int{}, quarantined: map[Fingerprint]*quarantinedRequest{}, reports: map[string]int64{}, holds: map[string]int64{}}
+	return &Register{counts: map[Fingerprint]int{}, quarantined: map[Fingerprint]*quarantined{}, reports: map[string]int64{}, holds: map[string]int64{}}
 }
 
 // Crashes returns the number of remembered crashes in which a request was in progress.
@@ -109,7 +109,7 @@
 	h.Probes = max(h.Probes, 0) // The store may contain any number.
 	g.holds[key] = revision
 	if old := g.quarantined[p]; old == nil || old.revision < revision {
-		g.quarantined[p] = &quarantinedRequest{Hold: h, revision: revision, since: now}
+		g.quarantined[p] = &quarantined{Hold: h, revision: revision, since: now}
 	}
 	return nil, nil
 }
@@ -226,8 +226,8 @@
 // reports whether the other gateways must be informed because they may suspect it.
 func (g *Register) Completed(p Fingerprint) bool {
 	g.answered.add(p)
-	_, held := g.quarantined[p]
-	if !held && g.counts[p] < publishThreshold {
+	_, quarantined := g.quarantined[p]
+	if !quarantined && g.counts[p] < publishThreshold {
 		return false
 	}
 	g.release(p)
--- a/core/request/quarantine/register_test.go
+++ b/core/request/quarantine/register_test.go
@@ -49,13 +49,13 @@
 		_, err := b.Apply(HoldKey(p), b.stored, h.Bytes(), b.now)
 		b.NoErr(err)
 	}
-	var held []int
+	var quarantinedRequests []int
 	for n := range 100 {
 		if b.Decide(fingerprintOf(n), b.now).Quarantined {
-			held = append(held, n)
+			quarantinedRequests = append(quarantinedRequests, n)
 		}
 	}
-	return held
+	return quarantinedRequests
 }
 
 // probeable returns which of the quarantined requests may be probed at once.
--- a/core/request/quarantine/verdict.go
+++ b/core/request/quarantine/verdict.go
@@ -81,7 +81,7 @@
 		}
 		counted, likely, certain := g.evidence(p, now)
 		if counted >= crashThreshold && likely > 0 {
-			g.quarantined[p] = &quarantinedRequest{Hold: Hold{Crashes: n, ProbeNow: certain < crashThreshold}, since: now}
+			g.quarantined[p] = &quarantined{Hold: Hold{Crashes: n, ProbeNow: certain < crashThreshold}, since: now}
 		}
 	}
 }
