--- a/core/request/target/backpressure.go
+++ b/core/request/target/backpressure.go
@@ -11,19 +11,20 @@
 
 // The headers in which a target says what it asks for.
 const (
-	// HeaderLimit names how many requests a second it takes.
+	// HeaderLimit is the number of requests a second that the target accepts.
 	HeaderLimit = "Server-Limit"
-	// HeaderLeaving is 1 if it leaves.
+	// HeaderLeaving is 1 if the target is shutting down.
 	HeaderLeaving = "Server-Leaving"
 )
 
-// Backpressure is what a target asks for in an answer of those that send to it.
+// Backpressure is what a target asks of its senders in the headers of a response.
 type Backpressure struct {
-	// Limit is how many requests a second it takes from all together; nil if it names none.
+	// Limit is the number of requests a second that the target accepts from all senders
+	// together; nil if it sets none.
 	Limit *float64
-	// Pause is how long a target that has refused wants nothing; 0 if it does not say.
+	// Pause is how long a target that has refused a request wants none; 0 if it does not say.
 	Pause time.Duration
-	// Leaving says that the target leaves and takes no new requests.
+	// Leaving says that the target is shutting down and accepts no new requests.
 	Leaving bool
 }
 
--- a/core/request/target/body.go
+++ b/core/request/target/body.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// Fields are the top-level members of a completion's JSON body that the agent
-// sets. They replace the caller's own, so that a caller can neither raise its
-// priority, name another workspace's cache salt, nor resume another's answer.
+// Fields are the top-level members of a completion's JSON body that the agent sets. They
+// replace the caller's own, so that a caller can't raise its priority, use the cache salt of
+// another workspace, or resume a response of another request.
 type Fields struct {
 	// Priority orders the engine's queue; lower goes first.
 	Priority int
-	// CacheSalt separates prefix caches; empty leaves the member out.
+	// CacheSalt separates prefix caches; empty omits the member.
 	CacheSalt string
-	// Resume continues an answer after its first tokens.
+	// Resume continues a response after its first tokens.
 	Resume *Resume
-	// Stream asks for a streamed answer whatever the caller asked for.
+	// Stream requests a streamed response whatever the caller asked for.
 	Stream bool
 }
 
-// Resume is the state of an answer that another engine had begun.
+// Resume is the state of a response that another engine had begun.
 type Resume struct {
 	// Text is the text of the first Tokens tokens.
 	Text   string `json:"text"`
@@ -47,9 +47,8 @@
 	return false
 }
 
-// Inject returns body with the fields set and every other member kept byte
-// for byte and in order. A body that is not one JSON object gives a
-// *BodyError.
+// Inject returns body with the fields set and all other members unchanged, byte for byte and
+// in order. It returns a *BodyError if body is not one JSON object.
 func Inject(body []byte, f Fields) ([]byte, error) {
 	own, err := json.Marshal(ownFields(f))
 	if err != nil {
--- a/core/request/target/engine.go
+++ b/core/request/target/engine.go
@@ -43,9 +43,8 @@
 	Body []byte
 }
 
-// Start sends a completion and returns its answer once the head of it is
-// there. Its errors are *BodyError, *NotSentError, *BrokenError and
-// *RefusedError.
+// Start sends a completion and returns its response once the headers have arrived. Its errors
+// are *BodyError, *NotSentError, *BrokenError and *RefusedError.
 func (e *Engine) Start(ctx context.Context, c Completion) (*Stream, error) {
 	body, err := Inject(c.Body, c.Fields)
 	if err != nil {
@@ -62,9 +61,9 @@
 	} `json:"resume"`
 }
 
-// Resume re-attaches to the answer of a request that this engine runs or
-// keeps, from token number from on. The engine answers 404, a *RefusedError,
-// if it does not know the request; path is that of the request.
+// Resume attaches again to the response of a request that this engine runs or has stored,
+// starting at token number from. The engine answers 404, a *RefusedError, if it does not know
+// the request; path is that of the request.
 func (e *Engine) Resume(ctx context.Context, path, requestID string, from int) (*Stream, error) {
 	var r reattach
 	r.Stream = true
@@ -89,25 +88,24 @@
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, refusal(resp)
+		return nil, refusedError(resp)
 	}
 	return newStream(resp), nil
 }
 
 // The states in which a cancellation can find a request.
 const (
-	// StateWaiting says that the engine had not begun the request, and now
-	// never will.
+	// StateWaiting says that the engine had not begun the request and never will.
 	StateWaiting = "waiting"
-	// StateRunning says that the request was stopped midway.
+	// StateRunning says that the request was interrupted.
 	StateRunning = "running"
-	// StateDone says that the whole answer was made already.
+	// StateDone says that the complete response had already been produced.
 	StateDone = "done"
 )
 
-// Cancel stops a request and returns the state in which it was; the state is
-// empty if the engine does not tell. A request that the engine does not know
-// gives a *RefusedError with status 404.
+// Cancel cancels a request and returns the state in which it was; the state is empty if the
+// engine does not report it. A request that the engine does not know gives a *RefusedError
+// with status 404.
 func (e *Engine) Cancel(ctx context.Context, requestID string) (state string, err error) {
 	var answer struct {
 		State string `json:"state"`
@@ -116,13 +114,13 @@
 	return answer.State, err
 }
 
-// Load is an engine's report of its own load, which lags.
+// Load is an engine's report of its own load, which lags behind.
 type Load struct {
 	Running         int     `json:"running"`
 	Waiting         int     `json:"waiting"`
 	TokensPerSecond float64 `json:"tokens-per-second"`
 	StepMS          float64 `json:"step-ms"`
-	// UnixMillis is the engine's wall time of which the report tells.
+	// UnixMillis is the engine's wall time at which the load was measured.
 	UnixMillis int64 `json:"unix-millis"`
 }
 
@@ -133,10 +131,10 @@
 	return l, err
 }
 
-// Order is an order to the engine.
+// Order is a command to the engine.
 type Order struct {
 	Fence uint64 `json:"fence"`
-	// Sequence numbers the orders of one fence, from 1.
+	// Sequence numbers the orders of one fencing token, from 1.
 	Sequence uint64 `json:"sequence"`
 	// Kind is "load-model", "load-adapter", "set-role", "set-map" or "drain".
 	Kind     string          `json:"kind"`
@@ -148,9 +146,9 @@
 	Fence uint64 `json:"fence"`
 }
 
-// Order gives an order. An engine that has taken a higher fencing number and
-// honours fencing refuses with a *StaleFenceError. After a *BrokenError the
-// order may have taken effect: LastOrder settles it.
+// Order sends an order. An engine that has accepted a higher fencing token and honours fencing
+// refuses with a *StaleFenceError. After a *BrokenError the order may have taken effect:
+// LastOrder tells whether it has.
 func (e *Engine) Order(ctx context.Context, o Order) error {
 	err := e.exchange(ctx, http.MethodPost, ordersPath, o, nil)
 	var refused *RefusedError
@@ -164,16 +162,15 @@
 	return &StaleFenceError{Fence: r.Fence}
 }
 
-// LastOrder returns the last order that took effect, without its argument if
-// the engine does not tell; the zero Order means none.
+// LastOrder returns the last order that took effect, without its argument if the engine does
+// not report it; the zero Order means none.
 func (e *Engine) LastOrder(ctx context.Context) (Order, error) {
 	var o Order
 	err := e.exchange(ctx, http.MethodGet, ordersPath, nil, &o)
 	return o, err
 }
 
-// exchange sends in as JSON and decodes the answer into out; nil leaves
-// either out.
+// exchange sends in as JSON and decodes the response into out; either may be nil.
 func (e *Engine) exchange(ctx context.Context, method, path string, in, out any) error {
 	h := make(http.Header)
 	var body []byte
@@ -196,7 +193,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return refusal(resp)
+		return refusedError(resp)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if out == nil {
--- a/core/request/target/errors.go
+++ b/core/request/target/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// NotSentError says that no byte of a request left this process: the target
-// surely did not run it.
+// NotSentError reports that no byte of a request left this process: the target has certainly
+// not run it.
 type NotSentError struct{ Cause error }
 
 // Error returns the cause.
@@ -12,8 +12,8 @@
 // Unwrap returns the cause.
 func (e *NotSentError) Unwrap() error { return e.Cause }
 
-// BrokenError says that the connection was lost after the request was sent,
-// in part or whole, and before the answer ended: the target may have run it.
+// BrokenError reports that the connection was lost after the request was sent, partly or
+// completely, and before the response ended: the target may have run it.
 type BrokenError struct{ Cause error }
 
 // Error returns the cause.
@@ -22,36 +22,35 @@
 // Unwrap returns the cause.
 func (e *BrokenError) Unwrap() error { return e.Cause }
 
-// RefusedError is an answer of the target other than success.
+// RefusedError is a response of the target other than success.
 type RefusedError struct {
 	// Status is the HTTP status.
 	Status int
-	// RetryAfter is the target's Retry-After header as it stands.
+	// RetryAfter is the value of the target's Retry-After header, unchanged.
 	RetryAfter   string
 	Backpressure Backpressure
-	// Body is the answer's body, at most 64 KiB of it. It may hold content of
-	// the request and does not show in Error.
+	// Body is the body of the response, at most 64 KiB of it. It may hold content of the
+	// request and is not part of Error.
 	Body []byte
 }
 
-// Error returns the status alone.
+// Error returns the status only.
 func (e *RefusedError) Error() string { return fmt.Sprintf("target refused with status %d", e.Status) }
 
-// StaleFenceError says that the target has taken an order with a higher
-// fencing number.
+// StaleFenceError reports that the target has accepted an order with a higher fencing token.
 type StaleFenceError struct {
-	// Fence is the number that the target holds.
+	// Fence is the target's current fencing token.
 	Fence uint64
 }
 
-// Error returns the target's number.
+// Error returns the target's fencing token.
 func (e *StaleFenceError) Error() string {
 	return fmt.Sprintf("stale fence: target holds %d", e.Fence)
 }
 
-// BodyError says that the caller's body is not one JSON object.
+// BodyError reports that the caller's body is not one JSON object.
 type BodyError struct {
-	// Offset is where in the body the fault lies, in bytes.
+	// Offset is the position of the error in the body, in bytes.
 	Offset int64
 }
 
--- a/core/request/target/plain.go
+++ b/core/request/target/plain.go
@@ -9,15 +9,16 @@
 	"github.com/go-faster/errors"
 )
 
-// Service is a client of one plain service, safe for concurrent use.
+// Service is a client of one service that is not a model engine. It is safe for concurrent
+// use.
 type Service struct{ client }
 
-// NewService returns a client of the service at address, an IP number and port.
+// NewService returns a client of the service at address, an IP address and port.
 func NewService(address string, o Options) *Service {
 	return &Service{newClient(address, o)}
 }
 
-// Call is a call of a plain service.
+// Call is a request to a service.
 type Call struct {
 	Method string
 	// Path is the request target: a path and an optional query, as the caller
@@ -29,19 +30,19 @@
 	Body   []byte
 }
 
-// Response is a service's answer, whatever its status.
+// Response is a service's response, whatever its status.
 type Response struct {
 	Status       int
 	Header       http.Header
 	Backpressure Backpressure
-	// Body ends with io.EOF when the answer is whole, and with a *BrokenError
-	// when the connection was lost before. The receiver closes it.
+	// Body ends with io.EOF if the response is complete, and with a *BrokenError if the
+	// connection was lost before. The receiver closes it.
 	Body io.ReadCloser
 }
 
-// Do makes a call and returns the service's answer as it stands, redirects
-// and errors of the service included, but for the headers that belong to one
-// connection. Its errors are *NotSentError and *BrokenError.
+// Do sends a request and returns the service's response unchanged, redirects and errors of the
+// service included, except for hop-by-hop headers. Its errors are *NotSentError and
+// *BrokenError.
 func (p *Service) Do(ctx context.Context, c Call) (*Response, error) {
 	h := c.Header.Clone()
 	if h == nil {
@@ -68,21 +69,20 @@
 	return &Response{Status: resp.StatusCode, Header: resp.Header, Backpressure: backpressureOf(resp.StatusCode, resp.Header), Body: &answerBody{resp.Body}}, nil
 }
 
-// entryHeaders are meant for the entry and do not reach the target: the
-// workspace's token must not be seen there, and the body has been read, so
-// that nothing is left to expect.
+// entryHeaders are addressed to the entry and are not forwarded to the target: it must not see
+// the workspace's token, and the body has already been read, so that Expect is pointless.
 var entryHeaders = []string{"Authorization", "Expect", "Content-Length", "Host"}
 
-// hopByHop are the headers of RFC 9110 section 7.6.1 that hold for one
-// connection whether or not Connection names them, those of proxies (section
-// 11.7), and Trailer, because trailers are not passed on.
+// hopByHop are the headers of RFC 9110 section 7.6.1 that apply to one connection whether or
+// not Connection names them, those of proxies (section 11.7), and Trailer, because trailers
+// are not forwarded.
 var hopByHop = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "TE", "Transfer-Encoding",
 	"Upgrade", "Trailer", "Proxy-Authenticate", "Proxy-Authorization",
 }
 
-// RemoveHopByHop removes the headers that hold for one connection only, and
-// those that the Connection header names (RFC 9110 section 7.6.1).
+// RemoveHopByHop removes the hop-by-hop headers, and those that the Connection header names
+// (RFC 9110 section 7.6.1).
 func RemoveHopByHop(h http.Header) {
 	for _, value := range h.Values("Connection") {
 		for name := range strings.SplitSeq(value, ",") {
@@ -94,7 +94,7 @@
 	}
 }
 
-// answerBody turns the loss of a connection into a *BrokenError.
+// answerBody reports the loss of a connection as a *BrokenError.
 type answerBody struct{ io.ReadCloser }
 
 // Read implements io.Reader.
--- a/core/request/target/sent.go
+++ b/core/request/target/sent.go
@@ -11,27 +11,27 @@
 
 type dialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// watched wraps the connections that dial opens.
-func watched(dial dialFunc) dialFunc {
+// countWrites wraps the connections that dial opens.
+func countWrites(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := dial(ctx, network, address)
 		if err != nil {
 			return nil, err
 		}
-		return &watchedConn{Conn: conn}, nil
+		return &countingConn{Conn: conn}, nil
 	}
 }
 
-// watchedConn counts the writes that may have let a byte out. A write counts
-// from before it starts, because a cancelled request is reported while its
-// write may still be under way; it is taken back if it wrote nothing.
-type watchedConn struct {
+// countingConn counts the writes that may have sent a byte. A write counts from before it
+// starts, because a cancelled request is reported while its write may still be in progress; it
+// is subtracted again if it wrote nothing.
+type countingConn struct {
 	net.Conn
 	writes atomic.Int64
 }
 
 // Write implements net.Conn.
-func (c *watchedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	c.writes.Add(1)
 	n, err := c.Conn.Write(p)
 	if n == 0 && err != nil {
@@ -40,16 +40,16 @@
 	return n, err
 }
 
-// tracker tells whether a byte of one request may have left. It watches every
-// connection that the request was given; HTTP/1.1 has one request at a time
-// on a connection, so each write on it since then belongs to the request.
+// tracker detects whether a byte of one request may have been sent. It watches every
+// connection that the request was given; HTTP/1.1 has one request at a time on a connection,
+// so each later write on it belongs to the request.
 type tracker struct {
 	mu    sync.Mutex
-	conns []given
+	conns []connStart
 }
 
-type given struct {
-	conn *watchedConn
+type connStart struct {
+	conn *countingConn
 	from int64
 }
 
@@ -61,14 +61,14 @@
 func (t *tracker) gotConn(info httptrace.GotConnInfo) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	conn, ok := info.Conn.(*watchedConn)
+	conn, ok := info.Conn.(*countingConn)
 	if !ok {
 		return
 	}
-	t.conns = append(t.conns, given{conn, conn.writes.Load()})
+	t.conns = append(t.conns, connStart{conn, conn.writes.Load()})
 }
 
-func (t *tracker) any() bool {
+func (t *tracker) anySent() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, g := range t.conns {
--- a/core/request/target/stream.go
+++ b/core/request/target/stream.go
@@ -18,24 +18,23 @@
 )
 
 var (
-	dataField = []byte("data")
-	doneMark  = []byte("[DONE]")
+	dataField  = []byte("data")
+	doneMarker = []byte("[DONE]")
 
-	errNoEndMark     = errors.New("stream ended without its end mark")
+	errNoEndMarker   = errors.New("stream ended without its end mark")
 	errEventTooLarge = errors.New("event too large")
 )
 
-// Stream reads the events of one answer. It is not safe for concurrent use.
-//
-// An answer that is one JSON document instead of events counts as one event.
+// Stream reads the events of one response. It is not safe for concurrent use.
+// A response that is one JSON document instead of events counts as one event.
 type Stream struct {
-	// Header holds the headers of the answer.
+	// Header holds the headers of the response.
 	Header       http.Header
 	Backpressure Backpressure
 
 	body   io.ReadCloser
 	events bool
-	// buf[r:w] holds bytes that were read and not yet used.
+	// buf[r:w] holds bytes that were read and not yet consumed.
 	buf  []byte
 	r, w int
 	// joined holds the data of an event with several data lines.
@@ -53,9 +52,9 @@
 	}
 }
 
-// Next returns the data of the next event; it is valid until the next call.
-// After the end mark [DONE] it returns io.EOF, and a *BrokenError if the
-// connection ends before. Errors stay.
+// Next returns the data of the next event; it is valid until the next call. After the end
+// marker [DONE] it returns io.EOF, and a *BrokenError if the connection ends before. After an
+// error it returns the same error again.
 func (s *Stream) Next() (data []byte, err error) {
 	if s.err != nil {
 		return nil, s.err
@@ -64,7 +63,7 @@
 		return s.document()
 	}
 	data, err = s.event()
-	if err == nil && bytes.Equal(data, doneMark) {
+	if err == nil && bytes.Equal(data, doneMarker) {
 		err = io.EOF
 	}
 	if err != nil {
@@ -74,9 +73,9 @@
 	return data, nil
 }
 
-// Close releases the connection. If the answer has not ended, the engine sees
-// a broken connection and goes on. After the end it waits up to 250 ms for
-// the end of the HTTP body, so that the connection can be used again.
+// Close releases the connection. If the response has not ended, the engine sees a broken
+// connection and continues. After the end Close waits up to 250 ms for the end of the HTTP
+// body, so that the connection can be reused.
 func (s *Stream) Close() error {
 	if s.events && errors.Is(s.err, io.EOF) {
 		late := time.AfterFunc(drainTimeout, func() { _ = s.body.Close() })
@@ -96,9 +95,8 @@
 	return data, nil
 }
 
-// event reads lines up to a blank one and returns the joined data lines.
-// Events without data, such as comments that keep a connection alive, are
-// passed over.
+// event reads lines up to a blank one and returns the joined data lines. Events without data,
+// such as keep-alive comments, are skipped.
 func (s *Stream) event() ([]byte, error) {
 	// at is the offset of the next line from s.r: earlier lines of the event
 	// stay in the buffer, because data may point to one of them.
@@ -136,8 +134,8 @@
 	}
 }
 
-// line returns the line that starts at offset at, without its end, and the
-// offset of the next one.
+// line returns the line that starts at offset at, without its line ending, and the offset of
+// the next one.
 func (s *Stream) line(at int) (line []byte, next int, err error) {
 	seen := at
 	for {
@@ -153,7 +151,7 @@
 	}
 }
 
-// fill reads more bytes, after it has made room for them.
+// fill reads more bytes, after making space for them.
 func (s *Stream) fill() error {
 	if s.r > 0 && s.w == len(s.buf) {
 		s.w = copy(s.buf, s.buf[s.r:s.w])
@@ -171,7 +169,7 @@
 	case n > 0 || err == nil:
 		return nil
 	case errors.Is(err, io.EOF):
-		return &BrokenError{Cause: errNoEndMark}
+		return &BrokenError{Cause: errNoEndMarker}
 	}
 	return &BrokenError{Cause: err}
 }
--- a/core/request/target/target.go
+++ b/core/request/target/target.go
@@ -1,13 +1,12 @@
 // Package target is the client through which an agent uses the one target
-// beside it: a model engine (Engine) or a plain service (Plain).
+// beside it: a model engine (Engine) or any other HTTP service (Service).
 //
-// The package is strict about what it claims. An error tells how far a
-// request came: a *NotSentError says that no byte of it left this process, so
-// that the target can't have run it; a *RefusedError holds the target's own
-// refusal; a *BrokenError says that the connection was lost when the target
-// may have begun. A request is sent once: the automatic retry of net/http,
-// which repeats a request with an Idempotency-Key after a lost connection, is
-// kept from it.
+// An error says how far a request got: a *NotSentError means that no byte of
+// it left this process, so that the target can't have run it; a *RefusedError
+// holds the target's own refusal; a *BrokenError means that the connection was
+// lost when the target may have begun. A request is sent once: the automatic
+// retry of net/http, which sends a request with an Idempotency-Key again after
+// a lost connection, is disabled.
 //
 // # Usage
 //
@@ -22,7 +21,7 @@
 //	}
 //	defer stream.Close()
 //	for {
-//		data, err := stream.Next() // io.EOF after the end mark
+//		data, err := stream.Next() // io.EOF after the end marker
 //		...
 //	}
 package target
@@ -51,16 +50,15 @@
 type Options struct {
 	// DialTimeout limits the time to connect; 0 means one second.
 	DialTimeout time.Duration
-	// IdleConns is how many unused connections are kept; 0 means 256.
+	// IdleConns is how many idle connections are kept open; 0 means 256.
 	IdleConns int
-	// OrderToken is the bearer token of orders, for a target that checks who
-	// gives them.
+	// OrderToken is the bearer token sent with orders, for a target that authenticates them.
 	OrderToken string
 	// Dial opens a connection; nil dials TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Tags identify a request to the target; empty ones are left out.
+// Tags identify a request to the target; empty ones are omitted.
 type Tags struct {
 	RequestID      string
 	IdempotencyKey string
@@ -76,8 +74,8 @@
 	setHeader(h, "Traceparent", t.TraceParent)
 }
 
-// setHeader sets name, or removes it if value is empty, so that a caller
-// can't name a workspace or request of its own choice.
+// setHeader sets name, or removes it if value is empty, so that a caller can't choose the
+// workspace or the request identifier.
 func setHeader(h http.Header, name, value string) {
 	if value == "" {
 		h.Del(name)
@@ -90,8 +88,8 @@
 type client struct {
 	address   string
 	transport *http.Transport
-	// single opens a connection for each request.
-	single *http.Transport
+	// unpooled opens a connection for each request.
+	unpooled *http.Transport
 }
 
 func newClient(address string, o Options) client {
@@ -108,19 +106,19 @@
 		idle = defaultIdleConns
 	}
 	transport := &http.Transport{
-		DialContext:            watched(dial),
+		DialContext:            countWrites(dial),
 		DisableCompression:     true,
 		MaxIdleConns:           idle,
 		MaxIdleConnsPerHost:    idle,
 		IdleConnTimeout:        idleTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	single := transport.Clone()
-	single.DisableKeepAlives = true
-	return client{address: address, transport: transport, single: single}
+	unpooled := transport.Clone()
+	unpooled.DisableKeepAlives = true
+	return client{address: address, transport: transport, unpooled: unpooled}
 }
 
-// CloseIdle closes the connections that are not in use.
+// CloseIdle closes the idle connections.
 func (c *client) CloseIdle() { c.transport.CloseIdleConnections() }
 
 // request builds a request; target is a path with an optional query.
@@ -136,23 +134,23 @@
 	}
 	req.URL, req.Host, req.Header = u, c.address, h
 	req.ContentLength = int64(len(body))
-	// A request with an Idempotency-Key, or a GET, whose body can be rewound is
-	// one that http.Transport sends again by itself when a kept connection
-	// breaks before the answer: the target would run it twice. A body without
-	// GetBody, set even where it is empty, can't be rewound, and the transport
-	// then repeats nothing of which a byte was written.
+	// http.Transport retries a request by itself when a kept-alive connection breaks before
+	// the response, if the body can be rewound and the request is a GET or has an
+	// Idempotency-Key: the target would run it twice. A body without GetBody, set even where
+	// it is empty, can't be rewound, and the transport then retries nothing of which a byte
+	// was written.
 	req.Body = io.NopCloser(bytes.NewReader(body))
-	if len(body) == 0 && !usuallyLacksBody(method) {
-		// net/http would send this body as chunked; without one it would
-		// repeat the request, but not on a connection of its own.
+	if len(body) == 0 && !omitsEmptyBody(method) {
+		// net/http would send this body as chunked; without a body it would retry the request,
+		// but not on a connection of its own.
 		req.Body, req.Close = nil, true
 	}
 	return req, nil
 }
 
-// usuallyLacksBody reports whether net/http finds out by itself that the body
-// of such a request is empty and sends none.
-func usuallyLacksBody(method string) bool {
+// omitsEmptyBody reports whether net/http detects that the body of a request with this method
+// is empty, and sends none.
+func omitsEmptyBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodDelete, http.MethodOptions:
 		return true
@@ -160,25 +158,25 @@
 	return false
 }
 
-// send sends req once and returns the target's answer whatever its status.
+// send sends req once and returns the target's response whatever its status.
 func (c *client) send(req *http.Request) (*http.Response, error) {
 	var sent tracker
 	transport := c.transport
 	if req.Close {
-		transport = c.single
+		transport = c.unpooled
 	}
 	resp, err := transport.RoundTrip(sent.watch(req))
 	if err == nil {
 		return resp, nil
 	}
-	if sent.any() {
+	if sent.anySent() {
 		return nil, &BrokenError{Cause: err}
 	}
 	return nil, &NotSentError{Cause: err}
 }
 
-// refusal reads the body of an answer that is not a success.
-func refusal(resp *http.Response) error {
+// refusedError reads the body of a response that is not a success.
+func refusedError(resp *http.Response) error {
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxRefusalBytes))
 	if err != nil {
--- a/core/request/target/target_test.go
+++ b/core/request/target/target_test.go
@@ -20,10 +20,10 @@
 
 func address(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// A chapel booking is sent on a kept connection; the booking application
-// takes the slot and dies before it answers. net/http takes the connection
-// for one that had idled out and, seeing an Idempotency-Key, sends the booking
-// again by itself: the family's slot is run twice.
+// A booking is sent on a kept-alive connection and the application crashes
+// before it answers. net/http assumes that the idle connection had timed out
+// and, because of the Idempotency-Key, sends the booking again by itself: it
+// would run twice.
 func TestRequestIsSentOnce(t *testing.T) {
 	for _, c := range []struct{ method, body string }{
 		{http.MethodPost, `{"chapel":"erie"}`},
@@ -52,15 +52,16 @@
 			call.IdempotencyKey = "k1"
 			_, err = p.Do(t.Context(), call)
 			var broken *target.BrokenError
-			is.True(errors.As(err, &broken)) // may have run, and says so
+			is.True(errors.As(err, &broken)) // may have run
 			is.Equal(runs.Load(), int32(1))
 		})
 	}
 }
 
-// An agent tells its caller "not run" after a dial that failed, a context
-// that ended before the dial, or a connection that took no byte. If one byte
-// went out, the target may have run the request and the agent must not.
+// An agent reports "not run" to its caller after a dial that failed, a context
+// that ended before the dial, or a connection that accepted no byte. If one
+// byte was sent, the target may have run the request and the agent must not
+// report that.
 func TestNotSentIsTold(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	dead := func(context.Context, string, string) (net.Conn, error) {
@@ -114,8 +115,8 @@
 	return stream
 }
 
-// An engine dies in the middle of an obituary. Unless the client insists on
-// the end mark, the half that came looks like the whole to the arranger.
+// An engine crashes in the middle of a response. Unless the client requires the
+// end marker, the part that arrived looks like the complete response.
 func TestStreamEnds(t *testing.T) {
 	long := strings.Repeat("x", 20000)
 	for _, c := range []struct {
@@ -213,7 +214,7 @@
 	}
 }
 
-// raw serves one connection: it hands over the request and writes answer.
+// raw serves one connection: it passes on the request and writes answer.
 func raw(t *testing.T, answer string) (addr string, request chan *http.Request) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -265,8 +266,8 @@
 	is.Equal(string(body), "hi")
 }
 
-// A lookup's answer is cut by a dying service: a reader that takes any end of
-// the body for the end of the answer shows a family half a page.
+// A service crashes while it sends a response: a reader that takes any end of
+// the body for the end of the response would show half a page.
 func TestPlainCutBodyIsBroken(t *testing.T) {
 	is := is.New(t)
 	addr, _ := raw(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
