--- a/core/request/route/leaving_test.go
+++ b/core/request/route/leaving_test.go
@@ -8,8 +8,9 @@
 	"github.com/matryer/is"
 )
 
-// The platform lists a target as leaving, and another's agent says that it
-// drains. New work would be refused there, or cut off when the instance goes.
+// The platform lists one target as leaving, and the agent of another reports
+// that it drains. New work would be refused there, or cut off when the instance
+// is removed.
 func TestLeavingTargetGetsNothing(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{})
@@ -22,7 +23,7 @@
 }
 
 // A target in a far region has an empty queue while the near one has a short
-// one. An ocean's round trip is longer than that wait.
+// one. The round trip to the other region is longer than that wait.
 func TestNearTargetBeforeIdleFarOne(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{Region: "addis"})
@@ -34,8 +35,8 @@
 	is.Equal(shares(table, &Query{Model: "m"}, start, rand.New(rand.NewPCG(1, 1)), 100)[1], 0.0)
 }
 
-// An agent restarts, and a load of its earlier life comes late. It says nothing
-// of the queue that is there now.
+// An agent restarts, and a load of its earlier process arrives late. It says
+// nothing about the current queue.
 func TestLoadOfEarlierLife(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{})
--- a/core/request/route/pool.go
+++ b/core/request/route/pool.go
@@ -12,19 +12,19 @@
 // pool is a set of targets that may serve the same queries.
 type pool struct {
 	members []uint16
-	// near is the entry's subset of the members in its region, far of those
-	// in other regions.
+	// near is the entry's subset of the members in its region, far its subset of those in
+	// other regions.
 	near, far []uint16
-	// choices is how many of near are looked at.
+	// choices is how many members of near are considered.
 	choices int
 	ring    []uint16
-	// crowd indexes the statistics of the pool's model or service.
-	crowd int
+	// aggregate is the index of the aggregate of the pool's model or service.
+	aggregate int
 }
 
-// rebuild computes pools, subsets, rings and sums from targets and states.
+// rebuild computes pools, subsets, rings and aggregates from targets and states.
 func (t *Table) rebuild() {
-	t.rebuildCrowds()
+	t.rebuildAggregates()
 	sets := map[poolKey][]uint16{}
 	for i := range t.targets {
 		if !t.states[i].configured {
@@ -40,8 +40,8 @@
 	t.pools = make(map[poolKey]*pool, len(sets))
 	same := map[string]*pool{}
 	for key, members := range sets {
-		// Most keys differ in version or adapter only and have the same
-		// members: they share one pool and its ring.
+		// Most keys differ only in version or adapter and have the same members: they share
+		// one pool and its ring.
 		id := memberID(members)
 		if same[id] == nil {
 			same[id] = t.newPool(members)
@@ -60,8 +60,8 @@
 
 func (t *Table) newPool(members []uint16) *pool {
 	name := func(m uint16) string { return t.targets[m].Name }
-	// The order of the configuration must not matter to the ring, or entries
-	// would disagree on it.
+	// The ring must not depend on the order of the configuration, or entries would disagree on
+	// it.
 	sorted := slices.Clone(members)
 	slices.SortFunc(sorted, func(a, b uint16) int {
 		if name(a) < name(b) {
@@ -78,12 +78,12 @@
 		remote = append(remote, m)
 	}
 	return &pool{
-		members: sorted,
-		choices: t.opt.choices(len(members)),
-		near:    subset(local, name, t.opt.index(), t.opt.Subset),
-		far:     subset(remote, name, t.opt.index(), t.opt.Subset),
-		ring:    buildRing(sorted, name),
-		crowd:   t.states[members[0]].crowd,
+		members:   sorted,
+		choices:   t.opt.choices(len(members)),
+		near:      subset(local, name, t.opt.index(), t.opt.Subset),
+		far:       subset(remote, name, t.opt.index(), t.opt.Subset),
+		ring:      buildRing(sorted, name),
+		aggregate: t.states[members[0]].aggregate,
 	}
 }
 
@@ -122,7 +122,7 @@
 	}
 }
 
-// distance returns the penalty in seconds for where a target is.
+// distance returns the penalty in seconds for the region and zone of a target.
 func (t *Table) distance(g *Target) float64 {
 	switch {
 	case g.Region != t.opt.Region:
--- a/core/request/route/prefix.go
+++ b/core/request/route/prefix.go
@@ -3,22 +3,19 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	// prefixBytes is how much of a prompt decides its affinity: engines share
-	// cached blocks from the start of a prompt, and shared style notes are
-	// longer than this.
+	// prefixBytes is how much of a prompt determines its affinity: engines share cached blocks
+	// from the start of a prompt, and shared style notes are longer than this.
 	prefixBytes = 1024
-	// minPrefixBytes is the length below which a cached prefix saves too
-	// little to steer a request.
+	// minPrefixBytes is the length below which a cached prefix saves too little to influence
+	// routing.
 	minPrefixBytes = 64
 )
 
-// Prefix returns the affinity hash of a prompt, salted with the workspace
-// unless salt is empty. It returns 0, which means no affinity, for prompts too
-// short to gain from a cache.
-//
-// The salt guards against one workspace meeting another's cached prefix, which
-// would show in the time to the first token: equal prompts of two workspaces
-// hash apart.
+// Prefix returns the affinity hash of a prompt, salted with the workspace unless salt is
+// empty. It returns 0, which means no affinity, for prompts too short to benefit from a cache.
+// The salt keeps the prefix caches of workspaces apart: a cached prefix of another workspace
+// would show in the time to the first token. Equal prompts of two workspaces have different
+// hashes.
 func Prefix(salt, prompt string) uint64 {
 	if len(prompt) < minPrefixBytes {
 		return 0
--- a/core/request/route/recent.go
+++ b/core/request/route/recent.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// The window in which own starts are remembered; it covers the lag of reports.
+// The window of the recorded starts; it covers the lag of reports.
 const (
 	recentBuckets = 16
 	recentWidth   = 250 * time.Millisecond
 )
 
-// recent remembers the work started in the last few seconds, so that a report
-// which is seconds old can be completed by what was sent after it was taken.
+// recent records the work started in the last few seconds, so that a report which is seconds
+// old can be completed by what was sent after it was taken.
 type recent struct {
 	newest int64 // number of the newest bucket
 	work   [recentBuckets]float64
@@ -17,7 +17,7 @@
 
 func bucketOf(at int64) int64 { return at / int64(recentWidth) }
 
-// advance makes the bucket of at the newest, and clears those that fall out.
+// advance makes the bucket of at the newest, and clears expired buckets.
 func (r *recent) advance(at int64) {
 	b := bucketOf(at)
 	if b-r.newest >= recentBuckets {
@@ -36,7 +36,7 @@
 	r.work[bucketOf(at)%recentBuckets] += work
 }
 
-// remove takes back work that was added at the given time and has ended.
+// remove subtracts work that was added at the given time and has ended.
 func (r *recent) remove(at int64, work float64) {
 	b := bucketOf(at)
 	if b < 0 || b > r.newest || r.newest-b >= recentBuckets {
@@ -46,7 +46,7 @@
 	*slot = max(0, *slot-work)
 }
 
-// since returns the work added after a time, to the width of a bucket.
+// since returns the work added after a time, with the resolution of a bucket.
 func (r *recent) since(at int64) float64 {
 	first := max(bucketOf(at)+1, r.newest-recentBuckets+1, 0)
 	sum := 0.0
--- a/core/request/route/ring.go
+++ b/core/request/route/ring.go
@@ -2,20 +2,20 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// The sizes of rings: primes, as the permutations need. The size must not
-// follow the number of members, or each target that comes or goes would move
+// The sizes of rings: primes, as the permutations require. The size must not
+// depend on the number of members, or each added or removed target would move
 // nearly all prefixes to targets that don't have them cached. Up to
-// smallMembers, the shares of two members differ by at most one place in 16.
+// smallMembers, the shares of two members differ by at most one slot in 16.
 const (
 	smallRing    = 16381
 	largeRing    = 65521
 	smallMembers = 1000
 )
 
-// buildRing fills a lookup table in which each member holds an even share of
-// the places, and keeps most of them when other members come and go (Maglev,
-// Eisenbud et al. 2016). A lookup is one index operation, whatever the number
-// of members, where rendezvous hashing would score each of them.
+// buildRing fills a lookup table in which each member has an equal share of
+// the slots, and keeps most of them when other members are added or removed
+// (Maglev, Eisenbud et al. 2016). A lookup is one index operation, whatever the
+// number of members, where rendezvous hashing would score each of them.
 func buildRing(members []uint16, name func(uint16) string) []uint16 {
 	if len(members) == 0 {
 		return nil
--- a/core/request/route/route.go
+++ b/core/request/route/route.go
@@ -1,21 +1,21 @@
 // Package route picks the target of a request.
 //
-// A Table holds what one entry knows of every target: first-hand loads that
-// agents piggyback on their answers, lagging reports, and the entry's own
+// A Table holds what one entry knows of every target: current loads that
+// agents piggyback on their responses, lagging reports, and the entry's own
 // requests since. Pick scores a few candidates by their expected time to the
 // first token: random ones of the entry's subset (the power of d choices,
-// Mitzenmacher 2001), and those that the hash of the prompt's prefix names, as
-// long as their load is bounded (consistent hashing with bounded loads,
+// Mitzenmacher 2001), and those that the hash of the prompt's prefix selects,
+// as long as their load is bounded (consistent hashing with bounded loads,
 // Mirrokni et al. 2018). Its cost does not grow with the number of targets and
 // it allocates nothing.
 //
-// The number of choices follows from how many entries share a target. When
-// they are few, the best of the whole subset is taken. When they are many, all
-// of them see the same idle target before they see each other's requests, and
-// two random choices keep them from meeting there.
+// The number of choices depends on how many entries share a target. With few
+// entries, the best target of the whole subset is taken. With many, all of them
+// see the same idle target before they see each other's requests, and two
+// random choices keep them from overloading it.
 //
-// Everything is pure: time and randomness are arguments. A Table is not safe
-// for concurrent use.
+// The package is deterministic: time and randomness are arguments. A Table is
+// not safe for concurrent use.
 //
 // # Usage
 //
@@ -33,12 +33,12 @@
 
 import "time"
 
-// Target is what the configuration says of one target.
+// Target is the configuration of one target.
 type Target struct {
 	Name   string
 	Region string
 	Zone   string
-	// Model or Service is what the target serves; one of them is set.
+	// Model or Service is what the target serves; exactly one of them is set.
 	Model   string
 	Version string
 	// Adapters are the adapters that the target has or may load.
@@ -60,9 +60,9 @@
 
 // Load is the state of a target as its agent measured it.
 type Load struct {
-	// Incarnation numbers the agent's lives; a lower one is stale.
+	// Incarnation numbers the agent's processes; a lower one is stale.
 	Incarnation uint64
-	// Queued is the work waiting for a place in the batch, in tokens.
+	// Queued is the work waiting for a free slot in the batch, in tokens.
 	Queued float64
 	// Running is the number of requests in the batch.
 	Running int
@@ -99,19 +99,17 @@
 	Exclude Exclude
 }
 
-// maxExclude bounds the excluded targets of one query: the home of its key
-// and the targets tried before, which the retry policy keeps below this.
+// maxExclude bounds the excluded targets of one query: the home of its key and the targets
+// tried before, whose number the retry policy keeps below this.
 const maxExclude = 8
 
-// Exclude is a small set of target indices without allocation. The zero value
-// is empty.
+// Exclude is a small set of target indices that needs no allocation. The zero value is empty.
 type Exclude struct {
 	n   int
 	set [maxExclude]uint16
 }
 
-// Add puts target i into the set. It reports false if the set is full, which
-// leaves i out of it.
+// Add adds target i to the set. It reports false if the set is full and does not contain i.
 func (e *Exclude) Add(i int) bool {
 	if e.Has(i) {
 		return true
@@ -140,21 +138,21 @@
 	Entry  string
 	Region string
 	Zone   string
-	// Index is the entry's place among the sorted names of Entries live
-	// entries. With Entries zero the place is hashed from the name, which
-	// spreads the subsets less evenly.
+	// Index is the entry's position among the sorted names of Entries live entries. With
+	// Entries zero the position is hashed from the name, which distributes the subsets less
+	// evenly.
 	Index   int
 	Entries int
 	// Subset is how many targets of a pool the entry chooses from at random.
 	Subset int
-	// Choices is the d of the power of d choices. Zero lets it follow from
-	// the number of entries that share a target; see Table.
+	// Choices is the d of the power of d choices. Zero derives it from the number of entries
+	// that share a target; see the package comment.
 	Choices int
-	// LoadBound is the most load a target may have for its prefix affinity to
-	// hold, as a multiple of the mean.
+	// LoadBound is the highest load at which a target still gets requests by prefix affinity,
+	// as a multiple of the mean.
 	LoadBound float64
-	// LoadDecay is the time constant in which a load, as it ages, gives way to
-	// the mean of all targets.
+	// LoadDecay is the time constant with which an ageing load approaches the mean of all
+	// targets.
 	LoadDecay time.Duration
 	// ZonePenalty and RegionPenalty are added to the expected time of targets
 	// in another zone or region.
--- a/core/request/route/route_test.go
+++ b/core/request/route/route_test.go
@@ -96,10 +96,10 @@
 	is.New(t).Equal(allocs, 0.0)
 }
 
-// An entry hears at one moment that one target is idle. All entries hear the
-// same, seconds late, and all send it their requests until the next report:
-// callers on that target wait while others idle. The cause is that an old load
-// is taken for the present one.
+// All entries receive the report that one target is idle, seconds late, and all
+// send it their requests until the next report: callers on that target wait
+// while others are idle. The cause is that an old load is taken for the current
+// one.
 func TestOldLoadGivesWayToMean(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(4, Options{Choices: 4})
@@ -115,8 +115,8 @@
 }
 
 // A lagging report reaches the entry after it sent a burst to the target. The
-// report was taken before the burst and says "idle", and the entry would send
-// the next burst there as well.
+// load was measured before the burst and is idle, and the entry would send the
+// next burst there as well.
 func TestReportKeepsWorkSentSince(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(2, Options{Choices: 2, LoadDecay: time.Hour})
@@ -132,9 +132,8 @@
 	is.Equal(shares(table, q, now, rng, 100)[0], 1.0)
 }
 
-// One workspace sends the same style notes before every prompt, at closing
-// time. Affinity names one target for all of it: its queue grows while the
-// other targets idle, and the members wait.
+// One workspace sends the same style notes before every prompt. Affinity selects
+// one target for all of them: its queue grows while the other targets are idle.
 func TestAffinityYieldsToBound(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(8, Options{})
@@ -155,12 +154,12 @@
 	is.True(worst <= 1.25+0.05) // a load is bounded but for one request
 	fresh, _ := newTable(8, Options{})
 	first, _ := fresh.Pick(q, start, rng)
-	is.Equal(shares(fresh, q, start, rng, 100)[first], 1.0) // without load it sticks
+	is.Equal(shares(fresh, q, start, rng, 100)[first], 1.0) // without load affinity holds
 }
 
-// Other entries fill the target that a prefix names, or its group switches its
-// expert map. This entry has sent it nothing and would go on to, for a cached
-// prefix that saves less than the wait.
+// Other entries fill the target that a prefix selects, or its group changes its
+// expert map. This entry would still send requests there, for a cached prefix
+// that saves less than the wait.
 func TestAffinityYieldsToOthersWork(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{})
@@ -187,9 +186,9 @@
 	is.Equal(shares(table, &Query{Model: "caption", Prefix: 42, Cost: 1, CacheSavings: 1e6}, later, rng, 100)[home], 0.0)
 }
 
-// Twenty entries hear at the same moments that a target idles, and all send it
-// the popular prefix before they hear again: each word they get is true, and
-// still the target has half as much work again as the others.
+// Twenty entries receive at the same time the report that a target is idle, and
+// all send it the popular prefix before the next report: each report is correct,
+// and still the target gets half as much work again as the others.
 func TestAffinityBoundsOwnWork(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(8, Options{})
@@ -204,8 +203,9 @@
 	is.True(slices.Max(count) <= 130)
 }
 
-// A workspace's prompts must not be steered to the place where another's equal
-// prompt is cached: a fast first token would tell that the other had asked it.
+// A workspace's prompts must not be routed to the target where an equal prompt of
+// another workspace is cached: a fast first token would show that the other had
+// sent it.
 func TestPrefixIsSalted(t *testing.T) {
 	is := is.New(t)
 	prompt := string(make([]byte, 2*prefixBytes))
@@ -214,9 +214,9 @@
 	is.Equal(Prefix("erie", "short"), uint64(0))
 }
 
-// An agent says in the last frame of one stream that it drains. The last frame
-// of another stream, sent earlier, arrives after it and says that it does not:
-// requests would go on being sent there and refused.
+// An agent reports in the last frame of one stream that it drains. The last frame
+// of another stream, sent earlier, arrives after it without that report: requests
+// would still be sent there and refused.
 func TestDrainOutlastsOvertakenFrames(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(2, Options{})
@@ -227,12 +227,12 @@
 	table.Observe(0, Load{Incarnation: 2}, start.Add(time.Second)) // a new process
 	is.True(shares(table, q, start, rng, 100)[0] > 0)
 	table.Observe(0, Load{Incarnation: 1, Draining: true}, start.Add(2*time.Second))
-	is.True(shares(table, q, start, rng, 100)[0] > 0) // the old one has no say
+	is.True(shares(table, q, start, rng, 100)[0] > 0) // the old process is ignored
 }
 
-// Operators replace a target while a request runs there. The request's end
-// must not be booked on the target that is new in its place, which would then
-// look idle and be overloaded.
+// Operators replace a target while a request runs there. The end of the request
+// must not be counted for a new target with the same index, which would then look
+// idle and be overloaded.
 func TestUpdateKeepsIndicesInFlight(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(3, Options{})
@@ -250,11 +250,11 @@
 	i, _ = table.Lookup("target-004")
 	is.True(i == 1 || i == 4)
 	is.Equal(table.Target(i).Name, "target-004")
-	var sum crowd
+	var sum aggregate
 	for k := range table.states {
 		sum.add(table.states[k].queued, table.states[k].busy)
 	}
-	is.True(math.Abs(sum.busy-table.crowds[1].busy) < 1e-9)
+	is.True(math.Abs(sum.busy-table.aggregates[1].busy) < 1e-9)
 }
 
 func TestHealthSharesAndProbes(t *testing.T) {
@@ -270,13 +270,13 @@
 	is.Equal(shares(table, &Query{Model: "caption", MayNotRepeat: true}, start, rng, 200)[0], 0.0)
 	is.Equal(shares(table, &Query{Model: "caption", Urgent: true}, start, rng, 200)[0], 0.0)
 	is.Equal(shares(table, &Query{Model: "obituary"}, start, rng, 200)[0], 0.0)
-	is.Equal(shares(table, q, start, rng, 200)[0], 1.0) // the next one goes there
+	is.Equal(shares(table, q, start, rng, 200)[0], 1.0) // the next request goes there
 	table.Start(0, 1, start)
 	is.Equal(shares(table, q, start, rng, 200)[0], 0.0) // one probe only
 }
 
 // All targets of a model are ejected. A booking that may not be repeated is
-// better refused, truly not run, than tried with an outcome nobody will know.
+// refused, which is certainly not run, rather than tried with an unknown outcome.
 func TestEjectedTargetsGetNoBookings(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(3, Options{})
@@ -319,7 +319,7 @@
 	is.True(shares(table, q, start.Add(time.Minute), rng, 200)[0] > 0)
 	table.PenaliseGroup("h", time.Second, start.Add(time.Second))
 	table.PenaliseGroup("g", time.Second, start.Add(time.Second))
-	is.Equal(shares(table, q, start, rng, 200)[2], 1.0) // spills over
+	is.Equal(shares(table, q, start, rng, 200)[2], 1.0) // overflows to the other region
 }
 
 func TestSubsetsLoadTargetsEvenly(t *testing.T) {
@@ -359,7 +359,7 @@
 	for _, c := range count {
 		is.True(c >= smallRing/84 && c <= smallRing/84+1)
 	}
-	// A target that leaves moves its own keys and few others.
+	// A removed target moves its own keys and few others.
 	size := uint64(len(full))
 	less := buildRing(members[:83], name)
 	moved := 0
@@ -372,8 +372,8 @@
 	is.True(moved < 500) // of 10000
 }
 
-// All ranks of a group wait for the slowest one in each step. A slow rank gets
-// no requests while the others may take them, and all if it is the only one left.
+// All ranks of a group wait for the slowest one in each step. A slow rank gets no
+// requests while others can take them, and all if it is the only one left.
 func TestAvoidedTarget(t *testing.T) {
 	is := is.New(t)
 	tab := New(Options{Entry: "e", Choices: 8})
--- a/core/request/route/subset.go
+++ b/core/request/route/subset.go
@@ -11,8 +11,8 @@
 // the indices of one round get disjoint parts of the same permutation, so that
 // every round loads each member once (deterministic subsetting, Site
 // Reliability Engineering, chapter 20). The permutation orders the members by
-// a hash of round and name, not by a shuffle of the list: a member that comes
-// or goes shifts the parts by one place and leaves the order of the others.
+// a hash of round and name, not by a shuffle of the list: an added or removed
+// member shifts the parts by one position and leaves the order of the others.
 func subset(members []uint16, name func(uint16) string, index, size int) []uint16 {
 	if len(members) <= size {
 		return members
@@ -54,7 +54,7 @@
 }
 
 // hashedIndexSpan is the range of the index of an entry that does not know its
-// place among the others.
+// position among the others.
 const hashedIndexSpan = 4096
 
 func (o Options) index() int {
@@ -65,15 +65,15 @@
 }
 
 const (
-	// fewEntries is up to how many entries may share a target for each to
-	// take the best of its subset; measured, see the design note on routing.
+	// fewEntries is the highest number of entries sharing a target at which each
+	// still takes the best of its subset; see the design note on routing.
 	fewEntries = 25
 	// minChoices is the number of choices when the entries are many, or it is
 	// not known how many there are.
 	minChoices = 2
 )
 
-// choices returns how many of its subset an entry looks at in a pool.
+// choices returns how many members of its subset an entry considers in a pool.
 func (o Options) choices(members int) int {
 	if o.Choices > 0 {
 		return o.Choices
--- a/core/request/route/table.go
+++ b/core/request/route/table.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// crowd holds sums over the targets of one model or service.
-type crowd struct {
+// aggregate holds sums over the targets of one model or service.
+type aggregate struct {
 	size   int
 	known  int
 	queued float64 // tokens
@@ -16,24 +16,24 @@
 	sentAt int64
 }
 
-// slowdown is a passing penalty on all targets of a group.
-type slowdown struct {
+// groupPenalty is a temporary penalty on all targets of a group.
+type groupPenalty struct {
 	seconds float64
 	until   int64
 }
 
-// Table is one entry's knowledge of all targets. Targets have indices that
-// stay the same while they are configured or have requests in flight.
+// Table is the knowledge of one entry of all targets. Targets have indices that stay the same
+// while they are configured or have requests in flight.
 type Table struct {
-	opt     Options
-	targets []Target
-	states  []state
-	recents []recent
-	byName  map[string]int
-	pools   map[poolKey]*pool
-	crowds  []crowd
-	groups  []slowdown
-	byGroup map[string]int
+	opt        Options
+	targets    []Target
+	states     []state
+	recents    []recent
+	byName     map[string]int
+	pools      map[poolKey]*pool
+	aggregates []aggregate
+	groups     []groupPenalty
+	byGroup    map[string]int
 	// probing are the half-open targets that wait for a single request.
 	probing []uint16
 	epoch   time.Time
@@ -46,7 +46,7 @@
 		byName:  map[string]int{},
 		pools:   map[poolKey]*pool{},
 		byGroup: map[string]int{"": 0},
-		groups:  make([]slowdown, 1),
+		groups:  make([]groupPenalty, 1),
 	}
 }
 
@@ -66,8 +66,8 @@
 	return i, ok
 }
 
-// SetEntries tells the table its entry's place among the sorted names of the
-// live entries, and cuts the subsets anew.
+// SetEntries sets the entry's position among the sorted names of the live entries, and
+// computes the subsets again.
 func (t *Table) SetEntries(index, entries int) {
 	if t.opt.Index == index && t.opt.Entries == entries {
 		return
@@ -76,9 +76,9 @@
 	t.rebuild()
 }
 
-// Update sets the configured targets. Targets that stay keep their index and
-// their state; the indices of removed ones are used again only when they have
-// no request in flight, so that a late end never reaches another target.
+// Update sets the configured targets. Targets that stay keep their index and their state; the
+// indices of removed ones are reused only when they have no request in flight, so that a late
+// end never counts for another target.
 func (t *Table) Update(targets []Target) {
 	wanted := make(map[string]bool, len(targets))
 	for _, g := range targets {
@@ -91,11 +91,11 @@
 			t.setProbing(i, false)
 		}
 	}
-	free := t.freeSlots()
+	free := t.freeIndices()
 	for _, g := range targets {
 		i, ok := t.byName[g.Name]
 		if !ok {
-			i, free = t.slot(free)
+			i, free = t.takeIndex(free)
 			t.states[i] = state{share: 1}
 			t.recents[i] = recent{}
 			t.byName[g.Name] = i
@@ -106,7 +106,7 @@
 	t.rebuild()
 }
 
-func (t *Table) freeSlots() []int {
+func (t *Table) freeIndices() []int {
 	var free []int
 	for i := range t.states {
 		if !t.states[i].configured && t.states[i].inFlight == 0 {
@@ -116,8 +116,8 @@
 	return free
 }
 
-// slot takes a free index, or a new one.
-func (t *Table) slot(free []int) (int, []int) {
+// takeIndex returns a free index, or a new one, and the remaining free ones.
+func (t *Table) takeIndex(free []int) (int, []int) {
 	if len(free) > 0 {
 		return free[0], free[1:]
 	}
@@ -138,44 +138,44 @@
 	g, ok := t.byGroup[name]
 	if !ok {
 		g = len(t.groups)
-		t.groups = append(t.groups, slowdown{})
+		t.groups = append(t.groups, groupPenalty{})
 		t.byGroup[name] = g
 	}
 	return g
 }
 
-// rebuildCrowds assigns the targets to crowds and sums their states anew.
-func (t *Table) rebuildCrowds() {
+// rebuildAggregates assigns the targets to aggregates and sums their states again.
+func (t *Table) rebuildAggregates() {
 	type served struct{ model, service string }
 	index := map[served]int{}
-	old := t.crowds
-	// The first crowd is that of removed targets, whose requests still end.
-	t.crowds = make([]crowd, 1)
+	old := t.aggregates
+	// The first aggregate is for removed targets, whose requests may still end.
+	t.aggregates = make([]aggregate, 1)
 	for i := range t.targets {
 		s := &t.states[i]
 		if !s.configured {
-			s.crowd = 0
+			s.aggregate = 0
 			continue
 		}
 		key := served{t.targets[i].Model, t.targets[i].Service}
 		c, ok := index[key]
 		if !ok {
-			c = len(t.crowds)
+			c = len(t.aggregates)
 			index[key] = c
-			t.crowds = append(t.crowds, crowd{})
-			if s.crowd < len(old) && s.known {
-				t.crowds[c].rate, t.crowds[c].cost = old[s.crowd].rate, old[s.crowd].cost
+			t.aggregates = append(t.aggregates, aggregate{})
+			if s.aggregate < len(old) && s.known {
+				t.aggregates[c].rate, t.aggregates[c].cost = old[s.aggregate].rate, old[s.aggregate].cost
 			}
 		}
-		s.crowd = c
-		t.crowds[c].size++
+		s.aggregate = c
+		t.aggregates[c].size++
 		if s.known {
-			t.crowds[c].add(s.queued, s.busy)
+			t.aggregates[c].add(s.queued, s.busy)
 		}
 	}
 }
 
-func (c *crowd) add(queued, busy float64) {
+func (c *aggregate) add(queued, busy float64) {
 	c.known++
 	c.queued += queued
 	c.busy += busy
