--- a/core/request/permit/availability.go
+++ b/core/request/permit/availability.go
@@ -3,43 +3,42 @@
 import "time"
 
 const (
-	// claimTime is how long it takes a sender at most to claim permits of a target that has
-	// some left.
-	claimTime = time.Second
-	// waitPart is the part of its caller's time for which a request waits: callers who are
-	// refused come back no later, and have a try less then.
-	waitPart = 1.0 / 3
+	// maxClaimTime is the longest time that a sender needs to claim permits of a target that
+	// has free ones.
+	maxClaimTime = time.Second
+	// maxWaitFraction is the fraction of its caller's time for which a request waits: callers
+	// that are refused later don't retry any later, and have one try less then.
+	maxWaitFraction = 1.0 / 3
 )
 
-// ReasonThrottled is why a request is refused that no target takes yet.
+// ReasonThrottled is the reason of refusals of requests that no target accepts yet.
 const ReasonThrottled = "targets-throttled"
 
-// Availability is what is known of the targets of a service that may take a request but not yet.
-//
-// The load pattern it answers is a service all of whose targets name limits. What they take is
-// a part of what comes, so that whoever can't have its turn soon is told at once when to come
-// back, and the others wait instead of losing one of their few tries.
+// Availability describes the targets of a service that may accept a request, but not yet.
+// The load pattern it handles is a service all of whose targets set limits. They accept only a
+// part of the requests, so that a request that will not be sent soon is refused at once with a
+// time to retry, and the others wait instead of using up one of their few tries.
 type Availability struct {
-	// At is when the first of them takes a request; zero if this is not known, since permits
-	// are still to be claimed.
+	// At is when the first of them accepts a request; zero if this is not known, because
+	// permits are still to be claimed.
 	At time.Time
-	// Rate is how many requests a second they take of this sender together.
+	// Rate is the number of requests a second that they accept from this sender together.
 	Rate float64
-	// Waiting is how many requests wait for them already.
+	// Waiting is the number of requests that already wait for them.
 	Waiting int
 }
 
-// WaitDeadline returns until when a request may wait that came at a time and whose caller has gone
-// at a deadline.
-func WaitDeadline(came, deadline time.Time) time.Time {
-	return came.Add(time.Duration(float64(deadline.Sub(came)) * waitPart))
+// WaitDeadline returns until when a request may wait that arrived at a time and whose caller
+// disconnects at a deadline.
+func WaitDeadline(arrived, deadline time.Time) time.Time {
+	return arrived.Add(time.Duration(float64(deadline.Sub(arrived)) * maxWaitFraction))
 }
 
-// ExpectedStart returns when a request has its turn, if it comes now.
+// ExpectedStart returns when a request that arrives now is expected to be sent.
 func (o Availability) ExpectedStart(now time.Time) time.Time {
 	turn := o.At
 	if turn.IsZero() {
-		turn = now.Add(claimTime)
+		turn = now.Add(maxClaimTime)
 	}
 	if turn.Before(now) {
 		turn = now
@@ -50,8 +49,8 @@
 	return turn
 }
 
-// Add takes a further target into the opening: when it takes a request, zero if this is not
-// known, and how many a second.
+// Add adds a target: when it accepts a request, zero if this is not known, and how many a
+// second.
 func (o *Availability) Add(at time.Time, rate float64) {
 	if !at.IsZero() && (o.At.IsZero() || at.Before(o.At)) {
 		o.At = at
--- a/core/request/permit/change.go
+++ b/core/request/permit/change.go
@@ -9,29 +9,29 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// Change is a change of the store that a Tracker wants.
+// Change is a change of the store that a Tracker requests.
 type Change struct {
 	kv.Change
-	// Target is the target whose permit it is about, Kind what becomes of it.
+	// Target is the target of the permit, Kind the type of the change.
 	Target string
 	Kind   Kind
 	record Record
 }
 
-// Kind says what a Change does.
+// Kind is the type of a Change.
 type Kind int
 
 // The kinds of changes.
 const (
-	// Claim takes a permit that nobody has.
+	// Claim takes a free permit.
 	Claim Kind = iota
-	// Release gives one back.
+	// Release gives up a permit.
 	Release
-	// Clear tells the others that a target names no limit any more.
+	// Clear informs the other senders that a target no longer sets a limit.
 	Clear
 )
 
-// String returns the name that log lines have.
+// String returns the name for log lines.
 func (k Kind) String() string { return [...]string{"claim", "release", "lift"}[k] }
 
 // NeedsLease reports whether this sender holds permits, or may claim some.
@@ -41,7 +41,7 @@
 			return true
 		}
 		for _, p := range t.permits {
-			if p.Holder == tr.self && p.Lease == tr.lease {
+			if p.Holder == tr.holder && p.Lease == tr.lease {
 				return true
 			}
 		}
@@ -49,46 +49,46 @@
 	return false
 }
 
-// demands reports whether there are requests for a target.
+// demands reports whether there are recent requests for the service of a target.
 func (tr *Tracker) demands(t *target, now time.Time) bool {
-	at, ok := tr.demanded[t.service]
-	return ok && now.Sub(at) < demandFor
+	at, ok := tr.lastDemand[t.service]
+	return ok && now.Sub(at) < demandWindow
 }
 
-// NextChange returns the change of the store that is wanted most, and whether there is one. Without
-// a lease there is none.
+// NextChange returns the most urgent change of the store, and whether there is one. Without a
+// lease there is none.
 func (tr *Tracker) NextChange(now time.Time) (Change, bool) {
 	if tr.lease == 0 || now.Before(tr.nextChange) || !now.Before(tr.leaseEnds) {
 		return Change{}, false
 	}
 	names := slices.Sorted(maps.Keys(tr.targets))
 	for _, id := range names {
-		if c, ok := tr.giveBack(tr.targets[id], now); ok {
+		if c, ok := tr.releaseUnneeded(tr.targets[id], now); ok {
 			return c, true
 		}
 	}
 	return tr.claim(names, now)
 }
 
-// giveBack returns the change for a permit of this sender that it has no use for: of a target
-// that names no limit any more, of an earlier start, beyond the number of a lower limit, or
-// one that was not used.
-func (tr *Tracker) giveBack(t *target, now time.Time) (Change, bool) {
+// releaseUnneeded returns the change for a permit of this sender that it does not need: of a
+// target that no longer sets a limit, of an earlier start of the target, beyond the number of
+// permits of a lower limit, or unused.
+func (tr *Tracker) releaseUnneeded(t *target, now time.Time) (Change, bool) {
 	for _, i := range slices.Sorted(maps.Keys(t.permits)) {
 		p := t.permits[i]
-		if p.Holder != tr.self || p.Lease != tr.lease {
+		if p.Holder != tr.holder || p.Lease != tr.lease {
 			continue
 		}
-		if t.untold && p.StartedAt == t.born {
+		if t.clearPending && p.StartedAt == t.startedAt {
 			r := p.Record
 			r.Cleared = true
 			return change(Clear, r, p.revision), true
 		}
-		stands := p.Cleared && now.Sub(t.liftedAt) < liftedFor
-		idle := t.limited && now.Sub(t.last) > idleFor+spacing(t.limit, 1)
-		if !stands && (!t.limited || p.StartedAt != t.born || p.Cleared || p.Index >= Count(t.limit) || idle) {
+		retained := p.Cleared && now.Sub(t.clearedAt) < clearedRetention
+		idle := t.limited && now.Sub(t.lastSent) > idleTimeout+spacing(t.limit, 1)
+		if !retained && (!t.limited || p.StartedAt != t.startedAt || p.Cleared || p.Index >= Count(t.limit) || idle) {
 			if idle {
-				t.claimAt = now.Add(idleFor)
+				t.claimAt = now.Add(idleTimeout)
 			}
 			return change(Release, p.Record, p.revision), true
 		}
@@ -96,7 +96,7 @@
 	return Change{}, false
 }
 
-// change returns the change of a permit that has a revision; 0 if it must not be there.
+// change returns the change of a permit with a given revision; 0 if it must not exist.
 func change(k Kind, r Record, revision int64) Change {
 	c := Change{Target: r.Target, Kind: k, record: r}
 	c.Expect = []kv.Condition{{Key: r.Key(), Revision: revision}}
@@ -108,14 +108,14 @@
 	return c
 }
 
-// claim returns the change that takes a permit of one of the targets of which this sender
-// holds the fewest. Names are those of all targets.
+// claim returns the change that claims a permit of one of the targets of which this sender
+// holds the fewest. names are those of all targets.
 func (tr *Tracker) claim(names []string, now time.Time) (Change, bool) {
 	if len(names) == 0 {
 		return Change{}, false
 	}
 	id, least := "", maxPermits+1
-	// Senders that begin with the same target would claim the same permits.
+	// Senders that started with the same target would claim the same permits.
 	for k, first := 0, tr.rng.IntN(len(names)); k < len(names); k++ {
 		name := names[(first+k)%len(names)]
 		t := tr.targets[name]
@@ -130,20 +130,20 @@
 	free := tr.free(t)
 	index := free[tr.rng.IntN(len(free))]
 	t.missed = false
-	t.claimAt = now.Add(time.Duration(least+1) * moreAfter)
+	t.claimAt = now.Add(time.Duration(least+1) * claimDelay)
 	return change(Claim, Record{
-		Target: id, Service: t.service, StartedAt: t.born, Limit: t.limit,
-		Index: index, Holder: tr.self, Lease: tr.lease,
+		Target: id, Service: t.service, StartedAt: t.startedAt, Limit: t.limit,
+		Index: index, Holder: tr.holder, Lease: tr.lease,
 	}, t.permits[index].revision), true
 }
 
-// wants reports whether this sender, which holds n permits of a target, wants a further one.
+// wants reports whether this sender, which holds n permits of a target, needs a further one.
 func (tr *Tracker) wants(t *target, n int, now time.Time) bool {
 	return t.limited && !now.Before(t.claimAt) && tr.demands(t, now) && (n == 0 || t.missed)
 }
 
-// free returns the permits of a target that may be claimed, as far as is known: those that
-// nobody holds, and those of this instance under leases that are over.
+// free returns the permits of a target that may be claimed, as far as is known: those without
+// a holder, and those of this instance under expired leases.
 func (tr *Tracker) free(t *target) []int {
 	var free []int
 	for i := range Count(t.limit) {
@@ -156,10 +156,10 @@
 	return free
 }
 
-// Complete takes what became of a change: the revision at which the store has made it, or that
-// this is not known or has failed.
-func (tr *Tracker) Complete(c Change, revision int64, made bool, now time.Time) {
-	if !made {
+// Complete processes the result of a change: the revision at which the store has applied it,
+// or that it failed or its result is unknown.
+func (tr *Tracker) Complete(c Change, revision int64, applied bool, now time.Time) {
+	if !applied {
 		tr.pause = min(2*tr.pause, maxClaimPause)
 		tr.nextChange = now.Add(tr.pause/2 + time.Duration(tr.rng.Int64N(int64(tr.pause))))
 		return
@@ -171,11 +171,11 @@
 	case c.Kind == Release:
 		tr.remove(c.record.Key(), revision)
 		if t != nil {
-			tr.tidy(c.Target)
+			tr.dropIfUnused(c.Target)
 		}
 		return
 	case c.Kind == Clear && t != nil:
-		t.untold = false
+		t.clearPending = false
 	}
 	tr.put(c.record, revision, now)
 }
--- a/core/request/permit/pacer.go
+++ b/core/request/permit/pacer.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Pacer keeps to the limit and the pauses of a target on behalf of its only sender, which needs
-// no permits. The zero value knows of none.
+// Pacer enforces the limit and the pauses of a target on behalf of its only sender, which
+// needs no permits. The zero value has neither.
 type Pacer struct {
-	limit   float64
-	limited bool
-	last    time.Time
-	// paused is until when the target wants nothing.
+	limit    float64
+	limited  bool
+	lastSent time.Time
+	// paused is until when the target accepts no requests.
 	paused time.Time
 }
 
-// Pause takes the word of the target that it wants nothing for a time.
+// Pause records that the target asked for a pause.
 func (p *Pacer) Pause(d time.Duration, now time.Time) {
 	if until := now.Add(d); d > 0 && until.After(p.paused) {
 		p.paused = until
 	}
 }
 
-// Paused returns for how long the target wants nothing; 0 if it takes requests.
+// Paused returns how long the target still accepts no requests; 0 if it accepts them.
 func (p *Pacer) Paused(now time.Time) time.Duration { return max(p.paused.Sub(now), 0) }
 
-// SetLimit takes the limit that an answer names, in requests a second, or nil if it names none.
-// It reports whether the limit has changed.
+// SetLimit sets the limit that a response names, in requests a second, or nil if it names
+// none. It reports whether the limit has changed.
 func (p *Pacer) SetLimit(limit *float64, now time.Time) bool {
 	if limit == nil {
 		changed := p.limited
@@ -37,7 +37,7 @@
 	}
 	changed := !p.limited || p.limit != *limit
 	if !p.limited {
-		p.last = now
+		p.lastSent = now
 	}
 	p.limited, p.limit = true, *limit
 	return changed
@@ -48,17 +48,17 @@
 	if !p.limited {
 		return p.paused
 	}
-	at := p.last.Add(time.Duration(float64(time.Second) / max(p.limit, leastRate)))
+	at := p.lastSent.Add(time.Duration(float64(time.Second) / max(p.limit, minRate)))
 	if at.Before(p.paused) {
 		return p.paused
 	}
 	return at
 }
 
-// RecordSent counts a request that the target is sent.
-func (p *Pacer) RecordSent(now time.Time) { p.last = now }
+// RecordSent records that a request is sent to the target.
+func (p *Pacer) RecordSent(now time.Time) { p.lastSent = now }
 
-// ParseLimit decodes a limit in requests a second, a decimal number that is not negative. It
+// ParseLimit parses a limit in requests a second, a decimal number that is not negative. It
 // returns nil for anything else.
 func ParseLimit(s string) *float64 {
 	f, err := strconv.ParseFloat(strings.TrimSpace(s), 64)
--- a/core/request/permit/record.go
+++ b/core/request/permit/record.go
@@ -7,23 +7,23 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// Prefix begins the keys of the store that hold permits.
+// Prefix is the prefix of the store keys of permits.
 const Prefix = "verbenashift/permits/"
 
-// Record is a permit as it stands in the store.
+// Record is the stored form of a permit.
 type Record struct {
 	Target  string `json:"target"`
 	Service string `json:"service"`
-	// StartedAt tells the starts of a target under one name apart, in Unix milliseconds.
+	// StartedAt distinguishes the starts of a target under one name, in Unix milliseconds.
 	StartedAt int64 `json:"born"`
-	// Limit is what the target takes from all senders, in requests a second.
+	// Limit is what the target accepts from all senders, in requests a second.
 	Limit float64 `json:"limit"`
 	// Index numbers the permits of a target from 0.
 	Index  int    `json:"index"`
 	Holder string `json:"holder"`
-	// Lease is the holder's own: a permit of an earlier lease of the holder is void.
+	// Lease is the holder's lease: a permit under an earlier lease of the holder is void.
 	Lease int64 `json:"lease"`
-	// Cleared says that the target names no limit any more.
+	// Cleared says that the target no longer sets a limit.
 	Cleared bool `json:"lifted,omitempty"`
 }
 
@@ -32,16 +32,16 @@
 	return fmt.Sprintf("%s%s/%d", Prefix, kv.Short(r.Target), r.Index)
 }
 
-// bytes returns the record as it stands in the store.
+// bytes returns the encoding of the record in the store.
 func (r *Record) bytes() []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // It has no fields that can't be encoded: a limit is finite.
+		panic(err) // All fields can be encoded: a limit is finite.
 	}
 	return data
 }
 
-// parse decodes a permit. Another writer may have left anything under its key.
+// parse decodes a permit. Other writers may have stored anything under its key.
 func parse(it kv.Item) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(it.Value, &r); err != nil {
@@ -53,13 +53,13 @@
 	return r, nil
 }
 
-// RecordError says that an item of the store is no permit of the key that it stands under.
+// RecordError reports a stored item that is not the permit of its key.
 type RecordError struct {
 	Key    string
 	Record Record
 }
 
-// Error names the key and what stands there.
+// Error names the key and the content.
 func (e *RecordError) Error() string {
 	return fmt.Sprintf("permit: %s: permit %d of target %q", e.Key, e.Record.Index, e.Record.Target)
 }
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -11,68 +11,69 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// load is what a replay meets: a target that names a limit before many senders.
-type load struct {
+// scenario is a simulated load: a target that sets a limit, and many senders.
+type scenario struct {
 	senders int
 	limit   float64
-	// wanted is how many requests a second each sender would send to it.
+	// wanted is the number of requests a second that each sender has for the target.
 	wanted float64
-	// rush is how often all senders have a request at once; 0 for never.
+	// rush is the interval at which all senders have a request at once; 0 for never.
 	rush time.Duration
-	// restarts is how often a sender starts again, cut how long the store answers nobody.
+	// restarts is how many times a sender restarts; cut is how long the store does not answer.
 	restarts int
 	cut      time.Duration
-	// lifted is when the target names no limit any more; 0 for never.
-	lifted time.Duration
+	// clearedAfter is when the target stops setting a limit; 0 for never.
+	clearedAfter time.Duration
 }
 
 const (
 	replayFor  = 60 * time.Second
 	replayStep = 20 * time.Millisecond
-	// replayDelay is the longest time in which a sender hears of a change of the store.
+	// replayDelay is the longest time until a sender receives a change of the store.
 	replayDelay = 300 * time.Millisecond
 	replayTTL   = 12 * time.Second
 	replayRenew = 4 * time.Second
-	// settled is when the senders have to keep the limit, span over which it is judged.
-	settled = 3 * time.Second
-	span    = 4 * time.Second
+	// warmUp is when the senders must keep the limit, span the window over which it is
+	// checked.
+	warmUp = 3 * time.Second
+	span   = 4 * time.Second
 )
 
 var start = time.Unix(1000, 0)
 
-// way is how a sender decides whether it may send.
-type way interface {
-	named(limit *float64, sent, now time.Time)
+// policy decides whether a sender may send.
+type policy interface {
+	observe(limit *float64, sent, now time.Time)
 	ready(now time.Time) bool
-	use(now time.Time)
+	recordSent(now time.Time)
 }
 
-// unheeding sends whatever the target says.
-type unheeding struct{}
+// unlimited sends regardless of limits.
+type unlimited struct{}
 
-func (unheeding) named(*float64, time.Time, time.Time) {}
-func (unheeding) ready(time.Time) bool                 { return true }
-func (unheeding) use(time.Time)                        {}
+func (unlimited) observe(*float64, time.Time, time.Time) {}
+func (unlimited) ready(time.Time) bool                   { return true }
+func (unlimited) recordSent(time.Time)                   {}
 
-// parted keeps to an equal part of the limit.
-type parted struct {
+// localLimit enforces an equal part of the limit.
+type localLimit struct {
 	part  float64
 	limit float64
 	last  time.Time
 }
 
-func (p *parted) named(limit *float64, _, now time.Time) {
+func (p *localLimit) observe(limit *float64, _, now time.Time) {
 	if limit != nil && p.limit == 0 {
 		p.limit, p.last = *limit*p.part, now
 	}
 }
 
-func (p *parted) ready(now time.Time) bool {
+func (p *localLimit) ready(now time.Time) bool {
 	return p.limit == 0 || now.Sub(p.last).Seconds()*p.limit >= 1
 }
-func (p *parted) use(now time.Time) { p.last = now }
+func (p *localLimit) recordSent(now time.Time) { p.last = now }
 
-// holder keeps to permits.
+// holder sends under permits.
 type holder struct {
 	*Tracker
 	sim     *replay
@@ -86,7 +87,7 @@
 	items []kv.Item
 }
 
-func (h *holder) named(limit *float64, sent, now time.Time) {
+func (h *holder) observe(limit *float64, sent, now time.Time) {
 	h.Observe(Response{Target: "t", Service: "s", StartedAt: 1, Limit: limit, Sent: sent}, now)
 }
 
@@ -94,17 +95,17 @@
 	h.RecordDemand("s", now)
 	return h.Ready("t", now)
 }
-func (h *holder) use(now time.Time) { h.RecordSent("t", now) }
+func (h *holder) recordSent(now time.Time) { h.RecordSent("t", now) }
 
-// replay is senders before a target and a store.
+// replay is a simulation of senders, a target and a store.
 type replay struct {
-	load
-	rng      *rand.Rand
-	now      time.Time
-	ways     []way
-	told     []time.Time
-	arrivals []time.Time
-	// counted are those of senders that had been told half a second before.
+	scenario
+	rng        *rand.Rand
+	now        time.Time
+	policies   []policy
+	informedAt []time.Time
+	arrivals   []time.Time
+	// counted are the arrivals from senders that had known the limit for half a second.
 	counted  []time.Time
 	revision int64
 	items    map[string]kv.Item
@@ -113,32 +114,32 @@
 	writes   int
 }
 
-func newReplay(l load, seed uint64, begin func(*replay, int) way) *replay {
+func newReplay(s scenario, seed uint64, begin func(*replay, int) policy) *replay {
 	r := &replay{
-		load: l, rng: rand.New(rand.NewPCG(seed, 7)), now: start, told: slices.Repeat([]time.Time{{}}, l.senders),
+		scenario: s, rng: rand.New(rand.NewPCG(seed, 7)), now: start, informedAt: slices.Repeat([]time.Time{{}}, s.senders),
 		items: map[string]kv.Item{}, leases: map[int64]time.Time{}, leaseOf: map[string]int64{},
 	}
-	for i := range l.senders {
-		r.ways = append(r.ways, begin(r, i))
+	for i := range s.senders {
+		r.policies = append(r.policies, begin(r, i))
 	}
 	return r
 }
 
-func withPermits(r *replay, i int) way {
+func withPermits(r *replay, i int) policy {
 	return &holder{Tracker: NewTracker(fmt.Sprintf("sender-%d", i), fmt.Sprint(r.rng.Uint32()), r.rng), sim: r}
 }
 
-func asOne(*replay, int) way          { return &parted{part: 1} }
-func equalParts(r *replay, _ int) way { return &parted{part: 1 / float64(r.senders)} }
-func heedless(*replay, int) way       { return unheeding{} }
+func asOne(*replay, int) policy          { return &localLimit{part: 1} }
+func equalParts(r *replay, _ int) policy { return &localLimit{part: 1 / float64(r.senders)} }
+func heedless(*replay, int) policy       { return unlimited{} }
 
-// run plays the load to its end.
+// run simulates the scenario.
 func (r *replay) run() {
 	for ; r.now.Before(start.Add(replayFor)); r.now = r.now.Add(replayStep) {
 		r.expire()
-		for _, w := range r.ways {
+		for _, w := range r.policies {
 			if h, ok := w.(*holder); ok {
-				h.act()
+				h.step()
 			}
 		}
 		r.restart()
@@ -146,32 +147,32 @@
 	}
 }
 
-// requests sends what comes in this step.
+// requests sends the requests of this step.
 func (r *replay) requests() {
 	part := r.wanted * replayStep.Seconds()
 	rush := r.rush > 0 && r.now.After(start) && r.now.Sub(start)%r.rush == 0
-	for i, w := range r.ways {
+	for i, w := range r.policies {
 		if !rush && r.rng.Float64() >= part || !w.ready(r.now) {
 			continue
 		}
-		w.use(r.now)
+		w.recordSent(r.now)
 		r.arrivals = append(r.arrivals, r.now)
-		if !r.told[i].IsZero() && r.now.Sub(r.told[i]) >= 500*time.Millisecond {
+		if !r.informedAt[i].IsZero() && r.now.Sub(r.informedAt[i]) >= 500*time.Millisecond {
 			r.counted = append(r.counted, r.now)
 		}
-		if r.lifted > 0 && r.now.Sub(start) >= r.lifted {
-			w.named(nil, r.now, r.now.Add(time.Millisecond))
+		if r.clearedAfter > 0 && r.now.Sub(start) >= r.clearedAfter {
+			w.observe(nil, r.now, r.now.Add(time.Millisecond))
 			continue
 		}
-		w.named(&r.limit, r.now, r.now)
-		if r.told[i].IsZero() {
-			r.told[i] = r.now
+		w.observe(&r.limit, r.now, r.now)
+		if r.informedAt[i].IsZero() {
+			r.informedAt[i] = r.now
 		}
 	}
 }
 
-// restart starts senders again at random moments: they know nothing but what stands in the
-// store, and their leases end in their own time.
+// restart restarts senders at random times: they know only what is in the store, and their
+// leases expire after their TTL.
 func (r *replay) restart() {
 	if r.restarts == 0 || r.rng.Float64() >= float64(r.restarts)*replayStep.Seconds()/replayFor.Seconds() {
 		return
@@ -179,7 +180,7 @@
 	i := r.rng.IntN(r.senders)
 	h := withPermits(r, i).(*holder)
 	h.Apply(slices.Collect(maps.Values(r.items)), true, r.now)
-	r.ways[i], r.told[i] = h, time.Time{}
+	r.policies[i], r.informedAt[i] = h, time.Time{}
 }
 
 func (r *replay) down() bool {
@@ -206,12 +207,12 @@
 	delete(r.items, key)
 	delete(r.leaseOf, key)
 	r.revision++
-	r.tell(kv.Item{Key: key, Revision: r.revision, Removed: true})
+	r.broadcast(kv.Item{Key: key, Revision: r.revision, Removed: true})
 }
 
-// tell has all senders hear of a change, each in its own time and in order.
-func (r *replay) tell(it kv.Item) {
-	for _, w := range r.ways {
+// broadcast sends a change to all senders, each with its own delay and in order.
+func (r *replay) broadcast(it kv.Item) {
+	for _, w := range r.policies {
 		if h, ok := w.(*holder); ok {
 			at := r.now.Add(time.Duration(r.rng.Int64N(int64(replayDelay))))
 			if n := len(h.inbox); n > 0 && at.Before(h.inbox[n-1].at) {
@@ -222,7 +223,7 @@
 	}
 }
 
-// change makes a change, all or nothing.
+// change applies a change atomically.
 func (r *replay) change(c kv.Change) (int64, bool) {
 	r.writes++
 	if r.down() {
@@ -240,7 +241,7 @@
 		r.revision++
 		it := kv.Item{Key: p.Key, Value: p.Value, Revision: r.revision}
 		r.items[p.Key], r.leaseOf[p.Key] = it, p.Lease
-		r.tell(it)
+		r.broadcast(it)
 	}
 	for _, key := range c.Deletes {
 		r.remove(key)
@@ -248,8 +249,9 @@
 	return r.revision, true
 }
 
-// act hears, renews the lease and asks for changes, as the owner of a Tracker does.
-func (h *holder) act() {
+// step processes the inbox, renews the lease and makes changes, as the owner of a Tracker
+// does.
+func (h *holder) step() {
 	now := h.sim.now
 	for len(h.inbox) > 0 && !now.Before(h.inbox[0].at) && !h.sim.down() {
 		h.Apply(h.inbox[0].items, false, now)
@@ -274,8 +276,9 @@
 	h.SetLease(h.lease, now.Add(replayTTL*9/10))
 }
 
-// most returns the most arrivals in a span from a time on, and how many there are.
-func most(arrivals []time.Time, from time.Duration) (peak, all int) {
+// peakCount returns the highest number of arrivals in a span after a time, and how many there
+// are in all.
+func peakCount(arrivals []time.Time, from time.Duration) (peak, all int) {
 	first := 0
 	for i, at := range arrivals {
 		if at.Before(start.Add(from)) {
@@ -290,13 +293,13 @@
 	return peak, all
 }
 
-// allowed is how many requests a target may get in span.
+// allowed is the number of requests that a target may get in span.
 func allowed(limit float64) int { return int(1.5*limit*span.Seconds()) + 5 }
 
-// Guards against senders that each keep a limit for themselves, or save up their parts of it:
-// at 390 of them a target that takes one request a second would get dozens at once.
+// Guards against senders that each enforce a limit by themselves, or accumulate their parts of
+// it: from 390 of them a target that accepts one request a second would get dozens at once.
 func TestReplayManySenders(t *testing.T) {
-	for _, l := range []load{
+	for _, l := range []scenario{
 		{senders: 6, limit: 1, wanted: 4},
 		{senders: 6, limit: 1, wanted: 4, rush: 10 * time.Second, restarts: 3},
 		{senders: 12, limit: 2.5, wanted: 8, rush: 10 * time.Second, restarts: 4},
@@ -310,11 +313,11 @@
 			for seed := range uint64(max(1, 106/l.senders)) {
 				r := newReplay(l, seed, withPermits)
 				r.run()
-				peak, all := most(r.counted, settled)
+				peak, all := peakCount(r.counted, warmUp)
 				if peak > allowed(l.limit) {
 					t.Errorf("seed %d: %d requests in %v, %d are allowed", seed, peak, span, allowed(l.limit))
 				}
-				offered := int(l.limit * (replayFor - settled - 2*l.cut).Seconds())
+				offered := int(l.limit * (replayFor - warmUp - 2*l.cut).Seconds())
 				if l.wanted >= l.limit/float64(Count(l.limit)) && all < offered*6/10 {
 					t.Errorf("seed %d: %d requests were sent, the target would have taken %d", seed, all, offered)
 				}
@@ -324,31 +327,31 @@
 	}
 }
 
-// The other ways break the limit under loads that permits bear: senders that heed nothing, that
-// each keep the limit for themselves, and that save up equal parts of it until all have a
-// request at once.
+// The simpler policies break the limit under loads that permits handle: senders that ignore
+// limits, that each enforce the limit by themselves, and that accumulate equal parts of it
+// until all have a request at once.
 func TestReplayOtherWays(t *testing.T) {
-	many := load{senders: 390, limit: 1, wanted: 0.02}
-	saving := load{senders: 20, limit: 1, wanted: 0.02, rush: 22 * time.Second}
+	many := scenario{senders: 390, limit: 1, wanted: 0.02}
+	saving := scenario{senders: 20, limit: 1, wanted: 0.02, rush: 22 * time.Second}
 	for _, c := range []struct {
 		name string
-		load
-		way func(*replay, int) way
+		scenario
+		way func(*replay, int) policy
 	}{
 		{"heedless", many, heedless},
 		{"as one", many, asOne},
 		{"equal parts", saving, equalParts},
 	} {
-		r := newReplay(c.load, 1, c.way)
+		r := newReplay(c.scenario, 1, c.way)
 		r.run()
-		peak, _ := most(r.counted, settled)
+		peak, _ := peakCount(r.counted, warmUp)
 		t.Logf("%s: %d requests in %v", c.name, peak, span)
 		if peak <= allowed(c.limit) {
 			t.Errorf("%s: the load tells nothing", c.name)
 		}
-		r = newReplay(c.load, 1, withPermits)
+		r = newReplay(c.scenario, 1, withPermits)
 		r.run()
-		peak, _ = most(r.counted, settled)
+		peak, _ = peakCount(r.counted, warmUp)
 		t.Logf("permits: %d requests in %v", peak, span)
 		if peak > allowed(c.limit) {
 			t.Errorf("permits: %d requests in %v, %d are allowed", peak, span, allowed(c.limit))
@@ -356,12 +359,12 @@
 	}
 }
 
-// Guards against senders that go on avoiding a target which names no limit any more.
+// Guards against senders that still avoid a target which no longer sets a limit.
 func TestReplayLifted(t *testing.T) {
 	for _, senders := range []int{6, 53, 390} {
-		r := newReplay(load{senders: senders, limit: 1, wanted: 4, lifted: 20 * time.Second}, 3, withPermits)
+		r := newReplay(scenario{senders: senders, limit: 1, wanted: 4, clearedAfter: 20 * time.Second}, 3, withPermits)
 		r.run()
-		_, late := most(r.arrivals, 30*time.Second)
+		_, late := peakCount(r.arrivals, 30*time.Second)
 		if want := senders * 4 * 30 * 9 / 10; late < want {
 			t.Errorf("%d senders: %d requests in the last 30 s, %d were wanted", senders, late, want)
 		}
--- a/core/request/permit/tracker.go
+++ b/core/request/permit/tracker.go
@@ -9,113 +9,116 @@
 )
 
 const (
-	// demandFor is how long a service counts as in demand after its last request: a sender
+	// demandWindow is how long a service counts as in demand after its last request: a sender
 	// without requests claims nothing.
-	demandFor = 5 * time.Second
-	// idleFor is how long permits are kept that are not used, and for how long none of the
-	// target is claimed after they were given back.
-	idleFor = 20 * time.Second
-	// liftedFor is how long the word stands in the store that a target names no limit any
-	// more, and is believed against older ones.
-	liftedFor = 2 * time.Second
-	// moreAfter is the wait before a further permit of a target is claimed, for each that is
-	// held: those who have none come first.
-	moreAfter = 500 * time.Millisecond
-	// claimPause is the time between two changes of the store; after one that has failed
-	// it doubles up to maxClaimPause.
+	demandWindow = 5 * time.Second
+	// idleTimeout is how long unused permits are kept, and how long none of the target is
+	// claimed after they were released.
+	idleTimeout = 20 * time.Second
+	// clearedRetention is how long the record that a target no longer sets a limit stays in
+	// the store, and overrides older records.
+	clearedRetention = 2 * time.Second
+	// claimDelay is the wait before a further permit of a target is claimed, for each that is
+	// held: senders without a permit come first.
+	claimDelay = 500 * time.Millisecond
+	// claimPause is the time between two changes of the store; after a failed one it doubles
+	// up to maxClaimPause.
 	claimPause    = 100 * time.Millisecond
 	maxClaimPause = 4 * time.Second
-	// maxTargets bounds the targets whose limits are known.
+	// maxTargets bounds the number of targets whose limits are remembered.
 	maxTargets = 2048
 )
 
-// Tracker is what a sender knows of the limits of targets and of who holds their permits. Use
-// NewTracker to make one.
+// Tracker is the knowledge of one sender about the limits of targets and the holders of their
+// permits. Use NewTracker to create one.
 type Tracker struct {
-	instance, self string
+	instance, holder string
 
 	rng     *rand.Rand
 	targets map[string]*target
-	// places are where the permits of the store are, by key.
-	places map[string]place
-	// demanded is when each service was last in demand.
-	demanded map[string]time.Time
-	lease    int64
-	// leaseEnds is until when the permits under the lease count.
+	// byKey are the stored permits by their key.
+	byKey map[string]permitRef
+	// lastDemand is when each service was last requested.
+	lastDemand map[string]time.Time
+	lease      int64
+	// leaseEnds is until when the permits under the lease are valid.
 	leaseEnds time.Time
-	// nextChange is when the store may be asked for a change again, pause the time after it.
+	// nextChange is the earliest time of the next change of the store, pause the time between
+	// that and the one after it.
 	nextChange time.Time
 	pause      time.Duration
 }
 
-// target is what is known of one target. A target without a limit is kept while permits of
-// it stand in the store.
+// target is the knowledge about one target. A target without a limit is kept while permits of
+// it are stored.
 type target struct {
-	service string
-	born    int64
-	// limited says that the target names limit, told since when; own that it has told this
-	// sender itself.
-	limited bool
-	limit   float64
-	since   time.Time
-	own     bool
-	// liftedAt is when it was found that it names none any more, and untold that the others
-	// are still to hear of it.
-	liftedAt time.Time
-	untold   bool
-	permits  map[int]storedPermit
-	// last is when it was sent a request last, or this sender got its first permit.
-	last time.Time
-	// missed says that it could have been sent a request since the last claim if there were
-	// more permits.
+	service   string
+	startedAt int64
+	// limited says that the target sets a limit, known since limitedSince; direct says that
+	// this sender has it from a response of the target itself.
+	limited      bool
+	limit        float64
+	limitedSince time.Time
+	direct       bool
+	// clearedAt is when the target was found to set no limit any more; clearPending says that
+	// the other senders are still to be informed.
+	clearedAt    time.Time
+	clearPending bool
+	permits      map[int]storedPermit
+	// lastSent is when the last request was sent to it, or when this sender got its first
+	// permit.
+	lastSent time.Time
+	// missed says that since the last claim a request could have been sent to it with more
+	// permits.
 	missed bool
 	// claimAt is when the next permit may be claimed.
 	claimAt time.Time
 }
 
-// place is the target of a permit, and its index there.
-type place struct {
+// permitRef is the target of a permit, and its index there.
+type permitRef struct {
 	target string
 	index  int
 }
 
-// storedPermit is a permit that stands in the store.
+// storedPermit is a permit in the store.
 type storedPermit struct {
 	Record
 	revision int64
 }
 
-// NewTracker returns a Tracker of a sender: one start of an instance.
+// NewTracker returns a Tracker for a sender, which is one start of an instance.
 func NewTracker(instance, start string, rng *rand.Rand) *Tracker {
 	return &Tracker{
-		instance: instance, self: instance + separator + start, rng: rng,
-		targets: map[string]*target{}, places: map[string]place{}, demanded: map[string]time.Time{}, pause: claimPause,
+		instance: instance, holder: instance + separator + start, rng: rng,
+		targets: map[string]*target{}, byKey: map[string]permitRef{}, lastDemand: map[string]time.Time{}, pause: claimPause,
 	}
 }
 
-// separator stands between the instance and the start in the name of a holder.
+// separator separates the instance and the start in the name of a holder.
 const separator = "/"
 
-// Response is what an answer of a target says of its limit.
+// Response is what a response of a target says about its limit.
 type Response struct {
 	Target, Service string
 	StartedAt       int64
-	// Limit is in requests a second; nil if the answer names none.
+	// Limit is in requests a second; nil if the response names none.
 	Limit *float64
-	// Sent is when the request was sent that is answered.
+	// Sent is when the request was sent that the response answers.
 	Sent time.Time
 }
 
-// Observe takes what an answer says of the limit of its target. It reports whether the limit
-// has changed.
+// Observe processes what a response says about the limit of its target. It reports whether the
+// limit has changed.
 func (tr *Tracker) Observe(a Response, now time.Time) bool {
 	t := tr.targets[a.Target]
-	if t != nil && a.StartedAt < t.born {
+	if t != nil && a.StartedAt < t.startedAt {
 		return false
 	}
 	if a.Limit == nil {
-		// An answer to a request that was sent before the limit was known may be older.
-		return t != nil && t.born == a.StartedAt && a.Sent.After(t.since) && t.lift(now)
+		// A response to a request that was sent before the limit was known may be older than
+		// the limit.
+		return t != nil && t.startedAt == a.StartedAt && a.Sent.After(t.limitedSince) && t.clearLimit(now)
 	}
 	if t == nil {
 		if t = tr.add(a.Target, a.StartedAt); t == nil {
@@ -124,82 +127,82 @@
 	}
 	t.restart(a.StartedAt)
 	changed := t.limit != *a.Limit || !t.limited
-	t.limits(a.Service, *a.Limit, now)
-	t.own, t.untold = true, false
+	t.setLimit(a.Service, *a.Limit, now)
+	t.direct, t.clearPending = true, false
 	return changed
 }
 
-// limits takes the limit of the target.
-func (t *target) limits(service string, limit float64, now time.Time) {
+// setLimit sets the limit of the target.
+func (t *target) setLimit(service string, limit float64, now time.Time) {
 	if !t.limited {
-		t.since = now
+		t.limitedSince = now
 	}
 	t.service, t.limited, t.limit = service, true, limit
 }
 
-// lift takes the word of the target that it names no limit any more.
-func (t *target) lift(now time.Time) bool {
+// clearLimit records that the target no longer sets a limit. It reports whether it did before.
+func (t *target) clearLimit(now time.Time) bool {
 	if !t.limited {
 		return false
 	}
-	t.limited, t.own, t.liftedAt, t.untold = false, false, now, true
+	t.limited, t.direct, t.clearedAt, t.clearPending = false, false, now, true
 	return true
 }
 
-// restart forgets what an earlier start of the target has named.
-func (t *target) restart(born int64) {
-	if born != t.born {
-		t.born, t.limited, t.own, t.untold, t.liftedAt = born, false, false, false, time.Time{}
+// restart discards the limit of an earlier start of the target.
+func (t *target) restart(startedAt int64) {
+	if startedAt != t.startedAt {
+		t.startedAt, t.limited, t.direct, t.clearPending, t.clearedAt = startedAt, false, false, false, time.Time{}
 	}
 }
 
-// add makes room for a target, or returns nil if there is none.
-func (tr *Tracker) add(id string, born int64) *target {
+// add adds a target, or returns nil if there are maxTargets.
+func (tr *Tracker) add(id string, startedAt int64) *target {
 	if len(tr.targets) >= maxTargets {
 		return nil
 	}
-	t := &target{born: born, permits: map[int]storedPermit{}}
+	t := &target{startedAt: startedAt, permits: map[int]storedPermit{}}
 	tr.targets[id] = t
 	return t
 }
 
-// Restarted voids the limit of an earlier start of a target.
-func (tr *Tracker) Restarted(id string, born int64) {
-	if t := tr.targets[id]; t != nil && born > t.born {
-		t.restart(born)
-		tr.tidy(id)
+// Restarted discards the limit of an earlier start of a target.
+func (tr *Tracker) Restarted(id string, startedAt int64) {
+	if t := tr.targets[id]; t != nil && startedAt > t.startedAt {
+		t.restart(startedAt)
+		tr.dropIfUnused(id)
 	}
 }
 
-// Remove voids the limit of a target that is no more.
+// Remove discards the limit of a target that was removed.
 func (tr *Tracker) Remove(id string) {
 	if t := tr.targets[id]; t != nil {
-		t.restart(gone)
-		tr.tidy(id)
+		t.restart(removedStart)
+		tr.dropIfUnused(id)
 	}
 }
 
-// gone stands for a start after all others.
-const gone = math.MaxInt64
+// removedStart is later than the start of any target.
+const removedStart = math.MaxInt64
 
-// tidy drops a target of which nothing is left to know.
-func (tr *Tracker) tidy(id string) {
+// dropIfUnused removes a target without a limit and without permits.
+func (tr *Tracker) dropIfUnused(id string) {
 	if t := tr.targets[id]; !t.limited && len(t.permits) == 0 {
 		delete(tr.targets, id)
 	}
 }
 
-// SetLease takes the lease under which this sender claims permits from now on, and until when
-// its permits count: before the store may end it. A lease of 0 is none.
+// SetLease sets the lease under which this sender claims permits from now on, and until when
+// its permits are valid: before the store may end the lease. A lease of 0 is none.
 func (tr *Tracker) SetLease(lease int64, until time.Time) { tr.lease, tr.leaseEnds = lease, until }
 
-// RecordDemand tells that there is a request for a service. It returns the targets of all
+// RecordDemand records that there is a request for a service. It returns the targets of all
 // services that may not be sent a request now.
 func (tr *Tracker) RecordDemand(service string, now time.Time) map[string]bool {
 	if len(tr.targets) == 0 {
 		return nil
 	}
-	tr.demanded[service] = now
+	tr.lastDemand[service] = now
 	unready := map[string]bool{}
 	for id, t := range tr.targets {
 		if tr.ready(t, now) {
@@ -222,11 +225,11 @@
 		return true
 	}
 	interval := tr.interval(t, now)
-	return interval > 0 && !now.Before(t.last.Add(interval))
+	return interval > 0 && !now.Before(t.lastSent.Add(interval))
 }
 
-// ReadyAt returns when a target may be sent a request and how many it may be sent a second, and
-// whether it names a limit. The time is zero if it is not known, since this sender has no permit.
+// ReadyAt returns when a target may be sent a request and how many a second, and whether it
+// sets a limit. The time is zero if it is not known because this sender has no permit.
 func (tr *Tracker) ReadyAt(id string, now time.Time) (at time.Time, rate float64, limited bool) {
 	t := tr.targets[id]
 	if t == nil || !t.limited {
@@ -236,11 +239,11 @@
 	if interval == 0 {
 		return time.Time{}, 0, true
 	}
-	return t.last.Add(interval), 1 / interval.Seconds(), true
+	return t.lastSent.Add(interval), 1 / interval.Seconds(), true
 }
 
-// interval returns the least time between two requests to a target that names a limit; 0 if
-// this sender may send none, since it has no permit.
+// interval returns the minimum time between two requests to a target that sets a limit; 0 if
+// this sender may send none because it has no permit.
 func (tr *Tracker) interval(t *target, now time.Time) time.Duration {
 	n := tr.count(t, now)
 	if n == 0 {
@@ -249,39 +252,39 @@
 	return spacing(t.limit, n)
 }
 
-// count returns how many permits of a target this sender holds that count now.
+// count returns how many valid permits of a target this sender holds.
 func (tr *Tracker) count(t *target, now time.Time) int {
 	if tr.lease == 0 || !now.Before(tr.leaseEnds) {
 		return 0
 	}
 	n := 0
 	for _, p := range t.permits {
-		if tr.mine(t, p) && p.Index < Count(t.limit) {
+		if tr.valid(t, p) && p.Index < Count(t.limit) {
 			n++
 		}
 	}
 	return n
 }
 
-// mine reports whether a permit is this sender's, of its lease and of this start of the
-// target.
-func (tr *Tracker) mine(t *target, p storedPermit) bool {
-	return p.Holder == tr.self && p.Lease == tr.lease && p.StartedAt == t.born && !p.Cleared
+// valid reports whether a permit belongs to this sender, under its current lease and for the
+// current start of the target.
+func (tr *Tracker) valid(t *target, p storedPermit) bool {
+	return p.Holder == tr.holder && p.Lease == tr.lease && p.StartedAt == t.startedAt && !p.Cleared
 }
 
-// RecordSent counts a request that a target is sent.
+// RecordSent records that a request is sent to a target.
 func (tr *Tracker) RecordSent(id string, now time.Time) {
 	if t := tr.targets[id]; t != nil {
-		t.last = now
+		t.lastSent = now
 	}
 }
 
-// Apply takes what the store says under Prefix: changes, or by whole everything that stands
-// there. It returns the errors of items that are no permits.
-func (tr *Tracker) Apply(items []kv.Item, whole bool, now time.Time) []error {
+// Apply processes items of the store under Prefix: changes, or all items if snapshot is set.
+// It returns the errors of malformed items.
+func (tr *Tracker) Apply(items []kv.Item, snapshot bool, now time.Time) []error {
 	var errs []error
-	if whole {
-		clear(tr.places)
+	if snapshot {
+		clear(tr.byKey)
 		for _, t := range tr.targets {
 			clear(t.permits)
 		}
@@ -299,26 +302,26 @@
 		tr.put(r, it.Revision, now)
 	}
 	for id := range tr.targets {
-		tr.tidy(id)
+		tr.dropIfUnused(id)
 	}
 	return errs
 }
 
-// remove takes the removal of a key at a revision.
+// remove processes the removal of a key at a revision.
 func (tr *Tracker) remove(key string, revision int64) {
-	at, ok := tr.places[key]
+	at, ok := tr.byKey[key]
 	if !ok {
 		return
 	}
 	t := tr.targets[at.target]
 	if t.permits[at.index].revision > revision {
-		return // It was claimed again meanwhile.
+		return // The permit was claimed again since.
 	}
 	delete(t.permits, at.index)
-	delete(tr.places, key)
+	delete(tr.byKey, key)
 }
 
-// put takes a permit that stands in the store.
+// put processes a permit in the store.
 func (tr *Tracker) put(r Record, revision int64, now time.Time) {
 	t := tr.targets[r.Target]
 	if t == nil {
@@ -331,19 +334,19 @@
 	}
 	first := tr.count(t, now) == 0
 	t.permits[r.Index] = storedPermit{r, revision}
-	tr.places[r.Key()] = place{r.Target, r.Index}
-	if r.StartedAt < t.born {
+	tr.byKey[r.Key()] = permitRef{r.Target, r.Index}
+	if r.StartedAt < t.startedAt {
 		return
 	}
 	t.restart(r.StartedAt)
 	switch {
 	case r.Cleared:
-		t.limited, t.own, t.liftedAt = false, false, now
+		t.limited, t.direct, t.clearedAt = false, false, now
 		return
-	case r.Holder == tr.self && first:
-		t.last = now
+	case r.Holder == tr.holder && first:
+		t.lastSent = now
 	}
-	if !t.own && now.Sub(t.liftedAt) >= liftedFor {
-		t.limits(r.Service, r.Limit, now)
+	if !t.direct && now.Sub(t.clearedAt) >= clearedRetention {
+		t.setLimit(r.Service, r.Limit, now)
 	}
 }
--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -11,7 +11,7 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// newTracker returns a tracker with a lease, and a target that takes a rate.
+// newTracker returns a tracker with a lease, and a target that accepts a rate.
 func newTracker(rate float64) *Tracker {
 	tr := NewTracker("front-1", "a", rand.New(rand.NewPCG(1, 2)))
 	tr.SetLease(7, start.Add(time.Hour))
@@ -19,12 +19,12 @@
 	return tr
 }
 
-// answer is one of target t that names a rate.
+// answer is a response of target t that names a rate.
 func answer(rate float64, sent time.Time) Response {
 	return Response{Target: "t", Service: "s", StartedAt: 5, Limit: &rate, Sent: sent}
 }
 
-// item is a permit of target t as it stands in the store.
+// item is a stored permit of target t.
 func item(r Record, revision int64) kv.Item {
 	r.Target, r.Service = "t", "s"
 	return kv.Item{Key: r.Key(), Value: r.bytes(), Revision: revision}
@@ -35,12 +35,12 @@
 	return Record{StartedAt: 5, Limit: 1, Index: index, Holder: "front-1/a", Lease: 7}
 }
 
-// Guards against permits that allow together more than the limit does with what it leaves for
-// those who are late to hear of it.
+// Guards against permits that together exceed the limit plus its tolerance for senders that
+// learn of it late.
 func TestPermitsKeepTheLimit(t *testing.T) {
 	for limit := 0.0; limit < 200; limit += 0.05 {
 		n := Count(limit)
-		most := n // Each holder may have one saved up.
+		most := n // Each holder may have accumulated one.
 		for range n {
 			most += int(span / spacing(limit, 1))
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against taking an answer to a request that was sent before the limit was known for the
-// word that there is none any more.
+// Guards against clearing a limit because of a response to a request that was sent before the
+// limit was known.
 func TestOlderAnswerLiftsNothing(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
@@ -63,8 +63,8 @@
 	is.True(tr.Ready("t", start.Add(2*time.Second)))
 }
 
-// Guards against keeping to the limit of an earlier start of a target, and against permits of it
-// that allow requests to a later one.
+// Guards against enforcing the limit of an earlier start of a target, and against permits of
+// that start that allow requests to a later one.
 func TestLimitEndsWithTheStartOfItsTarget(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
@@ -72,16 +72,16 @@
 	now := start.Add(time.Minute)
 	is.True(tr.Ready("t", now))
 	tr.Restarted("t", 6)
-	is.True(tr.Ready("t", start)) // the later start has named none
+	is.True(tr.Ready("t", start)) // the later start has set no limit
 	later := answer(1, now)
 	later.StartedAt = 6
 	is.True(tr.Observe(later, now))
 	is.True(!tr.Ready("t", now.Add(time.Hour/2)))
-	is.True(!tr.Observe(answer(2, now), now)) // a late answer of the earlier one
+	is.True(!tr.Observe(answer(2, now), now)) // a late response of the earlier start
 }
 
-// Guards against requests under a permit that has passed to another sender with its holder's
-// lease, and under one that a lower limit does not have any more.
+// Guards against requests under a permit that passed to another sender when its holder's lease
+// expired, and under one that a lower limit no longer has.
 func TestPermitsThatDoNotCount(t *testing.T) {
 	now := start.Add(time.Minute)
 	for name, spoil := range map[string]func(*Record){
@@ -115,7 +115,7 @@
 	is.Equal(at, start.Add(spacing(1, 2)))
 }
 
-// Guards against permits that stay with senders which have no use for them.
+// Guards against permits that stay with senders which don't use them.
 func TestPermitsAreGivenBack(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(time.Second)
@@ -130,17 +130,18 @@
 	tr.Apply([]kv.Item{item(own(0), 3)}, false, start)
 	is.True(tr.Observe(Response{Target: "t", Service: "s", StartedAt: 5, Sent: now}, now))
 	c, wants = tr.NextChange(now)
-	is.True(wants && c.Kind == Clear) // the others are told
+	is.True(wants && c.Kind == Clear) // the other senders are informed
 	tr.Complete(c, 4, true, now)
-	_, wants = tr.NextChange(now.Add(liftedFor / 2))
+	_, wants = tr.NextChange(now.Add(clearedRetention / 2))
 	is.True(!wants)
-	c, wants = tr.NextChange(now.Add(liftedFor))
+	c, wants = tr.NextChange(now.Add(clearedRetention))
 	is.True(wants && c.Kind == Release)
 	tr.Complete(c, 5, true, now)
-	is.Equal(len(tr.targets), 0) // nothing is left to know
+	is.Equal(len(tr.targets), 0) // the target is forgotten
 }
 
-// Guards against giving up a permit that was claimed again after the removal that is heard of late.
+// Guards against losing a permit that was claimed again before its earlier removal is
+// received.
 func TestLateRemovalEndsNoPermit(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
@@ -151,7 +152,7 @@
 	is.True(!tr.Ready("t", start.Add(time.Minute)))
 }
 
-// Guards against what another writer may have left under the keys of permits.
+// Guards against malformed items that other writers stored under the keys of permits.
 func TestItemsThatAreNoPermits(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
@@ -166,32 +167,32 @@
 	is.True(tr.Ready("t", start.Add(time.Minute)))
 }
 
-// Guards against waiting for a turn that comes when the caller has gone, and against refusing
-// one that is near.
+// Guards against waiting to send a request until after its caller has disconnected, and
+// against refusing one that can be sent soon.
 func TestTurn(t *testing.T) {
 	latest := WaitDeadline(start, start.Add(3*time.Second))
 	for _, c := range []struct {
-		name    string
-		opening Availability
-		turn    time.Duration
-		waits   bool
+		name         string
+		availability Availability
+		turn         time.Duration
+		waits        bool
 	}{
 		{"now", Availability{At: start.Add(-time.Minute), Rate: 2}, 0, true},
 		{"soon", Availability{At: start.Add(500 * time.Millisecond), Rate: 2}, 500 * time.Millisecond, true},
 		{"behind one other", Availability{At: start.Add(500 * time.Millisecond), Rate: 2, Waiting: 1}, time.Second, true},
 		{"behind many", Availability{At: start, Rate: 2, Waiting: 7}, 3500 * time.Millisecond, false},
-		{"not known", Availability{}, claimTime, true},
+		{"not known", Availability{}, maxClaimTime, true},
 		{"late", Availability{At: start.Add(2 * time.Second), Rate: 1}, 2 * time.Second, false},
 	} {
-		turn := c.opening.ExpectedStart(start)
+		turn := c.availability.ExpectedStart(start)
 		if turn != start.Add(c.turn) || turn.After(latest) == c.waits {
 			t.Errorf("%s: turn %v, latest %v", c.name, turn.Sub(start), latest.Sub(start))
 		}
 	}
 }
 
-// Guards against two holders of a permit: it is claimed as it was seen, free or left behind by an
-// earlier start of this instance.
+// Guards against two holders of a permit: a claim requires the state that was seen, free or
+// left over from an earlier start of this instance.
 func TestClaimsAreConditional(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
@@ -214,7 +215,8 @@
 	is.Equal(c.Expect, []kv.Condition{{Key: item(own(2), 0).Key, Revision: 12}})
 }
 
-// BenchmarkPick is what limits add to the choice of a target when all of a service name some.
+// BenchmarkPick measures what limits add to the choice of a target when all targets of a
+// service set limits.
 func BenchmarkPick(b *testing.B) {
 	for _, targets := range []int{3, 72, 670} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/core/request/quarantine/replay_test.go
+++ b/core/request/quarantine/replay_test.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// complete answers all requests completely.
+// complete ends all requests with complete responses.
 func (s *simulation) complete(at [][]placement) {
 	for _, placed := range at {
 		for _, p := range placed {
--- a/core/request/route/route.go
+++ b/core/request/route/route.go
@@ -82,7 +82,7 @@
 	// Version and Adapter narrow the choice; empty takes any.
 	Version string
 	Adapter string
-	// Role is the phase wanted. Empty wants a whole answer, which targets
+	// Role is the requested phase. Empty requests a complete response, which targets
 	// without a role give, and targets of RoleDecode.
 	Role string
 	// Prefix is the salted hash of the prompt's prefix (see Prefix); 0 means
