--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -336,18 +336,18 @@
 	for _, c := range []struct {
 		name string
 		scenario
-		way func(*replay, int) policy
+		policy func(*replay, int) policy
 	}{
 		{"heedless", many, heedless},
 		{"as one", many, asOne},
 		{"equal parts", saving, equalParts},
 	} {
-		r := newReplay(c.scenario, 1, c.way)
+		r := newReplay(c.scenario, 1, c.policy)
 		r.run()
 		peak, _ := peakCount(r.counted, warmUp)
 		t.Logf("%s: %d requests in %v", c.name, peak, span)
 		if peak <= allowed(c.limit) {
-			t.Errorf("%s: the load tells nothing", c.name)
+			t.Errorf("%s: the load does not exceed the limit", c.name)
 		}
 		r = newReplay(c.scenario, 1, withPermits)
 		r.run()
