--- a/core/request/permit/availability.go
+++ b/core/request/permit/availability.go
@@ -6,8 +6,8 @@
 	// maxClaimTime is the longest time that a sender needs to claim permits of a target that
 	// has free ones.
 	maxClaimTime = time.Second
-	// maxWaitFraction is the fraction of its caller's time for which a request waits: callers
-	// that are refused later don't retry any later, and have one try less then.
+	// maxWaitFraction is the fraction of its caller's time for which a request waits: a caller
+	// that is refused retries after this fraction at the latest, and has one try less then.
 	maxWaitFraction = 1.0 / 3
 )
 
@@ -15,6 +15,7 @@
 const ReasonThrottled = "targets-throttled"
 
 // Availability describes the targets of a service that may accept a request, but not yet.
+//
 // The load pattern it handles is a service all of whose targets set limits. They accept only a
 // part of the requests, so that a request that will not be sent soon is refused at once with a
 // time to retry, and the others wait instead of using up one of their few tries.
--- a/core/request/route/pick.go
+++ b/core/request/route/pick.go
@@ -213,6 +213,7 @@
 
 // expect returns the expected time to the first token at target i, and the time to finish all
 // its known work, in seconds.
+//
 // A load says less the older it is: other entries have sent work since, and work has been
 // completed. It approaches the mean of all targets with the time constant LoadDecay. Otherwise
 // all entries would take the lowest of old loads for an idle target and send everything there
--- a/core/request/route/prefix.go
+++ b/core/request/route/prefix.go
@@ -13,6 +13,7 @@
 
 // Prefix returns the affinity hash of a prompt, salted with the workspace unless salt is
 // empty. It returns 0, which means no affinity, for prompts too short to benefit from a cache.
+//
 // The salt keeps the prefix caches of workspaces apart: a cached prefix of another workspace
 // would show in the time to the first token. Equal prompts of two workspaces have different
 // hashes.
--- a/core/request/target/stream.go
+++ b/core/request/target/stream.go
@@ -26,6 +26,7 @@
 )
 
 // Stream reads the events of one response. It is not safe for concurrent use.
+//
 // A response that is one JSON document instead of events counts as one event.
 type Stream struct {
 	// Header holds the headers of the response.
