--- a/agent/app.go
+++ b/agent/app.go
@@ -128,7 +128,7 @@
 			zone = append(zone, t.Name)
 		}
 	}
-	return config.Watches(cfg.Name, zone, watchers)
+	return config.IsWatcher(cfg.Name, zone, watchers)
 }
 
 func newIdentity(cfg Settings, s *store.Client, log *slog.Logger) identity {
@@ -180,7 +180,7 @@
 	go a.register.duty.Run(a.ctx)
 	go a.follower.Run(a.ctx)
 	go a.sweep(shutdown)
-	spread := &follow.Spread{
+	spread := &follow.Gossip{
 		Name: a.cfg.Name, Follower: a.follower, Dialer: a.dialer, Log: a.log,
 		Members: a.members, Period: a.cfg.Heartbeat, Seeds: a.cfg.Seeds,
 		Describe: func(m *wire.ExchangeRequest) { m.Kind, m.Zone, m.Incarnation = "agent", a.cfg.Zone, a.id.incarnation },
@@ -197,7 +197,7 @@
 		select {
 		case now := <-tick.C:
 			a.answers.sweep(now)
-			a.entries.sweep(now, a.members.Visible())
+			a.entries.sweep(now, a.members.VisibleFraction())
 			a.tellMembers(shutdown)
 		case <-a.ctx.Done():
 			return
--- a/agent/listen.go
+++ b/agent/listen.go
@@ -62,7 +62,7 @@
 	switch {
 	case a.draining.Load():
 		return "draining"
-	case a.members.CutOff():
+	case a.members.Isolated():
 		return "cut off from all agents"
 	case a.follower.Index() == nil:
 		return a.follower.Reason()
--- a/agent/register.go
+++ b/agent/register.go
@@ -214,7 +214,7 @@
 	}
 	// A home that is cut off from all others may act on an old target list: a
 	// newer list's home would grant beside it.
-	if r.follower.Silence() > r.home.Limits.ConfigLag {
+	if r.follower.SinceConfirmed() > r.home.Limits.ConfigLag {
 		return booking.Answer{Kind: booking.Rebuilding, Reason: reasonCutOff, RetryAfter: time.Second}, nil
 	}
 	var a booking.Answer
--- a/agent/steering/lease.go
+++ b/agent/steering/lease.go
@@ -111,7 +111,7 @@
 // renew extends the lease on which the key hangs, which lives as long as it.
 func (d *DutyStore) renew(ctx context.Context, c lease.Call) lease.Answer {
 	_, err := d.store.KeepAlive(ctx, d.lease(c.Fence))
-	var gone *store.LeaseGoneError
+	var gone *store.LeaseNotFoundError
 	switch {
 	case errors.As(err, &gone):
 		return lease.Answer{}
@@ -123,7 +123,7 @@
 
 func (d *DutyStore) release(ctx context.Context, c lease.Call) lease.Answer {
 	err := d.store.Revoke(ctx, d.lease(c.Fence))
-	var gone *store.LeaseGoneError
+	var gone *store.LeaseNotFoundError
 	if err != nil && !errors.As(err, &gone) {
 		return lease.Answer{Lost: true}
 	}
--- a/agent/steering/status.go
+++ b/agent/steering/status.go
@@ -58,7 +58,7 @@
 	if !ok {
 		return nil
 	}
-	st := operator.GroupStatus{Name: g.shape.Load().name, Steward: g.self, Fence: s.fence, MapVersion: uint64(commonVersion(s.view))}
+	st := operator.GroupStatus{Name: g.shape.Load().name, Coordinator: g.self, Fence: s.fence, MapVersion: uint64(commonVersion(s.view))}
 	for _, m := range s.view.Members {
 		st.Step = max(st.Step, m.Next)
 		if m.Health != group.Stepping.String() {
--- a/bench/capacity/spread.go
+++ b/bench/capacity/spread.go
@@ -91,7 +91,7 @@
 		defer d.Close()
 		f := follow.New(follow.Config{Store: &countingStore{value: value}, Refresh: time.Hour, Log: slog.Default()})
 		f.OnChange(members.Update)
-		s := &follow.Spread{Name: fmt.Sprintf("entry-%04d", i), Follower: f, Dialer: d, Log: slog.Default(), Period: time.Second, Members: members}
+		s := &follow.Gossip{Name: fmt.Sprintf("entry-%04d", i), Follower: f, Dialer: d, Log: slog.Default(), Period: time.Second, Members: members}
 		if i >= entries {
 			s.Name = fmt.Sprintf("server-%04d", i)
 		}
--- a/core/configuration/config/bootstrap.go
+++ b/core/configuration/config/bootstrap.go
@@ -21,24 +21,24 @@
 	// Started is when this process began; answers to earlier questions do not
 	// count.
 	Started time.Time
-	// Held is the highest revision that the node has fetched; 0 for none.
-	Held uint64
-	// Stored is the revision that the store gave this process, if HasStored;
+	// FetchedRevision is the highest revision that the node has fetched; 0 for none.
+	FetchedRevision uint64
+	// StoreRevision is the revision that the store gave this process, if HasStored;
 	// 0 if it holds no configuration yet.
-	Stored    uint64
-	HasStored bool
+	StoreRevision uint64
+	StoreAnswered bool
 }
 
-// Answer is a peer's word on its own revision.
-type Answer struct {
+// PeerAnswer is a peer's word on its own revision.
+type PeerAnswer struct {
 	From string
-	// Settled says that the peer has itself finished its start. A peer that
+	// Bootstrapped says that the peer has itself finished its start. A peer that
 	// cannot say so counts as settled once it answers with a revision, provided
 	// that it answers with 0 until then.
-	Settled  bool
-	Revision uint64
-	// Asked is when this node sent the question, by its own clock.
-	Asked time.Time
+	Bootstrapped bool
+	Revision     uint64
+	// RequestedAt is when this node sent the question, by its own clock.
+	RequestedAt time.Time
 }
 
 // Step says what a starting node does next.
@@ -46,8 +46,8 @@
 
 // The steps of a start.
 const (
-	// StepAsk asks the peers named in the decision, and the store again.
-	StepAsk Step = iota
+	// StepQuery asks the peers named in the decision, and the store again.
+	StepQuery Step = iota
 	// StepFetch fetches the revision named in the decision.
 	StepFetch
 	// StepServe serves: the start is over.
@@ -57,14 +57,14 @@
 // Decision is what a starting node does next, and why.
 type Decision struct {
 	Step Step
-	// Ask names the peers that have yet to answer.
-	Ask []string
+	// Pending names the peers that have yet to answer.
+	Pending []string
 	// From is the peer to fetch from; empty for the store.
 	From string
 	// Revision is the least revision to serve with.
 	Revision uint64
-	// Heard of Need answers count so far.
-	Heard, Need int
+	// Answers of Quorum answers count so far.
+	Answers, Quorum int
 }
 
 // Reason says in a few words why the node does not serve; it is what the
@@ -76,7 +76,7 @@
 	case StepFetch:
 		return fmt.Sprintf("fetching revision %d", d.Revision)
 	default:
-		return fmt.Sprintf("store unreachable, heard %d of %d peers", d.Heard, d.Need)
+		return fmt.Sprintf("store unreachable, heard %d of %d peers", d.Answers, d.Quorum)
 	}
 }
 
@@ -91,37 +91,37 @@
 // a member with any other majority; and a member that has lost its memory does
 // not answer for itself until it has heard a majority of its own, so that the
 // old revision can never gather one.
-func Bootstrap(s Startup, answers []Answer, now time.Time) Decision {
+func Bootstrap(s Startup, answers []PeerAnswer, now time.Time) Decision {
 	counted := countAnswers(s, answers, now)
-	d := Decision{Heard: len(counted), Need: len(s.Electorate)/2 + 1}
-	best := Answer{}
+	d := Decision{Answers: len(counted), Quorum: len(s.Electorate)/2 + 1}
+	best := PeerAnswer{}
 	for _, a := range counted {
 		if a.Revision > best.Revision || best.From == "" {
 			best = a
 		}
 	}
-	if !s.HasStored && d.Heard < d.Need {
-		d.Ask = missing(s, counted)
+	if !s.StoreAnswered && d.Answers < d.Quorum {
+		d.Pending = missing(s, counted)
 		return d
 	}
 	d.Step, d.From, d.Revision = StepFetch, best.From, best.Revision
-	if s.HasStored && s.Stored >= best.Revision {
-		d.From, d.Revision = "", s.Stored
+	if s.StoreAnswered && s.StoreRevision >= best.Revision {
+		d.From, d.Revision = "", s.StoreRevision
 	}
-	if s.Held >= d.Revision {
-		d.Step, d.From, d.Revision = StepServe, "", s.Held
+	if s.FetchedRevision >= d.Revision {
+		d.Step, d.From, d.Revision = StepServe, "", s.FetchedRevision
 	}
 	return d
 }
 
 // countAnswers returns the answers that count, one for each peer.
-func countAnswers(s Startup, answers []Answer, now time.Time) []Answer {
-	var counted []Answer
+func countAnswers(s Startup, answers []PeerAnswer, now time.Time) []PeerAnswer {
+	var counted []PeerAnswer
 	for _, a := range answers {
 		if !counts(s, a, now) {
 			continue
 		}
-		i := slices.IndexFunc(counted, func(c Answer) bool { return c.From == a.From })
+		i := slices.IndexFunc(counted, func(c PeerAnswer) bool { return c.From == a.From })
 		if i < 0 {
 			counted = append(counted, a)
 			continue
@@ -133,17 +133,17 @@
 	return counted
 }
 
-func counts(s Startup, a Answer, now time.Time) bool {
-	if !a.Settled || a.From == s.Self || !slices.Contains(s.Electorate, a.From) {
+func counts(s Startup, a PeerAnswer, now time.Time) bool {
+	if !a.Bootstrapped || a.From == s.Self || !slices.Contains(s.Electorate, a.From) {
 		return false
 	}
-	return !a.Asked.Before(s.Started) && now.Sub(a.Asked) <= MaxAnswerAge
+	return !a.RequestedAt.Before(s.Started) && now.Sub(a.RequestedAt) <= MaxAnswerAge
 }
 
-func missing(s Startup, counted []Answer) []string {
+func missing(s Startup, counted []PeerAnswer) []string {
 	var names []string
 	for _, name := range s.Electorate {
-		heard := slices.ContainsFunc(counted, func(a Answer) bool { return a.From == name })
+		heard := slices.ContainsFunc(counted, func(a PeerAnswer) bool { return a.From == name })
 		if name != s.Self && !heard {
 			names = append(names, name)
 		}
--- a/core/configuration/config/bootstrap_test.go
+++ b/core/configuration/config/bootstrap_test.go
@@ -11,10 +11,10 @@
 	"verbenashift/core/configuration/config"
 )
 
-func answersFrom(asked time.Time, revisions map[string]uint64) []config.Answer {
-	var list []config.Answer
+func answersFrom(asked time.Time, revisions map[string]uint64) []config.PeerAnswer {
+	var list []config.PeerAnswer
 	for name, r := range revisions {
-		list = append(list, config.Answer{From: name, Settled: true, Revision: r, Asked: asked})
+		list = append(list, config.PeerAnswer{From: name, Bootstrapped: true, Revision: r, RequestedAt: asked})
 	}
 	return list
 }
@@ -31,24 +31,24 @@
 	tests := []struct {
 		name     string
 		startup  config.Startup
-		answers  []config.Answer
+		answers  []config.PeerAnswer
 		step     config.Step
 		revision uint64
 		from     string
 	}{
-		{"alone", base, nil, config.StepAsk, 0, ""},
-		{"two of five", base, three[:2], config.StepAsk, 0, ""},
-		{"strangers do not count", base, append(three[:2:2], answersFrom(now, map[string]uint64{"x": 9, "a": 9})...), config.StepAsk, 0, ""},
-		{"the same peer twice", base, append(three[:2:2], three[0]), config.StepAsk, 0, ""},
-		{"unsettled peers do not count", base, append(three[:2:2], config.Answer{From: "e", Revision: 9, Asked: now}), config.StepAsk, 0, ""},
-		{"answers to an earlier process", base, answersFrom(now.Add(-time.Second), map[string]uint64{"b": 4, "c": 4, "d": 4}), config.StepAsk, 0, ""},
+		{"alone", base, nil, config.StepQuery, 0, ""},
+		{"two of five", base, three[:2], config.StepQuery, 0, ""},
+		{"strangers do not count", base, append(three[:2:2], answersFrom(now, map[string]uint64{"x": 9, "a": 9})...), config.StepQuery, 0, ""},
+		{"the same peer twice", base, append(three[:2:2], three[0]), config.StepQuery, 0, ""},
+		{"unsettled peers do not count", base, append(three[:2:2], config.PeerAnswer{From: "e", Revision: 9, RequestedAt: now}), config.StepQuery, 0, ""},
+		{"answers to an earlier process", base, answersFrom(now.Add(-time.Second), map[string]uint64{"b": 4, "c": 4, "d": 4}), config.StepQuery, 0, ""},
 		{"majority", base, three, config.StepFetch, 5, "d"},
-		{"majority, behind", with(func(s *config.Startup) { s.Held = 4 }), three, config.StepFetch, 5, "d"},
-		{"majority, held", with(func(s *config.Startup) { s.Held = 5 }), three, config.StepServe, 5, ""},
-		{"store", with(func(s *config.Startup) { s.Stored, s.HasStored = 7, true }), nil, config.StepFetch, 7, ""},
-		{"store, held", with(func(s *config.Startup) { s.Stored, s.HasStored, s.Held = 7, true, 7 }), nil, config.StepServe, 7, ""},
-		{"store without a configuration", with(func(s *config.Startup) { s.HasStored = true }), nil, config.StepServe, 0, ""},
-		{"store behind its peers", with(func(s *config.Startup) { s.Stored, s.HasStored = 3, true }), three, config.StepFetch, 5, "d"},
+		{"majority, behind", with(func(s *config.Startup) { s.FetchedRevision = 4 }), three, config.StepFetch, 5, "d"},
+		{"majority, held", with(func(s *config.Startup) { s.FetchedRevision = 5 }), three, config.StepServe, 5, ""},
+		{"store", with(func(s *config.Startup) { s.StoreRevision, s.StoreAnswered = 7, true }), nil, config.StepFetch, 7, ""},
+		{"store, held", with(func(s *config.Startup) { s.StoreRevision, s.StoreAnswered, s.FetchedRevision = 7, true, 7 }), nil, config.StepServe, 7, ""},
+		{"store without a configuration", with(func(s *config.Startup) { s.StoreAnswered = true }), nil, config.StepServe, 0, ""},
+		{"store behind its peers", with(func(s *config.Startup) { s.StoreRevision, s.StoreAnswered = 3, true }), three, config.StepFetch, 5, "d"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 		})
 	}
 	is := is.New(t)
-	is.Equal(config.Bootstrap(base, three, now.Add(time.Minute)).Step, config.StepAsk) // answers grow old
+	is.Equal(config.Bootstrap(base, three, now.Add(time.Minute)).Step, config.StepQuery) // answers grow old
 }
 
 // member is one process of the electorate in the model below.
@@ -70,7 +70,7 @@
 	// floor is the revision that was kept when the process began.
 	floor   uint64
 	started time.Time
-	answers []config.Answer
+	answers []config.PeerAnswer
 }
 
 // electorate is five members that hear revisions from each other while the
@@ -103,12 +103,12 @@
 	if m.settled {
 		return
 	}
-	m.answers = append(m.answers, config.Answer{From: peer, Settled: p.settled, Revision: p.held, Asked: e.now})
-	startup := config.Startup{Self: name, Electorate: memberNames, Started: m.started, Held: m.held}
+	m.answers = append(m.answers, config.PeerAnswer{From: peer, Bootstrapped: p.settled, Revision: p.held, RequestedAt: e.now})
+	startup := config.Startup{Self: name, Electorate: memberNames, Started: m.started, FetchedRevision: m.held}
 	d := config.Bootstrap(startup, m.answers, e.now)
 	if d.Step == config.StepFetch {
 		m.held = e.members[d.From].held
-		startup.Held = m.held
+		startup.FetchedRevision = m.held
 		d = config.Bootstrap(startup, m.answers, e.now)
 	}
 	m.settled = d.Step == config.StepServe
--- a/core/configuration/config/config_test.go
+++ b/core/configuration/config/config_test.go
@@ -259,12 +259,12 @@
 	}
 	chosen := 0
 	for _, name := range zone {
-		if config.Watches(name, zone, 2) {
+		if config.IsWatcher(name, zone, 2) {
 			chosen++
 		}
 	}
 	is.Equal(chosen, 2)
-	is.True(!config.Watches("stranger", zone, 2))
+	is.True(!config.IsWatcher("stranger", zone, 2))
 }
 
 // Two changes are tried on one revision, as when two operators race. If the two
--- a/core/configuration/config/diff.go
+++ b/core/configuration/config/diff.go
@@ -9,8 +9,8 @@
 // maskLength is how many digits of a digest are shown.
 const maskLength = 12
 
-// Line is one line of a difference between two configurations.
-type Line struct {
+// DiffLine is one line of a difference between two configurations.
+type DiffLine struct {
 	// Op is "+" for something new, "-" for something gone and "~" for a field
 	// that moves.
 	Op   string `json:"op"`
@@ -23,7 +23,7 @@
 }
 
 // String returns the line as operators read it.
-func (l Line) String() string {
+func (l DiffLine) String() string {
 	head := l.Op + " " + l.Kind + " " + l.Name
 	if l.Field != "" {
 		return fmt.Sprintf("%s: %s %s -> %s", head, l.Field, l.From, l.To)
@@ -37,8 +37,8 @@
 // Diff lists what moves between two configurations, in the order of the
 // document. Digests of tokens are shortened. Revisions, changes and audit
 // records are left out.
-func Diff(from, to Config) []Line {
-	var lines []Line
+func Diff(from, to Config) []DiffLine {
+	var lines []DiffLine
 	lines = append(lines, diffList("workspace", from.Workspaces, to.Workspaces)...)
 	lines = append(lines, diffList("model", from.Models, to.Models)...)
 	lines = append(lines, diffList("service", from.Services, to.Services)...)
@@ -48,8 +48,8 @@
 	return lines
 }
 
-func diffList[T named](kind string, from, to []T) []Line {
-	var lines []Line
+func diffList[T named](kind string, from, to []T) []DiffLine {
+	var lines []DiffLine
 	before := make(map[string]T, len(from))
 	for _, v := range from {
 		before[v.name()] = v
@@ -57,13 +57,13 @@
 	after := names(to)
 	for _, v := range from {
 		if !after[v.name()] {
-			lines = append(lines, Line{Op: "-", Kind: kind, Name: v.name()})
+			lines = append(lines, DiffLine{Op: "-", Kind: kind, Name: v.name()})
 		}
 	}
 	for _, v := range to {
 		old, ok := before[v.name()]
 		if !ok {
-			lines = append(lines, Line{Op: "+", Kind: kind, Name: v.name(), To: summary(v)})
+			lines = append(lines, DiffLine{Op: "+", Kind: kind, Name: v.name(), To: summary(v)})
 			continue
 		}
 		lines = append(lines, diffFields(kind, old, v)...)
@@ -71,15 +71,15 @@
 	return lines
 }
 
-func diffFields[T named](kind string, from, to T) []Line {
-	var lines []Line
+func diffFields[T named](kind string, from, to T) []DiffLine {
+	var lines []DiffLine
 	a, b := reflect.ValueOf(from), reflect.ValueOf(to)
 	for i := range a.NumField() {
 		x, y := a.Field(i), b.Field(i)
 		if reflect.DeepEqual(x.Interface(), y.Interface()) || isEmptyList(x) && isEmptyList(y) {
 			continue
 		}
-		lines = append(lines, Line{
+		lines = append(lines, DiffLine{
 			Op: "~", Kind: kind, Name: to.name(), Field: fieldName(a.Type().Field(i)),
 			From: show(x), To: show(y),
 		})
--- a/core/configuration/config/spread.go
+++ b/core/configuration/config/spread.go
@@ -7,13 +7,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Watches reports whether self is one of the k nodes of its zone that watch
+// IsWatcher reports whether self is one of the k nodes of its zone that watch
 // the store. The nodes are ranked by the hash of their names, so that all come
 // to the same choice without a message, and the loss of a watcher moves one
 // place only. Two nodes with different lists may both watch, or both not: the
 // first costs one watch, the second is mended as revisions also come from
 // peers of other zones.
-func Watches(self string, zone []string, k int) bool {
+func IsWatcher(self string, zone []string, k int) bool {
 	ranked := slices.Clone(zone)
 	slices.SortFunc(ranked, func(a, b string) int {
 		return cmp.Or(cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)), cmp.Compare(a, b))
--- a/core/configuration/deployment/deployment.go
+++ b/core/configuration/deployment/deployment.go
@@ -64,17 +64,17 @@
 	// Objective is the time within which an answer, or the first event of a
 	// stream, is on time.
 	Objective time.Duration
-	// Gap is the longest pause between events for which a stream is on time.
-	Gap time.Duration
-	// Silence is how long callers of a stream wait for its next event, also for the
+	// MaxEventGap is the longest pause between events for which a stream is on time.
+	MaxEventGap time.Duration
+	// StreamIdleTimeout is how long callers of a stream wait for its next event, also for the
 	// first, before they leave; 0 if they wait until their deadline.
-	Silence time.Duration
+	StreamIdleTimeout time.Duration
 	// Priority is 0 for the most urgent requests.
 	Priority int
 	// Split says which services share the requests, by weight.
 	Split []Share
-	// Attempts is how many servers one client attempt may be sent to.
-	Attempts int
+	// MaxAttempts is how many servers one client attempt may be sent to.
+	MaxAttempts int
 	// Public says that requests need no key.
 	Public bool
 	// Resumable says that a broken stream may go on at another server.
@@ -98,9 +98,9 @@
 type Service struct {
 	Name       string
 	HealthPath string
-	// Connections is how many a server accepts from all callers together.
-	Connections int
-	Engine      *Engine
+	// MaxConnections is how many a server accepts from all callers together.
+	MaxConnections int
+	Engine         *Engine
 }
 
 // Engine describes the model servers of a service.
@@ -148,14 +148,14 @@
 	Slots   int
 	// Draining says that the server leaves and wants no new requests.
 	Draining bool
-	// Created is the revision of the store at which the server registered.
-	Created int64
-	// Born is when the server started, in Unix milliseconds by its own clock; 0
+	// CreateRevision is the revision of the store at which the server registered.
+	CreateRevision int64
+	// StartedAt is when the server started, in Unix milliseconds by its own clock; 0
 	// if it does not say.
-	Born int64
+	StartedAt int64
 	// Group is the expert group that the server's rank belongs to; its name is
 	// empty if the server does not say. Open is false while that group has lost
 	// a rank.
-	Group engine.GroupID
-	Open  bool
+	Group         engine.GroupID
+	GroupComplete bool
 }
--- a/core/configuration/follow/follow.go
+++ b/core/configuration/follow/follow.go
@@ -69,7 +69,7 @@
 	mu      sync.Mutex
 	tracker config.Tracker
 	startup config.Startup
-	answers []config.Answer
+	answers []config.PeerAnswer
 	settled bool
 	reason  string
 	// inForce are the last revisions that were in force here.
@@ -142,18 +142,18 @@
 	return f.encodedOf, f.encoded
 }
 
-// Heard tells that a source has confirmed the present revision.
-func (f *Follower) Heard() {
+// MarkConfirmed tells that a source has confirmed the present revision.
+func (f *Follower) MarkConfirmed() {
 	f.heard.Store(time.Now().UnixNano())
 }
 
-// Silence returns how long no source has been heard.
-func (f *Follower) Silence() time.Duration {
+// SinceConfirmed returns how long no source has been heard.
+func (f *Follower) SinceConfirmed() time.Duration {
 	return time.Duration(time.Now().UnixNano() - f.heard.Load())
 }
 
-// Held returns the highest revision fetched, in force or not.
-func (f *Follower) Held() uint64 {
+// FetchedRevision returns the highest revision fetched, in force or not.
+func (f *Follower) FetchedRevision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.tracker.Revision()
@@ -172,14 +172,14 @@
 	return f.reason
 }
 
-// Answered takes a peer's word on its revision, for a start without the store.
-func (f *Follower) Answered(a config.Answer) {
+// AddAnswer takes a peer's word on its revision, for a start without the store.
+func (f *Follower) AddAnswer(a config.PeerAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.settled || a.Revision == 0 {
 		return
 	}
-	a.Settled = true
+	a.Bootstrapped = true
 	f.answers = append(f.answers, a)
 	f.settle()
 }
@@ -189,7 +189,7 @@
 	if f.settled {
 		return
 	}
-	f.startup.Held = f.tracker.Revision()
+	f.startup.FetchedRevision = f.tracker.Revision()
 	d := config.Bootstrap(f.startup, f.answers, time.Now())
 	f.reason = d.Reason()
 	if d.Step != config.StepServe {
@@ -223,7 +223,7 @@
 func (f *Follower) Offer(c config.Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.Heard()
+	f.MarkConfirmed()
 	if !f.tracker.Offer(c, time.Now()) {
 		return false
 	}
--- a/core/configuration/follow/follow_test.go
+++ b/core/configuration/follow/follow_test.go
@@ -87,11 +87,11 @@
 		f := newFollower(&fakeStore{down: true})
 		now := time.Now()
 		f.Offer(revision(4))
-		f.Answered(config.Answer{From: "a", Revision: 4, Asked: now})
+		f.AddAnswer(config.PeerAnswer{From: "a", Revision: 4, RequestedAt: now})
 		is.True(f.Index() == nil)
 		is.Equal(f.Revision(), uint64(0)) // it vouches for nothing
 		is.True(f.Reason() != "")
-		f.Answered(config.Answer{From: "b", Revision: 5, Asked: now})
+		f.AddAnswer(config.PeerAnswer{From: "b", Revision: 5, RequestedAt: now})
 		is.True(f.Index() == nil) // revision 5 is still to be fetched
 		f.Offer(revision(5))
 		is.Equal(f.Revision(), uint64(5))
--- a/core/configuration/follow/members.go
+++ b/core/configuration/follow/members.go
@@ -74,8 +74,8 @@
 	return err
 }
 
-// Failed tells that an exchange with an agent failed.
-func (m *Members) Failed(name string) {
+// RecordFailure tells that an exchange with an agent failed.
+func (m *Members) RecordFailure(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.view.RecordFailure(name, time.Now())
@@ -109,17 +109,17 @@
 	return out
 }
 
-// Visible returns the part of the agents in zones that can be heard of; it
+// VisibleFraction returns the part of the agents in zones that can be heard of; it
 // falls below 1 in a partition and not when single agents fail.
-func (m *Members) Visible() float64 {
+func (m *Members) VisibleFraction() float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.VisibleFraction(time.Now())
 }
 
-// CutOff reports whether this process has heard nobody for some seconds. It
+// Isolated reports whether this process has heard nobody for some seconds. It
 // must then tell the platform's balancer that it is not ready.
-func (m *Members) CutOff() bool {
+func (m *Members) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Isolated(time.Now())
--- a/core/configuration/follow/run.go
+++ b/core/configuration/follow/run.go
@@ -31,12 +31,12 @@
 	if err != nil {
 		return 0, err
 	}
-	f.Heard()
+	f.MarkConfirmed()
 	revision := f.take(kv)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.startup.HasStored = true
-	f.startup.Stored = max(f.startup.Stored, revision)
+	f.startup.StoreAnswered = true
+	f.startup.StoreRevision = max(f.startup.StoreRevision, revision)
 	f.settle()
 	return kv.Version, nil
 }
--- a/core/configuration/follow/spread.go
+++ b/core/configuration/follow/spread.go
@@ -15,11 +15,11 @@
 // exchangeGrace is how long beyond a period one exchange may take.
 const exchangeGrace = 2 * time.Second
 
-// Spread passes configurations on between processes. In each period it asks a
+// Gossip passes configurations on between processes. In each period it asks a
 // few agents which revision they act on; the side that is behind gets the
 // newer configuration at once, so that a revision reaches n processes in about
 // log n periods without a call to the store.
-type Spread struct {
+type Gossip struct {
 	// Name is this process; it never asks itself.
 	Name     string
 	Follower *Follower
@@ -33,14 +33,14 @@
 	Seeds []string
 	// Describe, if set, adds what this process says of itself.
 	Describe func(m *wire.ExchangeRequest)
-	// Heard, if set, is told of each answer.
-	Heard func(agent string, m *wire.ExchangeResponse)
-	// Failed, if set, is told of each agent that did not answer.
-	Failed func(agent string)
+	// OnResponse, if set, is told of each answer.
+	OnResponse func(agent string, m *wire.ExchangeResponse)
+	// OnFailure, if set, is told of each agent that did not answer.
+	OnFailure func(agent string)
 }
 
 // Run exchanges until ctx ends.
-func (s *Spread) Run(ctx context.Context) {
+func (s *Gossip) Run(ctx context.Context) {
 	tick := time.NewTicker(s.Period)
 	defer tick.Stop()
 	for {
@@ -57,7 +57,7 @@
 
 // choose picks the agents of one round; the seeds until there is a
 // configuration.
-func (s *Spread) choose() []config.Target {
+func (s *Gossip) choose() []config.Target {
 	x := s.Follower.Index()
 	if x == nil {
 		return s.seeds()
@@ -71,7 +71,7 @@
 	return picked
 }
 
-func (s *Spread) seeds() []config.Target {
+func (s *Gossip) seeds() []config.Target {
 	targets := make([]config.Target, 0, len(s.Seeds))
 	for _, addr := range s.Seeds {
 		targets = append(targets, config.Target{Name: addr, Agent: addr})
@@ -79,11 +79,11 @@
 	return targets
 }
 
-func (s *Spread) exchange(ctx context.Context, t config.Target) {
+func (s *Gossip) exchange(ctx context.Context, t config.Target) {
 	ctx, cancel := context.WithTimeout(ctx, s.Period+exchangeGrace)
 	defer cancel()
 	asked := time.Now()
-	mine := s.Follower.Held()
+	mine := s.Follower.FetchedRevision()
 	req := &wire.ExchangeRequest{From: s.Name, Revision: s.Follower.Revision(), Digest: s.Members.Digest(t.Name)}
 	if s.Describe != nil {
 		s.Describe(req)
@@ -96,12 +96,12 @@
 	if err := s.Members.Merge(resp.Msg.Digest); err != nil {
 		s.Log.Info("digest of a peer not taken", "peer", t.Name, "error", err)
 	}
-	if s.Heard != nil {
-		s.Heard(t.Name, resp.Msg)
+	if s.OnResponse != nil {
+		s.OnResponse(t.Name, resp.Msg)
 	}
 	if resp.Msg.Revision > 0 {
-		s.Follower.Heard()
-		s.Follower.Answered(config.Answer{From: t.Agent, Revision: resp.Msg.Revision, Asked: asked})
+		s.Follower.MarkConfirmed()
+		s.Follower.AddAnswer(config.PeerAnswer{From: t.Agent, Revision: resp.Msg.Revision, RequestedAt: asked})
 	}
 	if resp.Msg.Revision > mine {
 		s.fetch(ctx, t)
@@ -111,16 +111,16 @@
 	}
 }
 
-func (s *Spread) fail(agent string) {
-	s.Members.Failed(agent)
-	if s.Failed != nil {
-		s.Failed(agent)
+func (s *Gossip) fail(agent string) {
+	s.Members.RecordFailure(agent)
+	if s.OnFailure != nil {
+		s.OnFailure(agent)
 	}
 }
 
 // fetch takes the configuration of an agent that is ahead.
-func (s *Spread) fetch(ctx context.Context, t config.Target) {
-	resp, err := s.Dialer.Agent(t.Agent).FetchConfig(ctx, connect.NewRequest(&wire.FetchConfigRequest{HaveRevision: s.Follower.Held()}))
+func (s *Gossip) fetch(ctx context.Context, t config.Target) {
+	resp, err := s.Dialer.Agent(t.Agent).FetchConfig(ctx, connect.NewRequest(&wire.FetchConfigRequest{HaveRevision: s.Follower.FetchedRevision()}))
 	if err != nil || len(resp.Msg.Config) == 0 {
 		return
 	}
@@ -130,7 +130,7 @@
 }
 
 // push gives the configuration to an agent that is behind.
-func (s *Spread) push(ctx context.Context, t config.Target) {
+func (s *Gossip) push(ctx context.Context, t config.Target) {
 	revision, data := s.Follower.Encoded()
 	if len(data) == 0 {
 		return
--- a/core/configuration/intent/plan.go
+++ b/core/configuration/intent/plan.go
@@ -139,7 +139,7 @@
 	return e
 }
 
-func lines(diff []config.Line) []string {
+func lines(diff []config.DiffLine) []string {
 	var text []string
 	for _, l := range diff {
 		text = append(text, l.String())
--- a/core/configuration/kv/kv.go
+++ b/core/configuration/kv/kv.go
@@ -26,18 +26,18 @@
 	Value []byte
 	// Revision is that of the last change; 0 means that the key does not exist.
 	Revision int64
-	// Created is the revision at which the key came to be.
-	Created int64
-	// Removed says that the event was the removal of the key.
-	Removed bool
+	// CreateRevision is the revision at which the key came to be.
+	CreateRevision int64
+	// Deleted says that the event was the removal of the key.
+	Deleted bool
 }
 
 // Page is a part of the keys under a prefix.
 type Page struct {
 	Items []Item
 	More  bool
-	// AsOf is the store's revision when it answered.
-	AsOf int64
+	// Revision is the store's revision when it answered.
+	Revision int64
 }
 
 // Condition is a key with the revision that it must have; 0 means that it must
@@ -67,8 +67,8 @@
 // Conflict reports whether a condition did not hold.
 func (e *StatusError) Conflict() bool { return e.Status == http.StatusPreconditionFailed }
 
-// MaxChange is how many entries a Change may have in all.
-const MaxChange = 32
+// MaxTxnEntries is how many entries a Change may have in all.
+const MaxTxnEntries = 32
 
 // Write is a key with the value that it is to have.
 type Write struct {
@@ -78,20 +78,20 @@
 	Lease int64
 }
 
-// Change is several writes and removals that are made together, if all conditions hold,
+// Txn is several writes and removals that are made together, if all conditions hold,
 // or not at all.
-type Change struct {
-	Expect  []Condition
-	Puts    []Write
-	Deletes []string
+type Txn struct {
+	Conditions []Condition
+	Puts       []Write
+	Deletes    []string
 }
 
 // shortBytes is how much of a digest stands for a name.
 const shortBytes = 8
 
-// Short returns a part of a key that stands for a name: a key of the store is short and has
+// ShortHash returns a part of a key that stands for a name: a key of the store is short and has
 // slashes of its own, and the name of an instance or a target need not.
-func Short(name string) string {
+func ShortHash(name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return hex.EncodeToString(sum[:shortBytes])
 }
--- a/core/configuration/mirror/follower.go
+++ b/core/configuration/mirror/follower.go
@@ -55,9 +55,9 @@
 	watched  string
 	log      *slog.Logger
 	mirror   *Mirror
-	view     atomic.Pointer[View]
+	view     atomic.Pointer[Snapshot]
 	heard    atomic.Int64
-	onChange []func(*View)
+	onChange []func(*Snapshot)
 	onLost   []func()
 	// listeners get the items under prefixes that are no part of the view.
 	listeners []listener
@@ -90,11 +90,11 @@
 
 // OnChange adds a function that is called with each new view, from Run's
 // goroutine. It must be called before Run.
-func (f *Follower) OnChange(fn func(*View)) { f.onChange = append(f.onChange, fn) }
+func (f *Follower) OnChange(fn func(*Snapshot)) { f.onChange = append(f.onChange, fn) }
 
-// OnLost adds a function that is called when the store stops answering, from Run's
+// OnStoreUnreachable adds a function that is called when the store stops answering, from Run's
 // goroutine. It must be called before Run.
-func (f *Follower) OnLost(fn func()) { f.onLost = append(f.onLost, fn) }
+func (f *Follower) OnStoreUnreachable(fn func()) { f.onLost = append(f.onLost, fn) }
 
 // The metrics of all Followers of this process: how long ago the store last
 // answered, what became of the calls, and the configuration in force with the
@@ -120,8 +120,8 @@
 	}
 }
 
-// View returns the newest view, or nil before the first configuration.
-func (f *Follower) View() *View { return f.view.Load() }
+// Snapshot returns the newest view, or nil before the first configuration.
+func (f *Follower) Snapshot() *Snapshot { return f.view.Load() }
 
 // Age is how long ago the store last answered.
 func (f *Follower) Age() time.Duration {
@@ -141,7 +141,7 @@
 			whole, err = f.watch(ctx)
 		}
 		metricAge.Set(f.Age().Milliseconds())
-		if f.mirror.Tick(time.Now()) {
+		if f.mirror.ExpireMissing(time.Now()) {
 			f.publish()
 		}
 		if err == nil {
@@ -163,7 +163,7 @@
 func (f *Follower) watch(ctx context.Context) (bool, error) {
 	began := time.Now()
 	wait := f.hints.wait(began)
-	if due, ok := f.mirror.Due(began); ok {
+	if due, ok := f.mirror.NextExpiry(began); ok {
 		// A target that has left while the store was away must not wait for a long watch.
 		wait = min(wait, due+time.Millisecond)
 	}
@@ -186,7 +186,7 @@
 		// tell it, unless the outage was long.
 		return !f.outage(), err
 	}
-	if f.mirror.Apply(page.Items, page.AsOf) {
+	if f.mirror.Apply(page.Items, page.Revision) {
 		f.publish()
 	}
 	f.pass(page.Items, false)
@@ -234,7 +234,7 @@
 			return nil, 0, err
 		}
 		if first < 0 {
-			first = page.AsOf
+			first = page.Revision
 		}
 		all = append(all, page.Items...)
 		if !page.More || len(page.Items) == 0 {
@@ -253,7 +253,7 @@
 }
 
 func (f *Follower) publish() {
-	v := f.mirror.View()
+	v := f.mirror.Snapshot()
 	if v == nil {
 		return
 	}
--- a/core/configuration/mirror/follower_test.go
+++ b/core/configuration/mirror/follower_test.go
@@ -43,7 +43,7 @@
 	time.Sleep(time.Second)
 	cancel()
 	synctest.Wait()
-	return len(f.View().Targets)
+	return len(f.Snapshot().Targets)
 }
 
 // Guards against missing a server that registers between two pages.
@@ -55,15 +55,15 @@
 			rangeOf: func(prefix string) (kv.Page, error) {
 				asOf++
 				if prefix == testConfigKey {
-					return kv.Page{Items: []kv.Item{config(3)}, AsOf: asOf}, nil
+					return kv.Page{Items: []kv.Item{config(3)}, Revision: asOf}, nil
 				}
-				return kv.Page{AsOf: asOf}, nil
+				return kv.Page{Revision: asOf}, nil
 			},
 			watch: func(after int64) (kv.Page, error) {
 				if after < 12 {
-					return kv.Page{Items: []kv.Item{entry("between", "10.0.0.1:80", "ready", 12)}, AsOf: 13}, nil
+					return kv.Page{Items: []kv.Item{entry("between", "10.0.0.1:80", "ready", 12)}, Revision: 13}, nil
 				}
-				return kv.Page{AsOf: 13}, nil
+				return kv.Page{Revision: 13}, nil
 			},
 		}
 		is.Equal(targetsSoon(t, s), 1)
@@ -77,7 +77,7 @@
 		compacted := false
 		s := &script{
 			rangeOf: func(prefix string) (kv.Page, error) {
-				page := kv.Page{AsOf: 5}
+				page := kv.Page{Revision: 5}
 				switch {
 				case prefix == testConfigKey:
 					page.Items = []kv.Item{config(3)}
@@ -92,7 +92,7 @@
 				compacted = true
 				return kv.Page{}, &kv.StatusError{Status: 410}
 			}
-			return kv.Page{AsOf: 5}, nil
+			return kv.Page{Revision: 5}, nil
 		}
 		is.Equal(targetsSoon(t, s), 0)
 	})
@@ -112,15 +112,15 @@
 				}
 				reads.Add(1)
 				if prefix == testConfigKey {
-					return kv.Page{Items: []kv.Item{config(3)}, AsOf: 5}, nil
+					return kv.Page{Items: []kv.Item{config(3)}, Revision: 5}, nil
 				}
-				return kv.Page{AsOf: 5}, nil
+				return kv.Page{Revision: 5}, nil
 			},
 			watch: func(int64) (kv.Page, error) {
 				if down.Load() {
 					return kv.Page{}, failed
 				}
-				return kv.Page{AsOf: 5}, nil
+				return kv.Page{Revision: 5}, nil
 			},
 		}
 		f := NewFollower(s, testFormats(), quiet())
@@ -130,7 +130,7 @@
 		first := reads.Load()
 		down.Store(true)
 		time.Sleep(10 * time.Second)
-		is.Equal(f.View().Config.Version, int64(3))
+		is.Equal(f.Snapshot().Config.Version, int64(3))
 		is.True(f.Age() > 5*time.Second)
 		down.Store(false)
 		time.Sleep(2 * maxPause)
@@ -151,9 +151,9 @@
 		s := &script{
 			rangeOf: func(prefix string) (kv.Page, error) {
 				if prefix == testConfigKey {
-					return kv.Page{Items: []kv.Item{config(3)}, AsOf: 5}, nil
+					return kv.Page{Items: []kv.Item{config(3)}, Revision: 5}, nil
 				}
-				return kv.Page{AsOf: 5}, nil
+				return kv.Page{Revision: 5}, nil
 			},
 		}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -161,13 +161,13 @@
 			calls.Add(1)
 			for range int(watchWait / (10 * time.Millisecond)) {
 				if r := revision.Load(); r > after {
-					return kv.Page{Items: []kv.Item{entry("s", "10.0.0.1:80", "ready", r)}, AsOf: r}, nil
+					return kv.Page{Items: []kv.Item{entry("s", "10.0.0.1:80", "ready", r)}, Revision: r}, nil
 				}
 				if !pause.For(ctx, 10*time.Millisecond) {
 					return kv.Page{}, ctx.Err()
 				}
 			}
-			return kv.Page{AsOf: after}, errors.New("cut") // not a page without changes: that would be waited for twice
+			return kv.Page{Revision: after}, errors.New("cut") // not a page without changes: that would be waited for twice
 		}
 		f := NewFollower(s, testFormats(), quiet())
 		go f.Run(ctx)
@@ -177,13 +177,13 @@
 		}
 		is.True(calls.Load() <= int64(4*time.Second/gatherMost)+4)
 		time.Sleep(2 * calmAfter)
-		seen := f.Event()
+		seen := f.LastEventRevision()
 		revision.Add(1)
 		time.Sleep(20 * time.Millisecond)
-		is.Equal(f.Event(), seen+1)
+		is.Equal(f.LastEventRevision(), seen+1)
 		revision.Add(1)
 		time.Sleep(gather + 20*time.Millisecond)
-		is.Equal(f.Event(), seen+2) // the next one is gathered briefly
+		is.Equal(f.LastEventRevision(), seen+2) // the next one is gathered briefly
 		cancel()
 		synctest.Wait()
 	})
--- a/core/configuration/mirror/formats_test.go
+++ b/core/configuration/mirror/formats_test.go
@@ -57,7 +57,7 @@
 	}
 	return deployment.Target{
 		ID: strings.TrimPrefix(it.Key, testTargetPrefix), Service: w.Backend, Addr: w.Addr, Zone: w.Zone, Slots: w.Slots,
-		Draining: w.State == "draining", Created: it.Created, Born: w.Born,
-		Group: engine.GroupID{Name: w.Group.Name, Epoch: w.Group.Epoch}, Open: w.Group.State == "open",
+		Draining: w.State == "draining", CreateRevision: it.CreateRevision, StartedAt: w.Born,
+		Group: engine.GroupID{Name: w.Group.Name, Epoch: w.Group.Epoch}, GroupComplete: w.Group.State == "open",
 	}, nil
 }
--- a/core/configuration/mirror/hints.go
+++ b/core/configuration/mirror/hints.go
@@ -132,9 +132,9 @@
 // worth telling.
 const storeFresh = watchWait + answerWait + hintGrace
 
-// Event returns the revision of the newest change that was seen, or 0 if the store has not
+// LastEventRevision returns the revision of the newest change that was seen, or 0 if the store has not
 // answered for a while: whoever is told relies on it to notice what it misses itself.
-func (f *Follower) Event() int64 {
+func (f *Follower) LastEventRevision() int64 {
 	if f.Age() > storeFresh {
 		return 0
 	}
--- a/core/configuration/mirror/hints_test.go
+++ b/core/configuration/mirror/hints_test.go
@@ -50,23 +50,23 @@
 
 func (s *silentStore) Range(_ context.Context, prefix, _ string) (kv.Page, error) {
 	if prefix == testConfigKey {
-		return kv.Page{Items: []kv.Item{config(3)}, AsOf: 10}, nil
+		return kv.Page{Items: []kv.Item{config(3)}, Revision: 10}, nil
 	}
-	return kv.Page{AsOf: 10}, nil
+	return kv.Page{Revision: 10}, nil
 }
 
 func (s *silentStore) Watch(ctx context.Context, _ string, after int64, wait time.Duration) (kv.Page, error) {
 	s.watches.Add(1)
 	for left := wait; left > 0 || s.silent.Load(); left -= 10 * time.Millisecond {
 		if n := s.targets.Load(); n > after && !s.silent.Load() {
-			return kv.Page{Items: []kv.Item{entry("new", "10.0.0.1:80", "ready", n)}, AsOf: n}, nil
+			return kv.Page{Items: []kv.Item{entry("new", "10.0.0.1:80", "ready", n)}, Revision: n}, nil
 		}
 		if !pause.For(ctx, 10*time.Millisecond) {
 			s.silent.Store(false) // the next connection works
 			return kv.Page{}, ctx.Err()
 		}
 	}
-	return kv.Page{AsOf: after}, nil
+	return kv.Page{Revision: after}, nil
 }
 
 // Guards against a change that a silent connection hides for the length of a watch.
@@ -91,7 +91,7 @@
 		time.Sleep(100 * time.Millisecond)
 		event.Store(11) // the steward has seen it
 		time.Sleep(2 * time.Second)
-		is.Equal(len(f.View().Targets), 1)
+		is.Equal(len(f.Snapshot().Targets), 1)
 		cancel()
 		synctest.Wait()
 	})
@@ -115,7 +115,7 @@
 		s.silent.Store(true)
 		s.targets.Store(11)
 		time.Sleep(watchWait + answerWait + time.Second)
-		is.Equal(f.Event(), int64(11))
+		is.Equal(f.LastEventRevision(), int64(11))
 		cancel()
 		synctest.Wait()
 	})
@@ -130,7 +130,7 @@
 		failed := errors.New("no answer")
 		s := &script{
 			rangeOf: func(prefix string) (kv.Page, error) {
-				page := kv.Page{AsOf: 5}
+				page := kv.Page{Revision: 5}
 				switch {
 				case down.Load():
 					return page, failed
@@ -145,7 +145,7 @@
 				if down.Load() {
 					return kv.Page{}, failed
 				}
-				return kv.Page{AsOf: 5}, nil
+				return kv.Page{Revision: 5}, nil
 			},
 		}
 		f := NewFollower(s, testFormats(), quiet())
@@ -157,15 +157,15 @@
 			}
 		}()
 		time.Sleep(time.Second)
-		is.Equal(len(f.View().Targets), 1)
+		is.Equal(len(f.Snapshot().Targets), 1)
 		down.Store(true)
 		time.Sleep(20 * time.Second) // the watch under way ends
 		left = true
 		down.Store(false)
 		time.Sleep(maxPause + maxPause/2 + returnGrace/2)
-		is.Equal(len(f.View().Targets), 1) // it may still come back
+		is.Equal(len(f.Snapshot().Targets), 1) // it may still come back
 		time.Sleep(returnGrace)
-		is.Equal(len(f.View().Targets), 0)
+		is.Equal(len(f.Snapshot().Targets), 0)
 		cancel()
 		synctest.Wait()
 	})
--- a/core/configuration/mirror/listen.go
+++ b/core/configuration/mirror/listen.go
@@ -58,9 +58,9 @@
 	switch {
 	case a.Revision != b.Revision:
 		return cmp.Compare(a.Revision, b.Revision)
-	case a.Removed == b.Removed:
+	case a.Deleted == b.Deleted:
 		return 0
-	case a.Removed:
+	case a.Deleted:
 		return 1
 	}
 	return -1
--- a/core/configuration/mirror/listen_test.go
+++ b/core/configuration/mirror/listen_test.go
@@ -21,15 +21,15 @@
 			rangeOf: func(prefix string) (kv.Page, error) {
 				read[prefix] = true
 				if prefix == testConfigKey {
-					return kv.Page{Items: []kv.Item{config(3)}, AsOf: 10}, nil
+					return kv.Page{Items: []kv.Item{config(3)}, Revision: 10}, nil
 				}
-				return kv.Page{AsOf: 10}, nil
+				return kv.Page{Revision: 10}, nil
 			},
 			watch: func(after int64) (kv.Page, error) {
 				if after < 12 {
-					return kv.Page{Items: []kv.Item{{Key: "news/a", Revision: 11}, {Key: "other/a", Revision: 12}}, AsOf: 12}, nil
+					return kv.Page{Items: []kv.Item{{Key: "news/a", Revision: 11}, {Key: "other/a", Revision: 12}}, Revision: 12}, nil
 				}
-				return kv.Page{AsOf: 12}, nil
+				return kv.Page{Revision: 12}, nil
 			},
 		}
 		f := NewFollower(s, testFormats(), quiet())
@@ -56,7 +56,7 @@
 		s := &script{rangeOf: func(string) (kv.Page, error) { return kv.Page{}, context.DeadlineExceeded }}
 		f := NewFollower(s, testFormats(), quiet())
 		lost := 0
-		f.OnLost(func() { lost++ })
+		f.OnStoreUnreachable(func() { lost++ })
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
 		time.Sleep(5 * time.Second)
--- a/core/configuration/mirror/mirror.go
+++ b/core/configuration/mirror/mirror.go
@@ -34,14 +34,14 @@
 // the outage are back within about two seconds if their server lives.
 const returnGrace = 2200 * time.Millisecond
 
-// View is one consistent state of what the store says. It is not changed after
+// Snapshot is one consistent state of what the store says. It is not changed after
 // it was published.
-type View struct {
+type Snapshot struct {
 	Config *deployment.Config
 	// Targets are all registered servers, by their ID.
 	Targets map[string]deployment.Target
-	// Stewards are the newest claims to be the steward of an expert group, by group.
-	Stewards map[string]rankpeer.Claim
+	// Coordinators are the newest claims to be the steward of an expert group, by group.
+	Coordinators map[string]rankpeer.Claim
 	// Revision is the store's revision up to which the view is complete.
 	Revision int64
 }
@@ -51,13 +51,13 @@
 
 // ShortestGap returns the shortest pause between events that a route to a
 // service allows.
-func (v *View) ShortestGap(service string) time.Duration {
+func (v *Snapshot) ShortestGap(service string) time.Duration {
 	shortest := time.Duration(0)
 	for i := range v.Config.Routes {
 		r := &v.Config.Routes[i]
 		for _, s := range r.Split {
-			if s.Service == service && r.Gap > 0 && (shortest == 0 || r.Gap < shortest) {
-				shortest = r.Gap
+			if s.Service == service && r.MaxEventGap > 0 && (shortest == 0 || r.MaxEventGap < shortest) {
+				shortest = r.MaxEventGap
 			}
 		}
 	}
@@ -96,8 +96,8 @@
 	return m
 }
 
-// View returns the present state, or nil before the first configuration.
-func (m *Mirror) View() *View {
+// Snapshot returns the present state, or nil before the first configuration.
+func (m *Mirror) Snapshot() *Snapshot {
 	if m.config == nil {
 		return nil
 	}
@@ -105,7 +105,7 @@
 	for _, c := range m.stewards {
 		stewards[c.Group] = c
 	}
-	return &View{Config: m.config, Targets: m.current(), Stewards: stewards, Revision: m.revision}
+	return &Snapshot{Config: m.config, Targets: m.current(), Coordinators: stewards, Revision: m.revision}
 }
 
 // current returns the targets of services that the configuration names, without
@@ -125,7 +125,7 @@
 		if !m.targetsOnly && !named[t.Service] {
 			continue
 		}
-		if old, ok := newest[t.Addr]; !ok || t.Created > old.Created {
+		if old, ok := newest[t.Addr]; !ok || t.CreateRevision > old.CreateRevision {
 			newest[t.Addr] = t
 		}
 	}
@@ -154,7 +154,7 @@
 
 func (m *Mirror) applyOne(it kv.Item) bool {
 	switch {
-	case it.Key == m.formats.ConfigKey && !it.Removed:
+	case it.Key == m.formats.ConfigKey && !it.Deleted:
 		return m.applyConfig(it)
 	case strings.HasPrefix(it.Key, m.formats.TargetPrefix):
 		return m.applyTarget(it)
@@ -168,7 +168,7 @@
 // read, says nothing of this group's steward.
 func (m *Mirror) applySteward(it kv.Item) bool {
 	key := strings.TrimPrefix(it.Key, rankpeer.ClaimPrefix)
-	if it.Removed {
+	if it.Deleted {
 		_, known := m.stewards[key]
 		delete(m.stewards, key)
 		return known
@@ -204,7 +204,7 @@
 func (m *Mirror) applyTarget(it kv.Item) bool {
 	id := strings.TrimPrefix(it.Key, m.formats.TargetPrefix)
 	delete(m.missing, id)
-	if it.Removed {
+	if it.Deleted {
 		return m.remove(id, "its entry was removed", it.Revision)
 	}
 	t, err := m.formats.Target(it)
@@ -213,20 +213,20 @@
 		return m.remove(id, "its entry names no server to use", it.Revision)
 	}
 	old, known := m.targets[id]
-	if known && (old.Born != t.Born || old.Addr != t.Addr) {
+	if known && (old.StartedAt != t.StartedAt || old.Addr != t.Addr) {
 		// The server has started again under its ID: it has its address from now.
-		t.Created = max(t.Created, it.Revision)
-		m.log.Info("target started again", "target", id, "born", t.Born, "born-before", old.Born, "addr", t.Addr.String(), "revision", it.Revision)
+		t.CreateRevision = max(t.CreateRevision, it.Revision)
+		m.log.Info("target started again", "target", id, "born", t.StartedAt, "born-before", old.StartedAt, "addr", t.Addr.String(), "revision", it.Revision)
 	} else if known {
-		t.Created = old.Created
+		t.CreateRevision = old.CreateRevision
 	}
 	if known && old == t {
 		return false
 	}
 	m.targets[id] = t
-	if !known || old.Draining != t.Draining || old.Group != t.Group || old.Open != t.Open {
+	if !known || old.Draining != t.Draining || old.Group != t.Group || old.GroupComplete != t.GroupComplete {
 		m.log.Info("target", "target", id, "service", t.Service, "addr", t.Addr.String(), "draining", t.Draining,
-			"group", t.Group.Name, "epoch", t.Group.Epoch, "open", t.Open, "revision", it.Revision)
+			"group", t.Group.Name, "epoch", t.Group.Epoch, "open", t.GroupComplete, "revision", it.Revision)
 	}
 	return true
 }
@@ -265,9 +265,9 @@
 	return changed
 }
 
-// Due returns how long it is until a target that an outage has hidden is to be dropped, and
+// NextExpiry returns how long it is until a target that an outage has hidden is to be dropped, and
 // false if there is none.
-func (m *Mirror) Due(now time.Time) (time.Duration, bool) {
+func (m *Mirror) NextExpiry(now time.Time) (time.Duration, bool) {
 	first := time.Time{}
 	for _, until := range m.missing {
 		if first.IsZero() || until.Before(first) {
@@ -277,8 +277,8 @@
 	return max(first.Sub(now), 0), !first.IsZero()
 }
 
-// Tick drops targets that have not come back after an outage.
-func (m *Mirror) Tick(now time.Time) bool {
+// ExpireMissing drops targets that have not come back after an outage.
+func (m *Mirror) ExpireMissing(now time.Time) bool {
 	changed := false
 	for id, until := range m.missing {
 		if !now.Before(until) {
--- a/core/configuration/mirror/mirror_test.go
+++ b/core/configuration/mirror/mirror_test.go
@@ -22,13 +22,13 @@
 
 func entry(id, addr, state string, created int64) kv.Item {
 	return kv.Item{
-		Key: testTargetPrefix + id, Created: created, Revision: created,
+		Key: testTargetPrefix + id, CreateRevision: created, Revision: created,
 		Value: fmt.Appendf(nil, `{"backend":"desk","addr":%q,"zone":"z","version":"v1","slots":6,"state":%q,"coldMs":0,"seq":1}`, addr, state),
 	}
 }
 
 func gone(id string, revision int64) kv.Item {
-	return kv.Item{Key: testTargetPrefix + id, Removed: true, Revision: revision}
+	return kv.Item{Key: testTargetPrefix + id, Deleted: true, Revision: revision}
 }
 
 var noon = time.Unix(1000, 0)
@@ -37,13 +37,13 @@
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
-	is.Equal(m.View(), nil)
+	is.Equal(m.Snapshot(), nil)
 	is.True(m.Apply([]kv.Item{config(7)}, 7))
 	is.True(!m.Apply([]kv.Item{config(4)}, 8))
 	is.True(!m.Replace([]kv.Item{config(5)}, 9, false, noon))
-	is.Equal(m.View().Config.Version, int64(7))
+	is.Equal(m.Snapshot().Config.Version, int64(7))
 	is.True(m.Apply([]kv.Item{config(11)}, 11))
-	is.Equal(m.View().Config.Version, int64(11))
+	is.Equal(m.Snapshot().Config.Version, int64(11))
 }
 
 // A configuration that can't be read must not take the place of one that can.
@@ -52,7 +52,7 @@
 	m := New(testFormats(), quiet())
 	m.Apply([]kv.Item{config(7)}, 7)
 	is.True(!m.Apply([]kv.Item{{Key: testConfigKey, Value: []byte("{"), Revision: 8}}, 8))
-	is.Equal(m.View().Config.Version, int64(7))
+	is.Equal(m.Snapshot().Config.Version, int64(7))
 }
 
 // Guards against sending to the earlier server of an address.
@@ -61,11 +61,11 @@
 	m := New(testFormats(), quiet())
 	m.Apply([]kv.Item{config(1), entry("old", "10.0.0.1:80", "ready", 2)}, 2)
 	m.Apply([]kv.Item{entry("new", "10.0.0.1:80", "ready", 9)}, 9)
-	v := m.View()
+	v := m.Snapshot()
 	is.Equal(len(v.Targets), 1)
 	is.Equal(v.Targets["new"].ID, "new")
 	m.Apply([]kv.Item{gone("old", 10)}, 10)
-	is.Equal(len(m.View().Targets), 1)
+	is.Equal(len(m.Snapshot().Targets), 1)
 }
 
 // Guards against dropping all servers whose entries have lapsed, and keeping those that are
@@ -75,11 +75,11 @@
 	m := New(testFormats(), quiet())
 	m.Apply([]kv.Item{config(1), entry("a", "10.0.0.1:80", "ready", 2), entry("b", "10.0.0.2:80", "ready", 3)}, 3)
 	m.Replace([]kv.Item{config(1)}, 20, true, noon)
-	is.Equal(len(m.View().Targets), 2)
+	is.Equal(len(m.Snapshot().Targets), 2)
 	m.Apply([]kv.Item{entry("a", "10.0.0.1:80", "ready", 21)}, 21)
-	is.True(!m.Tick(noon.Add(returnGrace - 1)))
-	is.True(m.Tick(noon.Add(returnGrace)))
-	v := m.View()
+	is.True(!m.ExpireMissing(noon.Add(returnGrace - 1)))
+	is.True(m.ExpireMissing(noon.Add(returnGrace)))
+	v := m.Snapshot()
 	is.Equal(len(v.Targets), 1)
 	is.Equal(v.Targets["a"].ID, "a")
 }
@@ -90,7 +90,7 @@
 	m := New(testFormats(), quiet())
 	m.Apply([]kv.Item{config(1), entry("a", "10.0.0.1:80", "ready", 2)}, 2)
 	is.True(m.Replace([]kv.Item{config(1)}, 20, false, noon))
-	is.Equal(len(m.View().Targets), 0)
+	is.Equal(len(m.Snapshot().Targets), 0)
 }
 
 func TestDrainingIsSeen(t *testing.T) {
@@ -98,7 +98,7 @@
 	m := New(testFormats(), quiet())
 	m.Apply([]kv.Item{config(1), entry("a", "10.0.0.1:80", "ready", 2)}, 2)
 	is.True(m.Apply([]kv.Item{entry("a", "10.0.0.1:80", "draining", 2)}, 5))
-	is.True(m.View().Targets["a"].Draining)
+	is.True(m.Snapshot().Targets["a"].Draining)
 	is.True(!m.Apply([]kv.Item{entry("a", "10.0.0.1:80", "draining", 2)}, 6))
 }
 
@@ -118,13 +118,13 @@
 	strange := entry("c", "10.0.0.1:80", "ready", 9)
 	strange.Value = []byte(strings.Replace(string(strange.Value), `"desk"`, `"nowhere"`, 1))
 	m.Apply([]kv.Item{strange, {Key: testTargetPrefix + "d", Value: []byte("\x00"), Revision: 10}}, 10)
-	is.Equal(len(m.View().Targets), 2)
+	is.Equal(len(m.Snapshot().Targets), 2)
 	is.True(m.Apply([]kv.Item{{Key: testTargetPrefix + "b", Value: []byte("{"), Revision: 11}}, 11))
-	v := m.View()
+	v := m.Snapshot()
 	is.Equal(len(v.Targets), 1)
 	is.Equal(v.Targets["a"].ID, "a")
 	is.True(m.Apply([]kv.Item{entry("b", "10.0.0.2:80", "ready", 3)}, 12))
-	is.Equal(len(m.View().Targets), 2)
+	is.Equal(len(m.Snapshot().Targets), 2)
 }
 
 // Guards against sending to the server that had an address before.
@@ -133,12 +133,12 @@
 	m := New(testFormats(), quiet())
 	m.Apply([]kv.Item{config(1), server("a", "10.0.0.1:80", 100, 2, 2), server("b", "10.0.0.2:80", 100, 5, 5)}, 5)
 	is.True(m.Apply([]kv.Item{server("a", "10.0.0.2:80", 900, 2, 8)}, 8))
-	v := m.View()
+	v := m.Snapshot()
 	is.Equal(len(v.Targets), 1)
-	is.Equal(v.Targets["a"].Born, int64(900))
+	is.Equal(v.Targets["a"].StartedAt, int64(900))
 	is.Equal(v.Targets["a"].Addr.String(), "10.0.0.2:80")
 	is.True(!m.Apply([]kv.Item{server("a", "10.0.0.2:80", 900, 2, 9)}, 9))
-	is.Equal(m.View().Targets["a"].Created, int64(8))
+	is.Equal(m.Snapshot().Targets["a"].CreateRevision, int64(8))
 }
 
 // Guards against taking one group's steward for that of another.
@@ -155,11 +155,11 @@
 		{Key: rankpeer.Key(rankpeer.ClaimPrefix, long), Value: rankpeer.Claim{Group: long, Addr: "10.0.0.5:9"}.Bytes(), Revision: 6},
 	}, 6)
 	is.True(len(rankpeer.Key(rankpeer.ClaimPrefix, long)) <= 200)
-	v := m.View()
-	is.Equal(len(v.Stewards), 3)
-	is.Equal(v.Stewards["g0"].Addr, "10.0.0.1:9")
-	is.Equal(v.Stewards["g/1 ?"].Addr, "10.0.0.2:9")
-	is.Equal(v.Stewards[long].Addr, "10.0.0.5:9")
-	is.True(m.Apply([]kv.Item{{Key: rankpeer.ClaimPrefix + "g0", Removed: true, Revision: 7}}, 7))
-	is.Equal(len(m.View().Stewards), 2)
+	v := m.Snapshot()
+	is.Equal(len(v.Coordinators), 3)
+	is.Equal(v.Coordinators["g0"].Addr, "10.0.0.1:9")
+	is.Equal(v.Coordinators["g/1 ?"].Addr, "10.0.0.2:9")
+	is.Equal(v.Coordinators[long].Addr, "10.0.0.5:9")
+	is.True(m.Apply([]kv.Item{{Key: rankpeer.ClaimPrefix + "g0", Deleted: true, Revision: 7}}, 7))
+	is.Equal(len(m.Snapshot().Coordinators), 2)
 }
--- a/core/configuration/operator/types.go
+++ b/core/configuration/operator/types.go
@@ -45,8 +45,8 @@
 	MapVersion uint64 `json:"map-version"`
 	Step       uint64 `json:"step"`
 	// Skew is the measured load of the busiest rank over the mean.
-	Skew    float64 `json:"skew"`
-	Steward string  `json:"steward,omitempty"`
+	Skew        float64 `json:"skew"`
+	Coordinator string  `json:"steward,omitempty"`
 	// Fence is the fencing number of the steward's lease.
 	Fence uint64 `json:"fence,omitempty"`
 	// Reason says why the last plan moved experts or not, as a word, and
--- a/core/configuration/store/call.go
+++ b/core/configuration/store/call.go
@@ -111,7 +111,7 @@
 
 // decided reports whether err is the store's own decision against the call.
 func decided(err error) bool {
-	var gone *LeaseGoneError
+	var gone *LeaseNotFoundError
 	var refused *RefusedError
 	return errors.As(err, &gone) || errors.As(err, &refused)
 }
@@ -174,7 +174,7 @@
 		return false, &statusError{Status: res.StatusCode}
 	case http.StatusNotFound:
 		if cl.lease != 0 {
-			return false, &LeaseGoneError{ID: cl.lease}
+			return false, &LeaseNotFoundError{ID: cl.lease}
 		}
 		return false, &RefusedError{Op: cl.op, Status: res.StatusCode}
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden,
--- a/core/configuration/store/errors.go
+++ b/core/configuration/store/errors.go
@@ -65,14 +65,14 @@
 	return fmt.Sprintf("store: %s: size %d is over the limit of %d bytes", e.Key, e.Size, e.Limit)
 }
 
-// LeaseGoneError says that the lease named by a call has lapsed or was revoked.
+// LeaseNotFoundError says that the lease named by a call has lapsed or was revoked.
 // Nothing was changed.
-type LeaseGoneError struct {
+type LeaseNotFoundError struct {
 	ID int64
 }
 
 // Error returns the lease.
-func (e *LeaseGoneError) Error() string { return fmt.Sprintf("store: lease %d is gone", e.ID) }
+func (e *LeaseNotFoundError) Error() string { return fmt.Sprintf("store: lease %d is gone", e.ID) }
 
 // CompactedError says that the store no longer keeps the changes that a watch
 // asked for. The caller reads the key and watches from its version.
--- a/core/configuration/store/store_test.go
+++ b/core/configuration/store/store_test.go
@@ -61,7 +61,7 @@
 		unavailable *store.UnavailableError
 		unknown     *store.UnknownError
 		refused     *store.RefusedError
-		gone        *store.LeaseGoneError
+		gone        *store.LeaseNotFoundError
 		conflict    *store.ConflictError
 	)
 	switch {
--- a/core/configuration/store/write.go
+++ b/core/configuration/store/write.go
@@ -86,7 +86,7 @@
 		return Lease{}, lost(opKeepAlive, errShortAnswer)
 	}
 	if resp.Result.TTL <= 0 {
-		return Lease{}, &LeaseGoneError{ID: id}
+		return Lease{}, &LeaseNotFoundError{ID: id}
 	}
 	return leaseFromWire(resp.Result), nil
 }
--- a/core/request/permit/change.go
+++ b/core/request/permit/change.go
@@ -11,7 +11,7 @@
 
 // Change is a change of the store that a Tracker wants.
 type Change struct {
-	kv.Change
+	kv.Txn
 	// Target is the target whose permit it is about, Kind what becomes of it.
 	Target string
 	Kind   Kind
@@ -99,7 +99,7 @@
 // change returns the change of a permit that has a revision; 0 if it must not be there.
 func change(k Kind, r Record, revision int64) Change {
 	c := Change{Target: r.Target, Kind: k, record: r}
-	c.Expect = []kv.Condition{{Key: r.Key(), Revision: revision}}
+	c.Conditions = []kv.Condition{{Key: r.Key(), Revision: revision}}
 	if k == Release {
 		c.Deletes = []string{r.Key()}
 		return c
--- a/core/request/permit/record.go
+++ b/core/request/permit/record.go
@@ -29,7 +29,7 @@
 
 // Key returns the key of the permit.
 func (r *Record) Key() string {
-	return fmt.Sprintf("%s%s/%d", Prefix, kv.Short(r.Target), r.Index)
+	return fmt.Sprintf("%s%s/%d", Prefix, kv.ShortHash(r.Target), r.Index)
 }
 
 // bytes returns the record as it stands in the store.
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -206,7 +206,7 @@
 	delete(r.items, key)
 	delete(r.leaseOf, key)
 	r.revision++
-	r.tell(kv.Item{Key: key, Revision: r.revision, Removed: true})
+	r.tell(kv.Item{Key: key, Revision: r.revision, Deleted: true})
 }
 
 // tell has all senders hear of a change, each in its own time and in order.
@@ -223,12 +223,12 @@
 }
 
 // change makes a change, all or nothing.
-func (r *replay) change(c kv.Change) (int64, bool) {
+func (r *replay) change(c kv.Txn) (int64, bool) {
 	r.writes++
 	if r.down() {
 		return 0, false
 	}
-	for _, e := range c.Expect {
+	for _, e := range c.Conditions {
 		if r.items[e.Key].Revision != e.Revision {
 			return 0, false
 		}
@@ -257,7 +257,7 @@
 	}
 	h.renew(now)
 	if c, ok := h.NextChange(now); ok {
-		revision, made := h.sim.change(c.Change)
+		revision, made := h.sim.change(c.Txn)
 		h.Complete(c, revision, made, now)
 	}
 }
--- a/core/request/permit/tracker.go
+++ b/core/request/permit/tracker.go
@@ -287,7 +287,7 @@
 		}
 	}
 	for _, it := range items {
-		if it.Removed {
+		if it.Deleted {
 			tr.remove(it.Key, it.Revision)
 			continue
 		}
--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -145,9 +145,9 @@
 	is := is.New(t)
 	tr := newTracker(1)
 	tr.Apply([]kv.Item{item(own(0), 5)}, false, start)
-	tr.Apply([]kv.Item{{Key: item(own(0), 0).Key, Revision: 4, Removed: true}}, false, start)
+	tr.Apply([]kv.Item{{Key: item(own(0), 0).Key, Revision: 4, Deleted: true}}, false, start)
 	is.True(tr.Ready("t", start.Add(time.Minute)))
-	tr.Apply([]kv.Item{{Key: item(own(0), 0).Key, Revision: 6, Removed: true}}, false, start)
+	tr.Apply([]kv.Item{{Key: item(own(0), 0).Key, Revision: 6, Deleted: true}}, false, start)
 	is.True(!tr.Ready("t", start.Add(time.Minute)))
 }
 
@@ -198,7 +198,7 @@
 	tr.RecordDemand("s", start)
 	c, wants := tr.NextChange(start)
 	is.True(wants && c.Kind == Claim)
-	is.Equal(c.Expect, []kv.Condition{{Key: c.record.Key(), Revision: 0}})
+	is.Equal(c.Conditions, []kv.Condition{{Key: c.record.Key(), Revision: 0}})
 	tr = newTracker(1)
 	for i := range Count(1) {
 		left := own(i)
@@ -211,7 +211,7 @@
 	tr.RecordDemand("s", start)
 	c, wants = tr.NextChange(start)
 	is.True(wants && c.Kind == Claim)
-	is.Equal(c.Expect, []kv.Condition{{Key: item(own(2), 0).Key, Revision: 12}})
+	is.Equal(c.Conditions, []kv.Condition{{Key: item(own(2), 0).Key, Revision: 12}})
 }
 
 // BenchmarkPick is what limits add to the choice of a target when all of a service name some.
--- a/core/request/quarantine/report.go
+++ b/core/request/quarantine/report.go
@@ -25,7 +25,7 @@
 
 // ReportKey returns the key for the n-th report of a gateway.
 func ReportKey(instance string, n int) string {
-	return fmt.Sprintf("%s%s/%d", reportPrefix, kv.Short(instance), n%reportSlots)
+	return fmt.Sprintf("%s%s/%d", reportPrefix, kv.ShortHash(instance), n%reportSlots)
 }
 
 // HoldKey returns the key that says that a request is held back.
--- a/ctl/configs.go
+++ b/ctl/configs.go
@@ -85,7 +85,7 @@
 	return s.show(accepted, func() { printAccepted(s.out, accepted) })
 }
 
-func printDiff(s *session, diff []config.Line) {
+func printDiff(s *session, diff []config.DiffLine) {
 	if len(diff) == 0 {
 		fmt.Fprintln(s.out, "nothing moves")
 	}
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	groups := []operator.GroupStatus{{
-		Name: "captions", State: "steady", MapVersion: 4, Step: 1200, Skew: 1.31, Steward: "caption-1",
+		Name: "captions", State: "steady", MapVersion: 4, Step: 1200, Skew: 1.31, Coordinator: "caption-1",
 		Fence: 25, Reason: "gain-below-cost", Explanation: "not moving: expected skew 1.310", Moves: 84, Bytes: 5505024,
 		MeanSkew: 1.25, MaxSkew: 1.5, Skews: []float64{1.5, 1.25, 1, 1.31}, AgeMillis: 410,
 		Waiting: []operator.RankStatus{{Target: "caption-2", Health: "dead", Lost: true}},
--- a/ctl/group.go
+++ b/ctl/group.go
@@ -21,7 +21,7 @@
 // printGroup prints what is known of one group beside its row in the table.
 func printGroup(w io.Writer, g operator.GroupStatus) {
 	fmt.Fprintln(w)
-	t := newTable(w, "steward", fmt.Sprintf("%s, fence %d, heard %s ago", g.Steward, g.Fence, time.Duration(g.AgeMillis)*time.Millisecond))
+	t := newTable(w, "steward", fmt.Sprintf("%s, fence %d, heard %s ago", g.Coordinator, g.Fence, time.Duration(g.AgeMillis)*time.Millisecond))
 	t.add("step", g.Step)
 	t.add("skew", fmt.Sprintf("%.3f now, mean %.3f and greatest %.3f of the last hour", g.Skew, g.MeanSkew, g.MaxSkew))
 	t.add("moved", fmt.Sprintf("%d replicas, %.1f MB in the last hour", g.Moves, float64(g.Bytes)/megabyte))
--- a/ctl/table.go
+++ b/ctl/table.go
@@ -137,7 +137,7 @@
 	fmt.Fprintln(w)
 	g := newTable(w, "GROUP", "STATE", "MAP", "STEP", "SKEW", "STEWARD")
 	for _, x := range s.Groups {
-		g.add(x.Name, x.State, x.MapVersion, x.Step, fmt.Sprintf("%.2f", x.Skew), x.Steward)
+		g.add(x.Name, x.State, x.MapVersion, x.Step, fmt.Sprintf("%.2f", x.Skew), x.Coordinator)
 	}
 	g.flush()
 }
--- a/entry/app.go
+++ b/entry/app.go
@@ -141,16 +141,16 @@
 }
 
 // spread exchanges heartbeats and configurations with the agents.
-func (e *Entry) spread() *follow.Spread {
-	return &follow.Spread{
+func (e *Entry) spread() *follow.Gossip {
+	return &follow.Gossip{
 		Name: e.cfg.Name, Follower: e.follower, Dialer: e.dialer, Log: e.log,
 		Members: e.members, Period: e.cfg.Heartbeat, Seeds: e.cfg.Seeds,
 		Describe: e.describe,
-		Heard: func(name string, m *wire.ExchangeResponse) {
+		OnResponse: func(name string, m *wire.ExchangeResponse) {
 			e.fleet.heard(name, m)
 			e.router.heard(name, m.Load)
 		},
-		Failed: e.router.unheard,
+		OnFailure: e.router.unheard,
 	}
 }
 
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -98,7 +98,7 @@
 	switch {
 	case e.leaving.Load():
 		return "draining"
-	case e.members.CutOff():
+	case e.members.Isolated():
 		return "cut off from all agents"
 	case !e.ready():
 		return e.follower.Reason()
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -125,8 +125,8 @@
 // silence is how long the caller waits for the first part of its answer.
 func (c *call) silence() time.Duration {
 	left := c.deadline.Sub(c.arrived)
-	if c.route.Silence > 0 {
-		return min(c.route.Silence, left)
+	if c.route.StreamIdleTimeout > 0 {
+		return min(c.route.StreamIdleTimeout, left)
 	}
 	return left
 }
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -52,7 +52,7 @@
 	return &call{
 		gateway: &gateway{budgets: retry.NewBudgets(retry.Limits{KeyStart: 10, HopStart: 10})},
 		request: request{
-			route: &deployment.Route{Objective: 500 * time.Millisecond, Silence: 2 * time.Second}, returning: returning,
+			route: &deployment.Route{Objective: 500 * time.Millisecond, StreamIdleTimeout: 2 * time.Second}, returning: returning,
 			arrived: now, deadline: now.Add(8 * time.Second), req: platform.Request{PromptTokens: 800, AnswerTokens: 100},
 		},
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -105,7 +105,7 @@
 func (c *call) send(ctx context.Context, s sent) (kind retry.Kind, reason string, done bool) {
 	watched := ctx
 	if c.route.Kind == deployment.Stream && c.route.Repeatable() {
-		watched, c.flight = c.fleet.depart(ctx, s, c.req.ID, c.service, c.ran < c.route.Attempts)
+		watched, c.flight = c.fleet.depart(ctx, s, c.req.ID, c.service, c.ran < c.route.MaxAttempts)
 		defer c.fleet.land(c.flight)
 	}
 	if c.route.Kind != deployment.Stream {
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -77,7 +77,7 @@
 // the lock held.
 func (f *fleet) limited(s sent, requestID string, limit *float64, now time.Time) {
 	p := s.target
-	if !f.backpressure.limits.named(permit.Response{Target: p.ID, Service: p.Service, StartedAt: p.Born, Limit: limit, Sent: s.started}, now) {
+	if !f.backpressure.limits.named(permit.Response{Target: p.ID, Service: p.Service, StartedAt: p.StartedAt, Limit: limit, Sent: s.started}, now) {
 		return
 	}
 	if limit == nil {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -166,7 +166,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.ran >= c.route.Attempts && kind != retry.Refused && kind != retry.NotSent {
+	if c.ran >= c.route.MaxAttempts && kind != retry.Refused && kind != retry.NotSent {
 		// The operator bounds how many servers may run one request.
 		kind = retry.RefusedAll
 		if !c.attempts.HasFailed {
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -21,12 +21,12 @@
 // Guards against a random generator that two goroutines use at once; the race detector tells.
 func TestConcurrentDecisionsDoNotShareRandomState(_ *testing.T) {
 	g := newGateway(instance.Env{Log: slog.New(slog.DiscardHandler)}, noop.NewTracerProvider().Tracer("test"), nil)
-	rt := &deployment.Route{Attempts: 3, Split: []deployment.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
+	rt := &deployment.Route{MaxAttempts: 3, Split: []deployment.Share{{Service: "a", Weight: 1}, {Service: "b", Weight: 1}}}
 	targets := map[string]deployment.Target{}
 	for _, id := range []string{"t1", "t2", "t3", "t4", "t5", "t6", "t7", "t8"} {
 		targets[id] = deployment.Target{ID: id, Service: "a"}
 	}
-	g.fleet.update(&mirror.View{Targets: targets})
+	g.fleet.update(&mirror.Snapshot{Targets: targets})
 	var wg sync.WaitGroup
 	for range 4 {
 		wg.Go(func() {
@@ -61,7 +61,7 @@
 	r.Equal(f.monitor.State(i), health.Ejected)
 	f.mu.Unlock()
 	t0 := r.view.Targets["t0"]
-	t0.Born = 8
+	t0.StartedAt = 8
 	view := r.view
 	view.Targets = map[string]deployment.Target{"t0": t0}
 	r.gateway.update(&view)
--- a/gateway/crash/detector.go
+++ b/gateway/crash/detector.go
@@ -70,7 +70,7 @@
 	born int64
 }
 
-func lifeOf(t deployment.Target) life { return life{t.ID, t.Born} }
+func lifeOf(t deployment.Target) life { return life{t.ID, t.StartedAt} }
 
 // breaks are the answers of one target that broke off and are not accounted for.
 type breaks struct {
@@ -245,9 +245,9 @@
 		return
 	}
 	t := b.target
-	d.log.Warn("target crashed", "target", t.ID, "service", t.Service, "addr", t.Addr.String(), "born", t.Born,
+	d.log.Warn("target crashed", "target", t.ID, "service", t.Service, "addr", t.Addr.String(), "born", t.StartedAt,
 		"how", how, "broken-off", len(requests), "prints", short(requests), "after-ms", time.Since(b.last).Milliseconds())
-	d.ended(quarantine.Crash{Target: t.ID, StartedAt: t.Born, Requests: requests})
+	d.ended(quarantine.Crash{Target: t.ID, StartedAt: t.StartedAt, Requests: requests})
 }
 
 // short returns the beginnings of some fingerprints for a line.
--- a/gateway/crash/detector_test.go
+++ b/gateway/crash/detector_test.go
@@ -44,7 +44,7 @@
 }
 
 func target() deployment.Target {
-	return deployment.Target{ID: "t0", Born: 7, Addr: netip.MustParseAddrPort("10.0.0.1:80")}
+	return deployment.Target{ID: "t0", StartedAt: 7, Addr: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
 func printOf(n int) quarantine.Fingerprint {
@@ -87,9 +87,9 @@
 			b.Tick(time.Now())
 			b.Gone(target())
 		}, 0},
-		"no answer, and another one leaves": {errSilent, func(b *bench) { b.Gone(deployment.Target{ID: "t1", Born: 7}) }, 0},
+		"no answer, and another one leaves": {errSilent, func(b *bench) { b.Gone(deployment.Target{ID: "t1", StartedAt: 7}) }, 0},
 		"no answer, and an earlier life ends": {errSilent, func(b *bench) {
-			b.Gone(deployment.Target{ID: "t0", Born: 6})
+			b.Gone(deployment.Target{ID: "t0", StartedAt: 6})
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/gateway/digests.go
+++ b/gateway/digests.go
@@ -62,11 +62,11 @@
 }
 
 // update takes a new view: where the stewards are.
-func (d *digests) update(v *mirror.View) {
+func (d *digests) update(v *mirror.Snapshot) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.gaps = gapsOf(v)
-	for group, claim := range v.Stewards {
+	for group, claim := range v.Coordinators {
 		before, known := d.stewards[group]
 		if before == claim.Addr {
 			continue
@@ -83,7 +83,7 @@
 
 // gapsOf returns the longest pauses that callers of the groups are to see, for those whose
 // targets say which group is theirs.
-func gapsOf(v *mirror.View) map[string]time.Duration {
+func gapsOf(v *mirror.Snapshot) map[string]time.Duration {
 	gaps := map[string]time.Duration{}
 	for id := range v.Targets {
 		t := v.Targets[id]
--- a/gateway/doubts.go
+++ b/gateway/doubts.go
@@ -35,7 +35,7 @@
 }
 
 // doubtKey returns the key for the doubts of a gateway.
-func doubtKey(instance string) string { return doubtsPrefix + kv.Short(instance) }
+func doubtKey(instance string) string { return doubtsPrefix + kv.ShortHash(instance) }
 
 // doubts tells the other gateways which targets this one doubts, and takes what they say. It
 // is safe for concurrent use.
@@ -68,7 +68,7 @@
 func (s *doubts) take(items []kv.Item) {
 	now := time.Now()
 	for _, it := range items {
-		if it.Removed || it.Key == s.key {
+		if it.Deleted || it.Key == s.key {
 			continue
 		}
 		var told []doubt
@@ -107,7 +107,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
-	_, err = s.store.Change(ctx, kv.Change{Puts: []kv.Write{{Key: s.key, Value: value}}})
+	_, err = s.store.Change(ctx, kv.Txn{Puts: []kv.Write{{Key: s.key, Value: value}}})
 	return err
 }
 
@@ -129,7 +129,7 @@
 	f.avoid(p, now)
 	if !known {
 		// Each word is read by all gateways.
-		f.tellDoubt(doubt{Target: p.ID, Born: p.Born, Cause: cause})
+		f.tellDoubt(doubt{Target: p.ID, Born: p.StartedAt, Cause: cause})
 	}
 }
 
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.pools[d.Target]
-	if p == nil || p.Born != d.Born {
+	if p == nil || p.StartedAt != d.Born {
 		return
 	}
 	f.doubts.Report(d.Target, source, false, now)
--- a/gateway/doubts_test.go
+++ b/gateway/doubts_test.go
@@ -16,9 +16,9 @@
 )
 
 // written is a store that keeps what it is told.
-type written struct{ changes []kv.Change }
+type written struct{ changes []kv.Txn }
 
-func (w *written) Change(_ context.Context, c kv.Change) (int64, error) {
+func (w *written) Change(_ context.Context, c kv.Txn) (int64, error) {
 	w.changes = append(w.changes, c)
 	return int64(len(w.changes)), nil
 }
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -101,11 +101,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.pools[t.ID]
-	return p != nil && p.Born == t.Born && !p.shuttingDown()
+	return p != nil && p.StartedAt == t.StartedAt && !p.shuttingDown()
 }
 
 // update takes a new view of the targets.
-func (f *fleet) update(v *mirror.View) {
+func (f *fleet) update(v *mirror.Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drop(v.Targets)
@@ -131,7 +131,7 @@
 	}
 	for id, p := range f.pools {
 		t, ok := now[id]
-		if ok && t.Addr == p.Addr && t.Born == p.Born {
+		if ok && t.Addr == p.Addr && t.StartedAt == p.StartedAt {
 			continue
 		}
 		p.pool.Close()
@@ -142,12 +142,12 @@
 		delete(f.flights.targets, id)
 		delete(f.pendings.targets, id)
 		f.doubts.Drop(id)
-		f.backpressure.drop(id, t.Born, ok)
+		f.backpressure.drop(id, t.StartedAt, ok)
 		if i, known := f.table.Lookup(id); ok && known {
 			f.table.Restarted(i)
 		}
 		if ok {
-			f.log.Info("target has started again", "target", id, "addr", t.Addr.String(), "born", t.Born, "born-before", p.Born)
+			f.log.Info("target has started again", "target", id, "addr", t.Addr.String(), "born", t.StartedAt, "born-before", p.StartedAt)
 		}
 	}
 	// What the monitor knows of those that stay under their name goes as well.
--- a/gateway/heldback_test.go
+++ b/gateway/heldback_test.go
@@ -24,13 +24,13 @@
 	changes  int
 }
 
-func (s *shelf) Change(_ context.Context, c kv.Change) (int64, error) {
+func (s *shelf) Change(_ context.Context, c kv.Txn) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
 		return 0, &kv.StatusError{Status: http.StatusServiceUnavailable}
 	}
-	for _, e := range c.Expect {
+	for _, e := range c.Conditions {
 		if s.items[e.Key].Revision != e.Revision {
 			return 0, &kv.StatusError{Status: http.StatusPreconditionFailed}
 		}
@@ -284,7 +284,7 @@
 	r.hold(quarantine.Hold{Crashes: 3})
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
-	r.gateway.isolator.take([]kv.Item{{Key: quarantine.HoldKey(r.print()), Revision: 9, Removed: true}}, false)
+	r.gateway.isolator.take([]kv.Item{{Key: quarantine.HoldKey(r.print()), Revision: 9, Deleted: true}}, false)
 	_, answer = r.ask()
 	r.Equal(answer.Status, http.StatusOK)
 	r.True(r.gateway.isolator.tell(t.Context()))
--- a/gateway/isolator.go
+++ b/gateway/isolator.go
@@ -34,7 +34,7 @@
 
 // changer is the part of the store that an isolator writes to.
 type changer interface {
-	Change(ctx context.Context, c kv.Change) (int64, error)
+	Change(ctx context.Context, c kv.Txn) (int64, error)
 }
 
 // isolator keeps requests that crash their targets from being sent. It tells the other
@@ -101,8 +101,8 @@
 	now := time.Now()
 	keys := map[string]bool{}
 	for _, it := range items {
-		keys[it.Key] = !it.Removed
-		if it.Removed {
+		keys[it.Key] = !it.Deleted
+		if it.Deleted {
 			if p, ok := s.register.Remove(it.Key); ok {
 				s.log.Info("request cleared", "print", p.Short(), "reason", "its hold was removed")
 				s.innocent([]quarantine.Fingerprint{p})
@@ -175,9 +175,9 @@
 	ctx, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
 	key := quarantine.HoldKey(p)
-	revision, err := s.store.Change(ctx, kv.Change{
-		Expect: []kv.Condition{{Key: key, Revision: over}},
-		Puts:   []kv.Write{{Key: key, Value: h.Bytes()}},
+	revision, err := s.store.Change(ctx, kv.Txn{
+		Conditions: []kv.Condition{{Key: key, Revision: over}},
+		Puts:       []kv.Write{{Key: key, Value: h.Bytes()}},
 	})
 	if err != nil {
 		s.notWritten(err)
@@ -216,8 +216,8 @@
 	if told.Empty() && len(freed) == 0 {
 		return true
 	}
-	change := kv.Change{Deletes: surplus}
-	for _, p := range freed[:min(len(freed), kv.MaxChange/4)] {
+	change := kv.Txn{Deletes: surplus}
+	for _, p := range freed[:min(len(freed), kv.MaxTxnEntries/4)] {
 		change.Deletes = append(change.Deletes, quarantine.HoldKey(p))
 	}
 	if !told.Empty() {
@@ -234,7 +234,7 @@
 	defer s.mu.Unlock()
 	s.unwritten.Crashes = s.unwritten.Crashes[len(told.Crashes):]
 	s.unwritten.Completed = s.unwritten.Completed[len(told.Completed):]
-	s.freed = s.freed[min(len(freed), kv.MaxChange/4):]
+	s.freed = s.freed[min(len(freed), kv.MaxTxnEntries/4):]
 	return true
 }
 
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -188,11 +188,11 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeWait)
 	defer cancel()
-	revision, err := l.store.Change(ctx, c.Change)
+	revision, err := l.store.Change(ctx, c.Txn)
 	l.mu.Lock()
 	l.tracker.Complete(c, revision, err == nil, time.Now())
 	l.mu.Unlock()
-	line := []any{"target", c.Target, "kind", c.Kind.String(), "key", c.Expect[0].Key, "lease", l.lease}
+	line := []any{"target", c.Target, "kind", c.Kind.String(), "key", c.Conditions[0].Key, "lease", l.lease}
 	if err != nil {
 		metricPermits.Add(c.Kind.String()+"-failed", 1)
 		l.log.Info("permit not changed", append(line, "error", err.Error())...)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -50,7 +50,7 @@
 func TestOnlyNearTurnsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	g := &gateway{fleet: newFleet("front-1", "z1", slog.New(slog.DiscardHandler))}
-	g.fleet.update(&mirror.View{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}}})
+	g.fleet.update(&mirror.Snapshot{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}}})
 	now := time.Now()
 	_, ok := g.fleet.pick(&route.Query{Service: "pool"}, now)
 	is.True(ok)
@@ -91,7 +91,7 @@
 	return permitLease, nil
 }
 
-func (s *leasing) Change(ctx context.Context, c kv.Change) (int64, error) {
+func (s *leasing) Change(ctx context.Context, c kv.Txn) (int64, error) {
 	if s.down {
 		return 0, errAway
 	}
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -82,7 +82,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			route := routeOf(tt.kind)
-			route.Attempts = 1
+			route.MaxAttempts = 1
 			r := newRig(t, route, scripted.Serve(t, tt.script))
 			read := r.logged()
 			c := r.call()
--- a/gateway/main.go
+++ b/gateway/main.go
@@ -42,11 +42,11 @@
 func follow(lc fx.Lifecycle, f *mirror.Follower, g *gateway) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.OnChange(g.update)
-	f.OnLost(g.startup.Lost)
+	f.OnStoreUnreachable(g.startup.Lost)
 	f.Listen(quarantine.Prefix, g.isolator.take)
 	f.ListenChanges(doubtsPrefix, g.doubts.take)
 	f.Listen(permit.Prefix, g.fleet.backpressure.limits.take)
-	g.digests.event, g.digests.hint = f.Event, f.Hint
+	g.digests.event, g.digests.hint = f.LastEventRevision, f.Hint
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go f.Run(ctx)
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -45,7 +45,7 @@
 // pair returns a fleet of two targets, of which the first is the one given.
 func pair() (f *fleet, first *pooled) {
 	f = newFleet("front-1", "z1", slog.New(slog.DiscardHandler))
-	f.update(&mirror.View{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}, "t1": {ID: "t1", Service: "pool", Slots: 1}}})
+	f.update(&mirror.Snapshot{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}, "t1": {ID: "t1", Service: "pool", Slots: 1}}})
 	return f, f.pools["t0"]
 }
 
@@ -150,7 +150,7 @@
 		r.Equal(len(leaving.Seen()), 1)
 		r.True(!r.gateway.fleet.serves(r.view.Targets["t0"])) // its end is no crash
 		later := r.view.Targets["t0"]
-		later.Born = 9
+		later.StartedAt = 9
 		r.view.Targets = map[string]deployment.Target{"t0": later}
 		r.gateway.update(&r.view)
 		_, got = r.ask()
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -79,7 +79,7 @@
 	ctx, end := context.WithCancelCause(ctx)
 	p := &pending{
 		sent: s, id: c.req.ID, route: c.route.Name, service: c.service,
-		mayMove: c.route.Repeatable() && c.ran < c.route.Attempts, end: end,
+		mayMove: c.route.Repeatable() && c.ran < c.route.MaxAttempts, end: end,
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -45,7 +45,7 @@
 		return ""
 	case c.firstAfter > c.route.Objective:
 		return lateFirst
-	case c.route.Gap > 0 && c.longestPause > c.route.Gap:
+	case c.route.MaxEventGap > 0 && c.longestPause > c.route.MaxEventGap:
 		return latePause
 	}
 	return ""
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -33,7 +33,7 @@
 	t       *testing.T
 	gateway *gateway
 	front   string
-	view    mirror.View
+	view    mirror.Snapshot
 	calls   int
 }
 
@@ -50,7 +50,7 @@
 func routeOf(kind deployment.RouteKind) deployment.Route {
 	return deployment.Route{
 		Name: "a", Host: rigHost, Prefix: "/a/", Kind: kind, Timeout: 4 * time.Second, Objective: 300 * time.Millisecond,
-		Gap: 120 * time.Millisecond, Attempts: 2, Resumable: kind == deployment.Stream,
+		MaxEventGap: 120 * time.Millisecond, MaxAttempts: 2, Resumable: kind == deployment.Stream,
 		Split: []deployment.Share{{Service: "pool", Weight: 1}},
 	}
 }
@@ -62,7 +62,7 @@
 	env := instance.Env{Log: slog.New(slog.DiscardHandler)}
 	env.Boot.Bounds = boot.Bounds{RetryRatio: 0.2, RetrySlack: 90 * gatewaysUntold}
 	g := newGateway(env, noop.NewTracerProvider().Tracer("test"), nil)
-	r := &rig{I: is.New(t), t: t, gateway: g, view: mirror.View{
+	r := &rig{I: is.New(t), t: t, gateway: g, view: mirror.Snapshot{
 		Config: &deployment.Config{
 			Version: 7, Routes: []deployment.Route{route}, Services: []deployment.Service{{Name: "pool"}},
 			Workspaces: []deployment.Workspace{{Name: rigSpace, Keys: []string{rigKey}}},
@@ -386,7 +386,7 @@
 				servers = append(servers, scripted.Serve(t, script))
 			}
 			route := routeOf(deployment.Stream)
-			route.Attempts = tt.attempts
+			route.MaxAttempts = tt.attempts
 			r := newRig(t, route, servers...)
 			got := make(chan scripted.Answer, 1)
 			begun := make(chan struct{}, 8)
@@ -571,7 +571,7 @@
 	route.Split = []deployment.Share{{Service: "annex", Weight: 1}}
 	cfg.Routes = []deployment.Route{route}
 	cfg.Workspaces = []deployment.Workspace{{Name: rigSpace, Keys: []string{"new-key"}}}
-	view := mirror.View{Config: &cfg, Targets: map[string]deployment.Target{
+	view := mirror.Snapshot{Config: &cfg, Targets: map[string]deployment.Target{
 		"t0": r.view.Targets["t0"], "t1": {ID: "t1", Service: "annex", Addr: after.Addr, Slots: 12},
 	}}
 	r.gateway.update(&view)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -117,7 +117,7 @@
 }
 
 // update takes a new view of the store: configuration and targets together.
-func (g *gateway) update(v *mirror.View) {
+func (g *gateway) update(v *mirror.Snapshot) {
 	g.fleet.update(v)
 	g.admitTo(v.Config)
 	g.digests.update(v)
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -38,7 +38,7 @@
 			}
 			a, b := scripted.Serve(t, script), scripted.Serve(t, script)
 			route := routeOf(deployment.Stream)
-			route.Attempts = tt.attempts
+			route.MaxAttempts = tt.attempts
 			r := newRig(t, route, a, b)
 			r.gateway.mu.Lock()
 			r.gateway.budgets = retry.NewBudgets(retry.Limits{Ratio: 1e-9, KeyBurst: tt.retries, Window: time.Minute})
--- a/sidecar/members.go
+++ b/sidecar/members.go
@@ -36,7 +36,7 @@
 	// roster is what the agents are told of the group; seen is the view that it
 	// was made from, nil for one that was told by an earlier steward.
 	roster *rankpeer.Roster
-	seen   *mirror.View
+	seen   *mirror.Snapshot
 	// needs are the group's; seenNeeds are those that the roster was made from.
 	needs     needs
 	seenNeeds *groupNeeds
@@ -52,14 +52,14 @@
 // have several groups, and their servers tell the store which one is theirs; those
 // that don't are asked once.
 func (s *steward) meet(now time.Time) {
-	if v := s.targets.View(); v != nil {
+	if v := s.targets.Snapshot(); v != nil {
 		s.follow(v, now)
 	}
 }
 
 // follow enrols the targets of a view: all of the service, now and then, while the group
 // lacks a rank, and for one round.
-func (s *steward) follow(v *mirror.View, now time.Time) {
+func (s *steward) follow(v *mirror.Snapshot, now time.Time) {
 	stray := !s.complete && now.Sub(s.strayAt) >= strayEvery
 	if v == s.seen && s.needs.load() == s.seenNeeds && !stray && !s.straying {
 		return
@@ -74,7 +74,7 @@
 
 // rosterOf makes the roster of a view. All takes in also the targets that, by the
 // store, belong to another group.
-func (s *steward) rosterOf(v *mirror.View, all bool) *rankpeer.Roster {
+func (s *steward) rosterOf(v *mirror.Snapshot, all bool) *rankpeer.Roster {
 	r := &rankpeer.Roster{Group: s.group}
 	if n := s.needs.load(); n != nil {
 		r.Engine, r.Gap = n.Engine, n.Gap
@@ -84,7 +84,7 @@
 		if t.Service != s.boot.Service || !all && !s.mayBelong(&t) {
 			continue
 		}
-		r.Members = append(r.Members, rankpeer.Member{ID: id, Addr: t.Addr, Zone: t.Zone, Born: t.Born})
+		r.Members = append(r.Members, rankpeer.Member{ID: id, Addr: t.Addr, Zone: t.Zone, Born: t.StartedAt})
 		if t.Addr == s.boot.Target {
 			r.Steward = id
 		}
--- a/sidecar/members_test.go
+++ b/sidecar/members_test.go
@@ -15,8 +15,8 @@
 )
 
 // viewOf returns a view with targets of one service, at addresses in their order.
-func viewOf(targets ...deployment.Target) *mirror.View {
-	v := &mirror.View{Config: &deployment.Config{}, Targets: map[string]deployment.Target{}}
+func viewOf(targets ...deployment.Target) *mirror.Snapshot {
+	v := &mirror.Snapshot{Config: &deployment.Config{}, Targets: map[string]deployment.Target{}}
 	for i, t := range targets {
 		t.Service, t.Slots = "pool", 12
 		t.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, byte(i + 1)}), 80)
@@ -92,11 +92,11 @@
 func TestMemberThatStartedAgain(t *testing.T) {
 	is := is.New(t)
 	s := testSteward(t)
-	s.enrol(s.rosterOf(viewOf(deployment.Target{ID: "a", Group: in("g"), Born: 100}), false))
+	s.enrol(s.rosterOf(viewOf(deployment.Target{ID: "a", Group: in("g"), StartedAt: 100}), false))
 	before := s.peers["a"]
 	s.branches[0].told = true
 	s.branches[0].link.told.Store(s.roster)
-	s.enrol(s.rosterOf(viewOf(deployment.Target{ID: "a", Group: in("g"), Born: 900}), false))
+	s.enrol(s.rosterOf(viewOf(deployment.Target{ID: "a", Group: in("g"), StartedAt: 900}), false))
 	is.True(s.peers["a"] != before)
 	is.True(!s.branches[0].told)
 	is.True(s.branches[0].link.roster() == nil)
--- a/sidecar/needs.go
+++ b/sidecar/needs.go
@@ -74,7 +74,7 @@
 	if err != nil {
 		return err
 	}
-	v := mirror.View{Config: cfg}
+	v := mirror.Snapshot{Config: cfg}
 	for i := range cfg.Services {
 		if svc := &cfg.Services[i]; svc.Name == s.boot.Service && svc.Engine != nil {
 			s.needs.learn(groupNeeds{Engine: *svc.Engine, Gap: v.ShortestGap(svc.Name)})
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -268,7 +268,7 @@
 		r.Equal(len(seen), 1)
 		r.True((<-seen).Deleted)
 		_, err = r.store.KeepAlive(ctx, lease.ID)
-		var gone *store.LeaseGoneError
+		var gone *store.LeaseNotFoundError
 		r.True(errors.As(err, &gone))
 		_, err = r.store.CompareAndSwap(ctx, "duty", 0, []byte("a"), lease.ID)
 		r.True(errors.As(err, &gone))
@@ -303,7 +303,7 @@
 		}
 		renewing.Wait()
 		r.faults(`{"latency-ms":0}`)
-		var gone *store.LeaseGoneError
+		var gone *store.LeaseNotFoundError
 		for i, id := range ids {
 			revoked := r.store.Revoke(ctx, id)
 			r.Equal(errors.As(renewals[i], &gone), errors.As(revoked, &gone))
