--- a/core/request/permit/change.go
+++ b/core/request/permit/change.go
@@ -11,7 +11,7 @@
 
 // Change is a change of the store that a Tracker requests.
 type Change struct {
-	kv.Change
+	kv.Txn
 	// Target is the target of the permit, Kind the type of the change.
 	Target string
 	Kind   Kind
@@ -99,7 +99,7 @@
 // change returns the change of a permit with a given revision; 0 if it must not exist.
 func change(k Kind, r Record, revision int64) Change {
 	c := Change{Target: r.Target, Kind: k, record: r}
-	c.Expect = []kv.Condition{{Key: r.Key(), Revision: revision}}
+	c.Conditions = []kv.Condition{{Key: r.Key(), Revision: revision}}
 	if k == Release {
 		c.Deletes = []string{r.Key()}
 		return c
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -207,7 +207,7 @@
 	delete(r.items, key)
 	delete(r.leaseOf, key)
 	r.revision++
-	r.broadcast(kv.Item{Key: key, Revision: r.revision, Removed: true})
+	r.broadcast(kv.Item{Key: key, Revision: r.revision, Deleted: true})
 }
 
 // broadcast sends a change to all senders, each with its own delay and in order.
@@ -224,12 +224,12 @@
 }
 
 // change applies a change atomically.
-func (r *replay) change(c kv.Change) (int64, bool) {
+func (r *replay) change(c kv.Txn) (int64, bool) {
 	r.writes++
 	if r.down() {
 		return 0, false
 	}
-	for _, e := range c.Expect {
+	for _, e := range c.Conditions {
 		if r.items[e.Key].Revision != e.Revision {
 			return 0, false
 		}
@@ -259,7 +259,7 @@
 	}
 	h.renew(now)
 	if c, ok := h.NextChange(now); ok {
-		revision, made := h.sim.change(c.Change)
+		revision, made := h.sim.change(c.Txn)
 		h.Complete(c, revision, made, now)
 	}
 }
--- a/core/request/permit/tracker.go
+++ b/core/request/permit/tracker.go
@@ -290,7 +290,7 @@
 		}
 	}
 	for _, it := range items {
-		if it.Removed {
+		if it.Deleted {
 			tr.remove(it.Key, it.Revision)
 			continue
 		}
