--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -18,7 +18,7 @@
 // dispatcher owns the queue of the target: it starts requests when the target
 // has room and refuses them when it must.
 type dispatcher struct {
-	duty  *duty.Duty
+	duty  *duty.Loop
 	queue *queue.Queue
 	jobs  map[string]*job
 	shed  []queue.Shed
--- a/agent/register.go
+++ b/agent/register.go
@@ -33,7 +33,7 @@
 // register owns this agent's two parts in running a key at most once: home of
 // the keys that hash to it, executor of the keys that its target runs.
 type register struct {
-	duty     *duty.Duty
+	duty     *duty.Loop
 	home     booking.Home
 	executor booking.Executor
 	custody  booking.Backups
--- a/agent/service.go
+++ b/agent/service.go
@@ -127,7 +127,7 @@
 		return a.refuse(stream, attempt, outcome.Unknown, peer.ReasonNotSeen, 0)
 	}
 	if after < ans.base {
-		return a.refuse(stream, attempt, outcome.Unknown, peer.ReasonGone, 0)
+		return a.refuse(stream, attempt, outcome.Unknown, peer.ReasonAnswerUnavailable, 0)
 	}
 	return a.send(ctx, ans, attempt, after, stream)
 }
--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -72,7 +72,7 @@
 	began   time.Time
 	ctx     context.Context
 	stop    context.CancelFunc
-	duty    *duty.Duty
+	duty    *duty.Loop
 	ops     chan rankOp
 	sends   chan struct{}
 	// current is the number of the rank's operation that is out.
--- a/core/peer/frames.go
+++ b/core/peer/frames.go
@@ -32,9 +32,9 @@
 	readBuffer = 4 << 10
 )
 
-// Frames reads the answer of one call that streams frames. It is not safe for
+// FrameReader reads the answer of one call that streams frames. It is not safe for
 // concurrent use.
-type Frames struct {
+type FrameReader struct {
 	body io.ReadCloser
 	buf  []byte
 	// r and w bound the bytes in buf that are not yet read.
@@ -42,16 +42,16 @@
 }
 
 // Submit queues a request on the agent at addr.
-func (d *Dialer) Submit(ctx context.Context, addr string, m *wire.SubmitRequest) (*Frames, error) {
+func (d *Dialer) Submit(ctx context.Context, addr string, m *wire.SubmitRequest) (*FrameReader, error) {
 	return d.stream(ctx, addr, wireconnect.AgentServiceSubmitProcedure, m)
 }
 
 // Attach reads an earlier answer on from the agent at addr.
-func (d *Dialer) Attach(ctx context.Context, addr string, m *wire.AttachRequest) (*Frames, error) {
+func (d *Dialer) Attach(ctx context.Context, addr string, m *wire.AttachRequest) (*FrameReader, error) {
 	return d.stream(ctx, addr, wireconnect.AgentServiceAttachProcedure, m)
 }
 
-func (d *Dialer) stream(ctx context.Context, addr, procedure string, m proto.Message) (*Frames, error) {
+func (d *Dialer) stream(ctx context.Context, addr, procedure string, m proto.Message) (*FrameReader, error) {
 	body, err := appendMessage(nil, m)
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 		_ = resp.Body.Close()
 		return nil, errors.Errorf("agent answered with status %d", resp.StatusCode)
 	}
-	return &Frames{body: resp.Body, buf: make([]byte, readBuffer)}, nil
+	return &FrameReader{body: resp.Body, buf: make([]byte, readBuffer)}, nil
 }
 
 // appendMessage appends one message with its prefix.
@@ -87,7 +87,7 @@
 // Receive reads the next frame into m, whose Data is used again and valid until
 // the next call. It returns io.EOF after the last one; a stream that ends in
 // any other way is another error.
-func (s *Frames) Receive(m *wire.Frame) error {
+func (s *FrameReader) Receive(m *wire.Frame) error {
 	prefix, err := s.next(prefixSize)
 	if err != nil {
 		return err
@@ -111,7 +111,7 @@
 
 // next returns the next n bytes, valid until the next call. A stream that ends
 // before them was cut off, which must not look like its end.
-func (s *Frames) next(n int) ([]byte, error) {
+func (s *FrameReader) next(n int) ([]byte, error) {
 	for s.w-s.r < n {
 		s.room(n)
 		k, err := s.body.Read(s.buf[s.w:])
@@ -130,7 +130,7 @@
 }
 
 // room makes place for n bytes behind r.
-func (s *Frames) room(n int) {
+func (s *FrameReader) room(n int) {
 	if s.r == s.w {
 		s.r, s.w = 0, 0
 	}
@@ -210,7 +210,7 @@
 }
 
 // Close lets go of the stream. The agent sees that its reader has left.
-func (s *Frames) Close() error {
+func (s *FrameReader) Close() error {
 	return s.body.Close()
 }
 
--- a/core/peer/frames_test.go
+++ b/core/peer/frames_test.go
@@ -127,7 +127,7 @@
 	}
 	for _, cut := range []int{0, 3, prefixSize, len(whole) - 1, len(whole)} {
 		is := is.New(t)
-		s := &Frames{body: io.NopCloser(strings.NewReader(string(whole[:cut]))), buf: make([]byte, 8)}
+		s := &FrameReader{body: io.NopCloser(strings.NewReader(string(whole[:cut]))), buf: make([]byte, 8)}
 		var m wire.Frame
 		err := s.Receive(&m)
 		if cut == len(whole) {
@@ -140,7 +140,7 @@
 
 func TestFrameTooLarge(t *testing.T) {
 	is := is.New(t)
-	s := &Frames{body: io.NopCloser(strings.NewReader("\x00\xff\xff\xff\xff")), buf: make([]byte, 8)}
+	s := &FrameReader{body: io.NopCloser(strings.NewReader("\x00\xff\xff\xff\xff")), buf: make([]byte, 8)}
 	is.True(s.Receive(&wire.Frame{}) != nil)
 	is.Equal(len(s.buf), 8) // no memory was asked for
 }
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -157,8 +157,8 @@
 const (
 	// ReasonNotSeen says that this incarnation never saw the request.
 	ReasonNotSeen = "request-not-seen"
-	// ReasonGone says that the answer was lost or is no longer kept.
-	ReasonGone = "answer-gone"
+	// ReasonAnswerUnavailable says that the answer was lost or is no longer kept.
+	ReasonAnswerUnavailable = "answer-gone"
 )
 
 // ReasonPaused is why an agent refuses a request whose target has refused others and asked to
--- a/core/plumbing/boot/boot.go
+++ b/core/plumbing/boot/boot.go
@@ -35,9 +35,9 @@
 	Service string
 	// MemoryBytes is the memory at which the process is killed.
 	MemoryBytes int64
-	// LinkBytes is how many bytes a second the instance's link carries; 0 if that is not
+	// LinkBytesPerSecond is how many bytes a second the instance's link carries; 0 if that is not
 	// said.
-	LinkBytes float64
+	LinkBytesPerSecond float64
 	// Heartbeat is how often a server writes its entry into the store.
 	Heartbeat time.Duration
 	Store     Store
@@ -62,10 +62,10 @@
 	// RetryRatio and RetrySlack bound the arrivals at a service beyond the
 	// first of each request, in each RetryWindow, of all instances together.
 	RetryRatio  float64
-	RetrySlack  float64
+	RetryBurst  float64
 	RetryWindow time.Duration
-	// Fenced says that servers refuse orders with an old fencing number.
-	Fenced bool
+	// EnforceFencing says that servers refuse orders with an old fencing number.
+	EnforceFencing bool
 }
 
 // Field is a field of the settings file that is read.
--- a/core/plumbing/duty/duty.go
+++ b/core/plumbing/duty/duty.go
@@ -25,8 +25,8 @@
 	done chan struct{}
 }
 
-// Duty is one goroutine's work. Use New to make one.
-type Duty struct {
+// Loop is one goroutine's work. Use New to make one.
+type Loop struct {
 	tasks *ring.Ring[task]
 	// after, if set, runs after each task and at the time that next names.
 	after func()
@@ -34,18 +34,18 @@
 }
 
 // New returns a duty whose ring holds up to capacity tasks.
-func New(capacity int) *Duty {
-	return &Duty{tasks: ring.New[task](capacity)}
+func New(capacity int) *Loop {
+	return &Loop{tasks: ring.New[task](capacity)}
 }
 
 // After has fn run on the duty's goroutine after each task, and also when the
 // time that next returns has come. It must be called before Run.
-func (d *Duty) After(fn func(), next func() (time.Time, bool)) {
+func (d *Loop) After(fn func(), next func() (time.Time, bool)) {
 	d.after, d.next = fn, next
 }
 
 // Run runs tasks until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
+func (d *Loop) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, err := d.pop(ctx)
 		if err == nil {
@@ -61,7 +61,7 @@
 }
 
 // pop waits for a task, or until the next time at which there is work.
-func (d *Duty) pop(ctx context.Context) (task, error) {
+func (d *Loop) pop(ctx context.Context) (task, error) {
 	if t, ok := d.tasks.TryPop(); ok {
 		return t, nil
 	}
@@ -80,7 +80,7 @@
 // Do runs fn on the duty's goroutine and waits for its end. An error says that
 // fn was not taken in, or that ctx ended while it waited; in that last case fn
 // may still run.
-func (d *Duty) Do(ctx context.Context, fn func()) error {
+func (d *Loop) Do(ctx context.Context, fn func()) error {
 	t := task{fn: fn, done: make(chan struct{})}
 	if err := d.tasks.PushWait(ctx, t); err != nil {
 		return err
@@ -95,6 +95,6 @@
 
 // Post hands fn over and does not wait for its end. It waits for room in the
 // ring as long as ctx allows.
-func (d *Duty) Post(ctx context.Context, fn func()) error {
+func (d *Loop) Post(ctx context.Context, fn func()) error {
 	return d.tasks.PushWait(ctx, task{fn: fn})
 }
--- a/core/plumbing/story/cause.go
+++ b/core/plumbing/story/cause.go
@@ -17,8 +17,8 @@
 const (
 	// Served is no failure.
 	Served Kind = "served"
-	// CallerLeft: the caller has closed its connection.
-	CallerLeft Kind = "caller left"
+	// CallerDisconnected: the caller has closed its connection.
+	CallerDisconnected Kind = "caller left"
 	// NotAllowed: the configuration has no such route or key.
 	NotAllowed Kind = "not allowed"
 	// NoConfiguration: the gateway had just started and the store had not
@@ -26,8 +26,8 @@
 	NoConfiguration Kind = "gateway without configuration"
 	// ServerFailed: the server ran the request and failed it.
 	ServerFailed Kind = "failed by the server"
-	// ServerLost: the server's connection broke after the request had left.
-	ServerLost Kind = "connection to the server lost"
+	// ConnectionLost: the server's connection broke after the request had left.
+	ConnectionLost Kind = "connection to the server lost"
 	// ServerSilent: the server said nothing more while others went on.
 	ServerSilent Kind = "server silent"
 	// GroupSilent: all servers of an expert group said nothing more while other
@@ -38,16 +38,16 @@
 	RankMissing Kind = "rank of the group missing"
 	// SlowServer: a server was slow, and its group with it.
 	SlowServer Kind = "slow server"
-	// UnevenExperts: the experts' load was uneven, and the group slow by it.
-	UnevenExperts Kind = "uneven expert load"
+	// ImbalancedExperts: the experts' load was uneven, and the group slow by it.
+	ImbalancedExperts Kind = "uneven expert load"
 	// Overload: more requests came than the targets could take in time.
 	Overload Kind = "more requests than the targets take"
 	// Refused: the servers that were asked refused it.
 	Refused Kind = "refused by servers"
-	// HeldBack: targets have crashed under requests with its content, and it is not sent.
-	HeldBack Kind = "held back, crashes targets"
-	// TimeOver: the request's own time was over.
-	TimeOver Kind = "time over"
+	// Quarantined: targets have crashed under requests with its content, and it is not sent.
+	Quarantined Kind = "held back, crashes targets"
+	// DeadlineExceeded: the request's own time was over.
+	DeadlineExceeded Kind = "time over"
 	// Unknown: the log does not tell.
 	Unknown Kind = "not told by the log"
 )
@@ -85,9 +85,9 @@
 	reason := end.Field("reason")
 	switch status, _ := strconv.Atoi(end.Field("status")); {
 	case end.Field("outcome") == "caller-left":
-		return Cause{CallerLeft, strings.TrimSpace("after " + end.Field("ms") + " ms")}
+		return Cause{CallerDisconnected, strings.TrimSpace("after " + end.Field("ms") + " ms")}
 	case reason == quarantine.ReasonQuarantined:
-		return Cause{HeldBack, "print " + end.Field("print")}
+		return Cause{Quarantined, "print " + end.Field("print")}
 	case end.Field("outcome") == "broken-off":
 		return lost(own, end)
 	case status >= 200 && status < 300:
@@ -131,9 +131,9 @@
 		if c, ok := groupCause(own, end); ok {
 			return c
 		}
-		return Cause{TimeOver, strings.Trim(reason, `"`)}
+		return Cause{DeadlineExceeded, strings.Trim(reason, `"`)}
 	case strings.Contains(reason, "answer broken"):
-		return Cause{ServerLost, strings.Trim(reason, `"`)}
+		return Cause{ConnectionLost, strings.Trim(reason, `"`)}
 	}
 	return refused(own, end)
 }
@@ -148,7 +148,7 @@
 	case strings.HasPrefix(strings.Trim(reason, `"`), "refused by"):
 		return Cause{Refused, strings.Trim(reason, `"`)}
 	case strings.Contains(reason, "not sent"):
-		return Cause{ServerLost, strings.Trim(reason, `"`)}
+		return Cause{ConnectionLost, strings.Trim(reason, `"`)}
 	case strings.Contains(reason, queue.ReasonAllTargetsRefuse):
 		return Cause{Refused, "all targets have refused for long"}
 	case strings.Contains(reason, permit.ReasonThrottled):
@@ -190,7 +190,7 @@
 		case number(l, "slowest-pace") > slowPace:
 			return Cause{SlowServer, inGroup(l, "pace "+l.Field("slowest-pace"))}, true
 		case number(l, "skew") > unevenSkew:
-			return Cause{UnevenExperts, inGroup(l, "skew "+l.Field("skew"))}, true
+			return Cause{ImbalancedExperts, inGroup(l, "skew "+l.Field("skew"))}, true
 		}
 		return Cause{}, false
 	}
--- a/core/plumbing/story/doubts.go
+++ b/core/plumbing/story/doubts.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// Doubted tells how the gateways have found a target of plain requests to fail.
-type Doubted struct {
+// Suspicion tells how the gateways have found a target of plain requests to fail.
+type Suspicion struct {
 	Target, Service string
 	// Causes are those of the gateways' own evidence, sorted.
 	Causes []string
-	// Own counts the doubts by a gateway's own requests, Finders the gateways that had
-	// any, and Told those that others have told.
-	Own, Finders, Told int
-	// From and Until are when it was doubted first and last; All is how long after the
+	// Observations counts the doubts by a gateway's own requests, Observers the gateways that had
+	// any, and Informed those that others have told.
+	Observations, Observers, Informed int
+	// First and Last are when it was doubted first and last; All is how long after the
 	// first doubt the last gateway acted on it.
-	From, Until time.Time
-	All         time.Duration
+	First, Last time.Time
+	Propagation time.Duration
 	// Ejected counts the gateways that have ejected it.
 	Ejected int
 }
 
 // doubting collects what lines say of one target.
 type doubting struct {
-	Doubted
+	Suspicion
 	finders, told, ejected, known map[string]bool
 	causes                        map[string]bool
 }
@@ -35,8 +35,8 @@
 
 func newDoubting(target string) *doubting {
 	return &doubting{
-		Doubted: Doubted{Target: target},
-		finders: map[string]bool{}, told: map[string]bool{}, ejected: map[string]bool{}, known: map[string]bool{},
+		Suspicion: Suspicion{Target: target},
+		finders:   map[string]bool{}, told: map[string]bool{}, ejected: map[string]bool{}, known: map[string]bool{},
 		causes: map[string]bool{},
 	}
 }
@@ -48,14 +48,14 @@
 		}
 		return
 	}
-	if d.From.IsZero() {
-		d.From = l.At
+	if d.First.IsZero() {
+		d.First = l.At
 	}
-	d.Until = l.At
+	d.Last = l.At
 	d.Service = l.Field("service")
 	own := strings.Trim(l.Field("by"), `"`) == "own requests"
 	if own {
-		d.Own++
+		d.Observations++
 		d.finders[l.Instance] = true
 		d.causes[l.Field("cause")] = true
 	} else {
@@ -63,21 +63,21 @@
 	}
 	if acts := own || number(l, "reports") >= reportsNeeded; acts && !d.known[l.Instance] {
 		d.known[l.Instance] = true
-		d.All = l.At.Sub(d.From)
+		d.Propagation = l.At.Sub(d.First)
 	}
 }
 
-func (d *doubting) finish() Doubted {
-	d.Finders, d.Told, d.Ejected = len(d.finders), len(d.told), len(d.ejected)
+func (d *doubting) finish() Suspicion {
+	d.Observers, d.Informed, d.Ejected = len(d.finders), len(d.told), len(d.ejected)
 	for cause := range d.causes {
 		d.Causes = append(d.Causes, cause)
 	}
 	slices.Sort(d.Causes)
-	return d.Doubted
+	return d.Suspicion
 }
 
-// DoubtsOf tells which targets the gateways have doubted, in the order of the first doubts.
-func DoubtsOf(lines []Line) []Doubted {
+// Suspicions tells which targets the gateways have doubted, in the order of the first doubts.
+func Suspicions(lines []Line) []Suspicion {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.At.Compare(b.At) })
 	targets := map[string]*doubting{}
@@ -91,12 +91,12 @@
 		}
 		targets[target].add(l)
 	}
-	var out []Doubted
+	var out []Suspicion
 	for _, d := range targets {
-		if !d.From.IsZero() {
+		if !d.First.IsZero() {
 			out = append(out, d.finish())
 		}
 	}
-	slices.SortFunc(out, func(a, b Doubted) int { return cmp.Or(a.From.Compare(b.From), cmp.Compare(a.Target, b.Target)) })
+	slices.SortFunc(out, func(a, b Suspicion) int { return cmp.Or(a.First.Compare(b.First), cmp.Compare(a.Target, b.Target)) })
 	return out
 }
--- a/core/plumbing/story/doubts_test.go
+++ b/core/plumbing/story/doubts_test.go
@@ -21,7 +21,7 @@
 	doubt := func(ms int, instance, cause, by string) string {
 		return line(ms, instance, "target doubted", fmt.Sprintf(`"target":"t0","service":"desk","cause":%q,"by":%q,"reports":2`, cause, by))
 	}
-	got := DoubtsOf(Read(strings.NewReader(strings.Join([]string{
+	got := Suspicions(Read(strings.NewReader(strings.Join([]string{
 		doubt(300, "f1", "unanswered", "own requests"),
 		doubt(310, "f2", "unanswered", "key-of-f1"),
 		doubt(350, "f2", "broken", "own requests"),
@@ -29,8 +29,8 @@
 		line(5000, "f1", "target health", `"target":"t0","state":"ejected"`),
 		line(5000, "f1", "target health", `"target":"t1","state":"ejected"`), // nobody has doubted it
 	}, "\n"))))
-	is.Equal(got, []Doubted{{
-		Target: "t0", Service: "desk", Causes: []string{"broken", "unanswered"}, Own: 2, Finders: 2, Told: 2,
-		From: begin.Add(300 * time.Millisecond), Until: begin.Add(700 * time.Millisecond), All: 400 * time.Millisecond, Ejected: 1,
+	is.Equal(got, []Suspicion{{
+		Target: "t0", Service: "desk", Causes: []string{"broken", "unanswered"}, Observations: 2, Observers: 2, Informed: 2,
+		First: begin.Add(300 * time.Millisecond), Last: begin.Add(700 * time.Millisecond), Propagation: 400 * time.Millisecond, Ejected: 1,
 	}})
 }
--- a/core/plumbing/story/groups.go
+++ b/core/plumbing/story/groups.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Steered tells how an expert group was steered.
-type Steered struct {
+// GroupSummary tells how an expert group was steered.
+type GroupSummary struct {
 	Group string
-	// Stewards is how many times an agent has become the steward, MostAtOnce how many
+	// Coordinators is how many times an agent has become the steward, MaxConcurrent how many
 	// acted at the same time at most.
-	Stewards, MostAtOnce int
-	// Without is how long nobody acted between the first and the last word of a steward.
-	Without time.Duration
-	// Changes counts the changes of the map that were begun.
-	Changes int
+	Coordinators, MaxConcurrent int
+	// Uncoordinated is how long nobody acted between the first and the last word of a steward.
+	Uncoordinated time.Duration
+	// MapChanges counts the changes of the map that were begun.
+	MapChanges int
 	// Skew and WorstSkew are the mean and the 95th percentile of the most loaded rank
-	// over the mean, Pass the mean length of a pass in milliseconds, as far as known.
-	Skew, WorstSkew, Pass float64
+	// over the mean, PassMillis the mean length of a pass in milliseconds, as far as known.
+	Skew, WorstSkew, PassMillis float64
 }
 
 // term is the time for which one steward has acted.
@@ -31,7 +31,7 @@
 
 // steering collects what lines say of one group.
 type steering struct {
-	Steered
+	GroupSummary
 	terms        []*term
 	skews, waits []float64
 }
@@ -53,7 +53,7 @@
 			// Its process was killed and has started again.
 			t.ended = true
 		}
-		s.Stewards++
+		s.Coordinators++
 		t = &term{instance: l.Instance, from: l.At}
 		s.terms = append(s.terms, t)
 	}
@@ -65,7 +65,7 @@
 	case "steward ends":
 		t.ended = true
 	case "change of map":
-		s.Changes++
+		s.MapChanges++
 	case "group state":
 		s.skews = appendKnown(s.skews, l.Field("skew"))
 		s.waits = appendKnown(s.waits, l.Field("pass-ms"))
@@ -81,7 +81,7 @@
 }
 
 // finish works out what follows from all lines.
-func (s *steering) finish() Steered {
+func (s *steering) finish() GroupSummary {
 	for _, t := range s.terms {
 		at := 0
 		for _, other := range s.terms {
@@ -89,23 +89,23 @@
 				at++
 			}
 		}
-		s.MostAtOnce = max(s.MostAtOnce, at, 1)
+		s.MaxConcurrent = max(s.MaxConcurrent, at, 1)
 	}
 	slices.SortFunc(s.terms, func(a, b *term) int { return a.from.Compare(b.from) })
 	var until time.Time
 	for _, t := range s.terms {
 		if !until.IsZero() && t.from.After(until) {
-			s.Without += t.from.Sub(until)
+			s.Uncoordinated += t.from.Sub(until)
 		}
 		if t.until.After(until) {
 			until = t.until
 		}
 	}
-	s.Skew, s.Pass = mean(s.skews), mean(s.waits)
+	s.Skew, s.PassMillis = mean(s.skews), mean(s.waits)
 	if slices.Sort(s.skews); len(s.skews) > 0 {
 		s.WorstSkew = s.skews[len(s.skews)*95/100]
 	}
-	return s.Steered
+	return s.GroupSummary
 }
 
 func mean(list []float64) float64 {
@@ -119,8 +119,8 @@
 	return sum / float64(len(list))
 }
 
-// GroupsOf tells how each expert group was steered, by name.
-func GroupsOf(lines []Line) []Steered {
+// GroupSummaries tells how each expert group was steered, by name.
+func GroupSummaries(lines []Line) []GroupSummary {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.At.Compare(b.At) })
 	groups := map[string]*steering{}
@@ -132,14 +132,14 @@
 		}
 		name := l.Field("group")
 		if groups[name] == nil {
-			groups[name] = &steering{Steered: Steered{Group: name}}
+			groups[name] = &steering{GroupSummary: GroupSummary{Group: name}}
 		}
 		groups[name].add(l)
 	}
-	out := make([]Steered, 0, len(groups))
+	out := make([]GroupSummary, 0, len(groups))
 	for _, s := range groups {
 		out = append(out, s.finish())
 	}
-	slices.SortFunc(out, func(a, b Steered) int { return cmp.Compare(a.Group, b.Group) })
+	slices.SortFunc(out, func(a, b GroupSummary) int { return cmp.Compare(a.Group, b.Group) })
 	return out
 }
--- a/core/plumbing/story/groups_test.go
+++ b/core/plumbing/story/groups_test.go
@@ -19,7 +19,7 @@
 // the other group two act at the same time for a moment. The logs alone show both.
 func TestHowGroupsWereSteered(t *testing.T) {
 	is := is.New(t)
-	got := GroupsOf(Read(strings.NewReader(strings.Join([]string{
+	got := GroupSummaries(Read(strings.NewReader(strings.Join([]string{
 		groupLine(0, "steward begins", "a", "g0", ""),
 		groupLine(1, "group state", "a", "g0", `,"skew":2.5,"pass-ms":80`),
 		groupLine(2, "change of map", "a", "g0", ""),
@@ -32,9 +32,9 @@
 		groupLine(5, "group state", "d", "g1", ""),
 		groupLine(5, "group state", "x", "g1", ""), // it never said that it is the steward
 	}, "\n"))))
-	is.Equal(got, []Steered{
-		{Group: "g0", Stewards: 2, MostAtOnce: 1, Without: 2 * time.Second, Changes: 1, Skew: 2, WorstSkew: 2.5, Pass: 70},
-		{Group: "g1", Stewards: 2, MostAtOnce: 2},
+	is.Equal(got, []GroupSummary{
+		{Group: "g0", Coordinators: 2, MaxConcurrent: 1, Uncoordinated: 2 * time.Second, MapChanges: 1, Skew: 2, WorstSkew: 2.5, PassMillis: 70},
+		{Group: "g1", Coordinators: 2, MaxConcurrent: 2},
 	})
 }
 
--- a/core/plumbing/story/shares.go
+++ b/core/plumbing/story/shares.go
@@ -12,24 +12,24 @@
 	Group string
 	Tries int
 	// OnTime and Late are whole answers, Refused has not run, Failed ended in another
-	// way, and Left is of callers that did not wait for the end.
-	OnTime, Late, Refused, Failed, Left int
+	// way, and Disconnected is of callers that did not wait for the end.
+	OnTime, Late, Refused, Failed, Disconnected int
 }
 
 // Served returns the part of the tries that got a whole answer, of those whose
 // callers waited for one.
 func (s Share) Served() float64 {
-	if s.Tries == s.Left {
+	if s.Tries == s.Disconnected {
 		return 0
 	}
-	return float64(s.OnTime+s.Late) / float64(s.Tries-s.Left)
+	return float64(s.OnTime+s.Late) / float64(s.Tries-s.Disconnected)
 }
 
 func (s *Share) add(l Line) {
 	s.Tries++
 	switch status := l.Field("status"); {
 	case l.Field("outcome") == "caller-left":
-		s.Left++
+		s.Disconnected++
 	case status == "503":
 		s.Refused++
 	case status != "200":
--- a/core/plumbing/story/shares_test.go
+++ b/core/plumbing/story/shares_test.go
@@ -31,11 +31,11 @@
 	got := Shares(lines, ByField("workspace"))
 	is.Equal(got, []Share{
 		{Group: "erie", Tries: 2, OnTime: 1, Late: 1},
-		{Group: "huron", Tries: 5, Refused: 2, Failed: 2, Left: 1},
+		{Group: "huron", Tries: 5, Refused: 2, Failed: 2, Disconnected: 1},
 	})
 	is.Equal(got[0].Served(), 1.0)
 	is.Equal(got[1].Served(), 0.0)
-	is.Equal(Share{Tries: 3, Left: 3}.Served(), 0.0)
+	is.Equal(Share{Tries: 3, Disconnected: 3}.Served(), 0.0)
 }
 
 // The longest drafts are the first to suffer when memory is short. They are counted
--- a/core/plumbing/story/story.go
+++ b/core/plumbing/story/story.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// Of returns what explains a request, in the order of time.
-func Of(id string, lines []Line) []Line {
+// RequestTrace returns what explains a request, in the order of time.
+func RequestTrace(id string, lines []Line) []Line {
 	var first, last time.Time
 	gateways := map[string]bool{}
 	for _, l := range lines {
--- a/core/plumbing/story/story_test.go
+++ b/core/plumbing/story/story_test.go
@@ -29,7 +29,7 @@
 	f.Add(`{"time":"2026-01-31T08:00:01.95Z","msg":"request","id":"r1","status":504,"reason":"i/o timeout","ms":"x"}`)
 	f.Add(`{"msg":"group state","known":"a","ranks":16,"id":"r1"}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		own := Of("r1", Read(strings.NewReader(text)))
+		own := RequestTrace("r1", Read(strings.NewReader(text)))
 		if c := CauseOf("r1", own); c.Kind == "" {
 			t.Errorf("no kind for %q", text)
 		}
--- a/ctl/doubts.go
+++ b/ctl/doubts.go
@@ -37,9 +37,9 @@
 	if _, err := fmt.Fprintln(w, "target\tservice\tcauses\town\tgateways\ttold\tfrom\tuntil\tall-act-ms\tejected\t"); err != nil {
 		return err
 	}
-	for _, d := range story.DoubtsOf(lines) {
+	for _, d := range story.Suspicions(lines) {
 		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%d\t%d\t\n", d.Target, d.Service, strings.Join(d.Causes, ","),
-			d.Own, d.Finders, d.Told, d.From.Format(doubtTime), d.Until.Format(doubtTime), d.All.Milliseconds(), d.Ejected); err != nil {
+			d.Observations, d.Observers, d.Informed, d.First.Format(doubtTime), d.Last.Format(doubtTime), d.Propagation.Milliseconds(), d.Ejected); err != nil {
 			return err
 		}
 	}
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	own := story.Of(id, lines)
+	own := story.RequestTrace(id, lines)
 	if len(own) == 0 {
 		return errors.Errorf("no line of request %s", id)
 	}
--- a/ctl/shares.go
+++ b/ctl/shares.go
@@ -46,7 +46,7 @@
 		return err
 	}
 	for _, s := range story.Shares(lines, group) {
-		if _, err := fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", s.Group, s.Tries, s.OnTime, s.Late, s.Refused, s.Failed, s.Left, s.Served()); err != nil {
+		if _, err := fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", s.Group, s.Tries, s.OnTime, s.Late, s.Refused, s.Failed, s.Disconnected, s.Served()); err != nil {
 			return err
 		}
 	}
--- a/entry/frames.go
+++ b/entry/frames.go
@@ -105,7 +105,7 @@
 }
 
 // read relays frames until the stream ends.
-func (f *flow) read(stream *peer.Frames) relay.Event {
+func (f *flow) read(stream *peer.FrameReader) relay.Event {
 	defer func() { _ = stream.Close() }()
 	var frame wire.Frame
 	for {
@@ -179,7 +179,7 @@
 	if m.Reason == peer.ReasonNotSeen {
 		return relay.Event{Kind: relay.NotSeen}
 	}
-	if m.Reason == peer.ReasonGone {
+	if m.Reason == peer.ReasonAnswerUnavailable {
 		return relay.Event{Kind: relay.RecordLost}
 	}
 	return relay.Event{
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -84,7 +84,7 @@
 	if err := stream.Receive(&m); err != nil {
 		return nil
 	}
-	if m.Reason == peer.ReasonNotSeen || m.Reason == peer.ReasonGone {
+	if m.Reason == peer.ReasonNotSeen || m.Reason == peer.ReasonAnswerUnavailable {
 		return nil
 	}
 	return t
--- a/gateway/heldback_test.go
+++ b/gateway/heldback_test.go
@@ -134,8 +134,8 @@
 	r.True(answer.Comeback() > 9*time.Minute) // the word on the hold, not on the queue
 	close(hold)
 	r.Equal((<-served).Status, http.StatusOK)
-	own := story.Of(c.ID, read())
-	r.Equal(story.CauseOf(c.ID, own), story.Cause{Kind: story.HeldBack, Detail: "print " + r.print().Short()})
+	own := story.RequestTrace(c.ID, read())
+	r.Equal(story.CauseOf(c.ID, own), story.Cause{Kind: story.Quarantined, Detail: "print " + r.print().Short()})
 }
 
 // Guards against calling a request "not run" that has crashed a server.
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -60,12 +60,12 @@
 		"gateway just begun":  {kind: deployment.Safe, script: ok, change: func(r *rig, _ *scripted.Call) { r.restart(); r.gateway.startup.Lost() }, want: story.NoConfiguration},
 		"failed by servers":   {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Whole(500, "no") }, want: story.ServerFailed},
 		"refused by servers":  {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, want: story.Refused},
-		"answer lost":         {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Close() }, want: story.ServerLost},
-		"stream broken off":   {kind: deployment.Stream, script: breakOff, want: story.ServerLost},
-		"server hangs":        {kind: deployment.Unsafe, script: hang, change: short, want: story.TimeOver},
+		"answer lost":         {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Close() }, want: story.ConnectionLost},
+		"stream broken off":   {kind: deployment.Stream, script: breakOff, want: story.ConnectionLost},
+		"server hangs":        {kind: deployment.Unsafe, script: hang, change: short, want: story.DeadlineExceeded},
 		"a rank is gone":      {kind: deployment.Stream, script: func(x *scripted.Exchange) { x.Refuse() }, group: group(15, 1, 1.1), want: story.RankMissing},
 		"a slow server":       {kind: deployment.Stream, script: hang, change: short, group: group(16, 4, 1.1), want: story.SlowServer},
-		"uneven experts":      {kind: deployment.Stream, script: hang, change: short, group: group(16, 1, 3.2), want: story.UnevenExperts},
+		"uneven experts":      {kind: deployment.Stream, script: hang, change: short, group: group(16, 1, 3.2), want: story.ImbalancedExperts},
 		"another group's ill": {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, group: strings.Replace(group(3, 9, 9), `"pool"`, `"other"`, 1), want: story.Refused},
 	}
 }
@@ -92,7 +92,7 @@
 			c.Do(t.Context())
 			lines := read()
 			lines = append(lines, story.Read(strings.NewReader(tt.group))...)
-			is.Equal(story.CauseOf(c.ID, story.Of(c.ID, lines)).Kind, tt.want)
+			is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, lines)).Kind, tt.want)
 		})
 	}
 }
@@ -111,7 +111,7 @@
 	c.Do(ctx)
 	<-s.Left()
 	time.Sleep(20 * time.Millisecond) // The line is written after the connection is closed.
-	is.Equal(story.CauseOf(c.ID, story.Of(c.ID, read())).Kind, story.CallerLeft)
+	is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, read())).Kind, story.CallerDisconnected)
 }
 
 // Guards against a refusal that does not name the queue that it met.
@@ -142,7 +142,7 @@
 	is.Equal(got.Status, platform.StatusNotRun)
 	close(hold)
 	is.Equal((<-answer).Status, http.StatusOK)
-	is.Equal(story.CauseOf(c.ID, story.Of(c.ID, read())).Kind, story.Overload)
+	is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, read())).Kind, story.Overload)
 }
 
 // Guards against a story that lacks a line on why a draft went on elsewhere.
@@ -162,7 +162,7 @@
 	r.gateway.fleet.mu.Unlock()
 	c := &call{gateway: r.gateway, request: request{req: platform.Request{ID: "r1"}, arrived: now}}
 	c.ended("outcome", "broken-off", "reason", "answer broken in body: i/o timeout")
-	own := story.Of("r1", read())
+	own := story.RequestTrace("r1", read())
 	is.Equal(own[0].Message, "target silent")
 	is.Equal(story.CauseOf("r1", own).Kind, story.ServerSilent)
 }
@@ -175,7 +175,7 @@
 	read := r.logged()
 	r.gateway.digest(&rankpeer.Digest{Targets: []string{"t0"}, Running: []uint16{1}, Queued: []uint16{0}, Pace: []uint16{10}}, time.Now().Add(-700*time.Millisecond))
 	c, _ := r.ask()
-	for _, l := range story.Of(c.ID, read()) {
+	for _, l := range story.RequestTrace(c.ID, read()) {
 		if l.Message != "request" {
 			continue
 		}
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -60,7 +60,7 @@
 func newRig(t *testing.T, route deployment.Route, servers ...*scripted.Server) *rig {
 	t.Helper()
 	env := instance.Env{Log: slog.New(slog.DiscardHandler)}
-	env.Boot.Bounds = boot.Bounds{RetryRatio: 0.2, RetrySlack: 90 * gatewaysUntold}
+	env.Boot.Bounds = boot.Bounds{RetryRatio: 0.2, RetryBurst: 90 * gatewaysUntold}
 	g := newGateway(env, noop.NewTracerProvider().Tracer("test"), nil)
 	r := &rig{I: is.New(t), t: t, gateway: g, view: mirror.View{
 		Config: &deployment.Config{
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -103,7 +103,7 @@
 // slackShare is this gateway's part of the retries that all of them may make beside their
 // part of the requests.
 func slackShare(b boot.Bounds, among int) float64 {
-	return max(math.Floor(b.RetrySlack/float64(max(among, gateways))), 1)
+	return max(math.Floor(b.RetryBurst/float64(max(among, gateways))), 1)
 }
 
 // shareRetries takes how many gateways there are, by those that ask a steward and its
--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -16,7 +16,7 @@
 func TestSlackOfRetriesIsSharedByAll(t *testing.T) {
 	const slack, all = 264, 53
 	r := newRig(t, routeOf(deployment.Safe), scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") }))
-	r.gateway.bounds = boot.Bounds{RetryRatio: 0.2, RetrySlack: slack, RetryWindow: 10 * time.Second}
+	r.gateway.bounds = boot.Bounds{RetryRatio: 0.2, RetryBurst: slack, RetryWindow: 10 * time.Second}
 	r.gateway.budgets = retry.NewBudgets(retryLimits(r.gateway.bounds))
 	left := func() float64 { return r.gateway.retriesLeft("pool") }
 	r.gateway.shareRetries(all)
@@ -29,5 +29,5 @@
 	// A few gateways that have just restarted are not taken for all there are.
 	r.gateway.shareRetries(3)
 	r.True(left() <= slack/gateways)
-	r.True(slackShare(boot.Bounds{RetrySlack: slack}, gatewaysUntold)*all <= slack)
+	r.True(slackShare(boot.Bounds{RetryBurst: slack}, gatewaysUntold)*all <= slack)
 }
--- a/sidecar/fullmaps.go
+++ b/sidecar/fullmaps.go
@@ -22,7 +22,7 @@
 
 // fullMapsAtOnce is how many whole maps of so many bytes a process sends in one asking.
 func fullMapsAtOnce(boot *boot.Settings, bytes int) int {
-	link := boot.LinkBytes
+	link := boot.LinkBytesPerSecond
 	if link <= 0 {
 		link = usualLink
 	}
