--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -122,8 +122,8 @@
 
 func (c *call) upstream(s sent) *upstream.Request {
 	var head bytes.Buffer
-	f := platform.Forward{
-		TargetID: s.target.ID, Left: time.Until(c.deadline),
+	f := platform.ForwardHeaders{
+		TargetID: s.target.ID, Remaining: time.Until(c.deadline),
 		Urgency: urgency(c.route, c.space), LastEvent: c.lastEvent,
 	}
 	f.Workspace = c.workspaceName()
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -45,15 +45,15 @@
 
 // applyBackpressure takes what a target asks for in an answer. It is called with the lock held.
 func (f *fleet) applyBackpressure(s sent, a platform.Answer, now time.Time) {
-	if a.Leaving && !s.target.leaving {
+	if a.ShuttingDown && !s.target.leaving {
 		f.markLeaving(s, a.ID)
 	}
 	if a.Sealed || a.NotRun {
 		f.limited(s, a.ID, a.Limit, now)
 	}
 	switch {
-	case a.Pause > 0:
-		f.pause(s.target, a.ID, a.Pause, now)
+	case a.RetryAfter > 0:
+		f.pause(s.target, a.ID, a.RetryAfter, now)
 	case a.NotRun:
 		f.refused(s.target, now)
 	default:
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -119,7 +119,7 @@
 		c.end(http.StatusUnauthorized, "unknown key", 0)
 		return false
 	}
-	patience := c.req.Patience
+	patience := c.req.Timeout
 	if patience == 0 {
 		patience = defaultPatience
 	}
@@ -145,7 +145,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	c.service = c.drawService()
-	c.returning = c.gateway.comesBack(c.route, c.req.Patience)
+	c.returning = c.gateway.comesBack(c.route, c.req.Timeout)
 	return true
 }
 
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -12,7 +12,7 @@
 func (c *call) ended(attrs ...any) {
 	line := append(make([]any, 0, 48), "id", c.req.ID, "service", c.service, "config", c.version,
 		"ms", time.Since(c.arrived).Milliseconds(), "queued-ms", c.queued.Milliseconds(), "errors", c.attempts.Errors,
-		"patience-ms", c.req.Patience.Milliseconds(), "workspace", c.workspaceName(), "route", c.routeName())
+		"patience-ms", c.req.Timeout.Milliseconds(), "workspace", c.workspaceName(), "route", c.routeName())
 	if n := c.req.PromptTokens + c.req.AnswerTokens; n > 0 {
 		line = append(line, "tokens", n)
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -261,7 +261,7 @@
 // started waits until the gateway has a configuration. It answers and reports false if
 // the request is not to wait any longer.
 func (c *call) started() bool {
-	err := c.startup.Wait(c.r.Context(), c.req.Patience)
+	err := c.startup.Wait(c.r.Context(), c.req.Timeout)
 	c.held = time.Since(c.arrived)
 	if err == nil {
 		return true
