--- a/core/plumbing/boot/boot.go
+++ b/core/plumbing/boot/boot.go
@@ -1,5 +1,5 @@
-// Package boot holds what a process on the users' platform is told when it starts, in the words
-// of this project.
+// Package boot defines the settings that the users' platform gives a process when it starts,
+// independent of the platform's own format.
 //
 // # Usage
 //
@@ -15,28 +15,28 @@
 	"time"
 )
 
-// Settings are what the platform tells a process when it starts.
+// Settings are the settings that the platform gives a process when it starts.
 type Settings struct {
 	// Instance is the name of the instance that the process runs on.
 	Instance string
 	// IP is the address of the instance, Zone its availability zone.
 	IP   netip.Addr
 	Zone string
-	// Callers and Ready are where the callers' requests and the balancer's
-	// readiness checks arrive; both are the zero value on a target's instance.
+	// Callers and Ready are the listen addresses for callers' requests and for
+	// the load balancer's readiness checks; both are the zero value on a target's instance.
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
-	// PortFirst and PortLast bound the ports that instances may use among
+	// PortFirst and PortLast are the range of ports that instances may use between
 	// themselves. They are the same on all instances.
 	PortFirst, PortLast uint16
 	// Target is the address of the server on the same instance, and Service
 	// the service that it belongs to; both are empty on other instances.
 	Target  netip.AddrPort
 	Service string
-	// MemoryBytes is the memory at which the process is killed.
+	// MemoryBytes is the memory use at which the process is killed.
 	MemoryBytes int64
-	// LinkBytesPerSecond is how many bytes a second the instance's link carries; 0 if that is not
-	// said.
+	// LinkBytesPerSecond is the bandwidth of the instance's network link; 0 if it is
+	// unknown.
 	LinkBytesPerSecond float64
 	// Heartbeat is how often a server writes its entry into the store.
 	Heartbeat time.Duration
@@ -44,44 +44,44 @@
 	Bounds    Bounds
 }
 
-// Store says where the metadata store is and what it takes.
+// Store is the address of the metadata store and its rate limits.
 type Store struct {
 	Addr netip.AddrPort
-	// WritesPerSecond and ReadsPerSecond are shared by all instances.
+	// WritesPerSecond and ReadsPerSecond are shared among all instances.
 	WritesPerSecond float64
 	ReadsPerSecond  float64
 }
 
-// Bounds are the figures of the deployment's promises.
+// Bounds are the limits that the deployment guarantees.
 type Bounds struct {
 	// Grace is the time from SIGTERM to SIGKILL.
 	Grace time.Duration
-	// Drain is how long after its entry says so a leaving server may still be
-	// sent requests.
+	// Drain is how long a server that is shutting down may still be sent requests after
+	// its store entry says so.
 	Drain time.Duration
-	// RetryRatio and RetrySlack bound the arrivals at a service beyond the
-	// first of each request, in each RetryWindow, of all instances together.
+	// RetryRatio and RetryBurst limit the attempts at a service beyond the first of
+	// each request, in each RetryWindow and for all instances together.
 	RetryRatio  float64
 	RetryBurst  float64
 	RetryWindow time.Duration
-	// EnforceFencing says that servers refuse orders with an old fencing number.
+	// EnforceFencing says that servers reject orders with an outdated fencing token.
 	EnforceFencing bool
 }
 
-// Field is a field of the settings file that is read.
+// Field describes a field that is read from the settings file.
 type Field struct {
 	Name string
-	// Want is what it must hold.
+	// Want describes the values allowed.
 	Want     string
 	Meaning  string
 	Optional bool
 }
 
-// Source is where the settings come from.
+// Source reads the settings.
 type Source interface {
-	// Load reads and checks the settings of this process.
+	// Load reads and validates the settings of this process.
 	Load() (Settings, error)
-	// Parse decodes and checks settings that stand in a file.
+	// Parse decodes and validates the contents of a settings file.
 	Parse(file string, data []byte) (Settings, error)
 	// Fields returns the fields that are read.
 	Fields() []Field
--- a/core/plumbing/duty/duty.go
+++ b/core/plumbing/duty/duty.go
@@ -1,15 +1,15 @@
-// Package duty runs the work of one duty on one goroutine.
+// Package duty implements an event loop that runs functions on one goroutine.
 //
-// State that decisions are made on has a single owner: a Duty. Others hand it
-// functions through a bounded ring, and the duty runs them one after the
-// other, so that the state needs no lock and each decision sees a whole one. A
-// full ring holds the callers back.
+// State that decisions depend on is owned by one Loop. Other goroutines submit
+// functions through a bounded ring and the loop runs them one after the other, so
+// that the state needs no lock and each decision sees it consistent. A full ring
+// blocks the callers.
 //
 // # Usage
 //
-//	d := duty.New(256)
-//	go d.Run(ctx)
-//	err := d.Do(ctx, func() { verdict = register.Accept(submission) })
+//	l := duty.New(256)
+//	go l.Run(ctx)
+//	err := l.Do(ctx, func() { verdict = register.Accept(submission) })
 package duty
 
 import (
@@ -19,70 +19,70 @@
 	"verbenashift/core/plumbing/ring"
 )
 
-// task is one function with the channel that tells its end.
+// task is a submitted function; done, if not nil, is closed when it has returned.
 type task struct {
 	fn   func()
 	done chan struct{}
 }
 
-// Loop is one goroutine's work. Use New to make one.
+// Loop is an event loop. Use New to make one.
 type Loop struct {
 	tasks *ring.Ring[task]
-	// after, if set, runs after each task and at the time that next names.
+	// after, if set, runs after each task and at the time that next returns.
 	after func()
 	next  func() (time.Time, bool)
 }
 
-// New returns a duty whose ring holds up to capacity tasks.
+// New returns a loop whose ring holds up to capacity tasks.
 func New(capacity int) *Loop {
 	return &Loop{tasks: ring.New[task](capacity)}
 }
 
-// After has fn run on the duty's goroutine after each task, and also when the
-// time that next returns has come. It must be called before Run.
-func (d *Loop) After(fn func(), next func() (time.Time, bool)) {
-	d.after, d.next = fn, next
+// After has fn run on the loop's goroutine after each task, and also at the time
+// that next returns. It must be called before Run.
+func (l *Loop) After(fn func(), next func() (time.Time, bool)) {
+	l.after, l.next = fn, next
 }
 
-// Run runs tasks until ctx ends.
-func (d *Loop) Run(ctx context.Context) {
+// Run runs tasks until ctx is done.
+func (l *Loop) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		t, err := d.pop(ctx)
+		t, err := l.pop(ctx)
 		if err == nil {
 			t.fn()
 			if t.done != nil {
 				close(t.done)
 			}
 		}
-		if d.after != nil {
-			d.after()
+		if l.after != nil {
+			l.after()
 		}
 	}
 }
 
-// pop waits for a task, or until the next time at which there is work.
-func (d *Loop) pop(ctx context.Context) (task, error) {
-	if t, ok := d.tasks.TryPop(); ok {
+// pop waits for a task, at most until the time that next returns.
+func (l *Loop) pop(ctx context.Context) (task, error) {
+	if t, ok := l.tasks.TryPop(); ok {
 		return t, nil
 	}
-	if d.next == nil {
-		return d.tasks.Pop(ctx)
+	if l.next == nil {
+		return l.tasks.Pop(ctx)
 	}
-	at, ok := d.next()
+	at, ok := l.next()
 	if !ok {
-		return d.tasks.Pop(ctx)
+		return l.tasks.Pop(ctx)
 	}
 	ctx, cancel := context.WithDeadline(ctx, at)
 	defer cancel()
-	return d.tasks.Pop(ctx)
+	return l.tasks.Pop(ctx)
 }
 
-// Do runs fn on the duty's goroutine and waits for its end. An error says that
-// fn was not taken in, or that ctx ended while it waited; in that last case fn
-// may still run.
-func (d *Loop) Do(ctx context.Context, fn func()) error {
+// Do runs fn on the loop's goroutine and waits until it returns. An error means that
+// fn was not accepted, or that ctx ended during the wait; in the latter case fn may
+// still run.
+func (l *Loop) Do(ctx context.Context, fn func()) error {
 	t := task{fn: fn, done: make(chan struct{})}
-	if err := d.tasks.PushWait(ctx, t); err != nil {
+	if err := l.tasks.PushWait(ctx, t); err != nil {
 		return err
 	}
 	select {
@@ -93,8 +93,8 @@
 	}
 }
 
-// Post hands fn over and does not wait for its end. It waits for room in the
-// ring as long as ctx allows.
-func (d *Loop) Post(ctx context.Context, fn func()) error {
-	return d.tasks.PushWait(ctx, task{fn: fn})
+// Post submits fn and does not wait until it has run. It blocks while the ring is
+// full, until ctx is done.
+func (l *Loop) Post(ctx context.Context, fn func()) error {
+	return l.tasks.PushWait(ctx, task{fn: fn})
 }
--- a/core/plumbing/duty/duty_test.go
+++ b/core/plumbing/duty/duty_test.go
@@ -12,8 +12,8 @@
 	"verbenashift/core/plumbing/duty"
 )
 
-// Two requests decide on the same state at once. Were their functions to run
-// side by side, both could find the last free place and take it.
+// Guards against functions that run concurrently: two requests that decide on the same
+// state could both take the last free slot.
 func TestTasksRunOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -29,8 +29,8 @@
 	})
 }
 
-// A queued request's deadline passes while nothing else happens. Its caller
-// must hear so then, and not at the next request.
+// Guards against a timer that only fires with the next task: the caller of a queued
+// request must get its answer when its deadline passes, even if nothing else happens.
 func TestAfterRunsAtTheNextTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/core/plumbing/eventlog/eventlog.go
+++ b/core/plumbing/eventlog/eventlog.go
@@ -1,11 +1,11 @@
-// Package eventlog writes a program's log as JSON lines that never hold up the
+// Package eventlog writes a program's log as JSON lines without blocking the
 // program.
 //
-// Lines go through a bounded buffer to the output: a slow or stuck reader of
-// the output loses lines, not requests. Each message may be logged only so
-// often a second, so that a flood of one kind of line does not hide the others
-// or cost the processor. What was left out is counted, and said in a line of
-// its own.
+// Lines pass through a bounded buffer to the output: if the reader of the output is
+// slow or stuck, lines are dropped and requests are not delayed. Each message is
+// limited to a number of lines per second, so that a flood of one kind of line
+// neither hides the others nor uses much CPU time. Dropped lines are counted, and
+// the count is logged in a line of its own.
 //
 // # Usage
 //
@@ -24,43 +24,44 @@
 )
 
 const (
-	// perSecond is how many lines of one message are written in a second:
-	// some 40 KB a second at most for each message.
-	perSecond = 200
-	// buffered is how many lines may wait for the output.
-	buffered = 512
+	// linesPerSecond limits the lines of one message per second, to about
+	// 40 KB per second for each message.
+	linesPerSecond = 200
+	// bufferedLines is how many lines may wait for the output.
+	bufferedLines = 512
 )
 
 // The counters of lines that were not written.
 var (
 	suppressed = expvar.NewInt("log-lines-over-limit")
-	lost       = expvar.NewInt("log-lines-lost")
+	dropped    = expvar.NewInt("log-lines-lost")
 )
 
-// New returns a logger of JSON lines that names the program and the instance in
-// each line, and a function that writes what waits and stops.
+// New returns a logger that writes JSON lines, each with the names of the program
+// and the instance, and a function that flushes the buffered lines and stops the
+// logger.
 //
-// Lines below the level are not made at all.
+// Lines below the level are not formatted at all.
 func New(out io.Writer, program, instance string, level slog.Level) (*slog.Logger, func()) {
-	w := &writer{lines: make(chan []byte, buffered), done: make(chan struct{})}
+	w := &writer{lines: make(chan []byte, bufferedLines), done: make(chan struct{})}
 	go w.run(out)
-	h := &limiter{Handler: slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}), budget: &budget{left: map[string]int{}}}
+	h := &limiter{Handler: slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level}), budget: &budget{remaining: map[string]int{}}}
 	return slog.New(h).With("program", program, "instance", instance), w.stop
 }
 
-// writer hands lines to the output without waiting for it.
+// writer passes lines to the output without waiting for it.
 type writer struct {
 	lines chan []byte
 	done  chan struct{}
 	once  sync.Once
 }
 
-// Write takes one line. It never waits.
+// Write buffers one line, or drops it if the buffer is full. It never blocks.
 func (w *writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
 	default:
-		lost.Add(1)
+		dropped.Add(1)
 	}
 	return len(line), nil
 }
@@ -72,69 +73,69 @@
 			return
 		}
 		if _, err := out.Write(line); err != nil {
-			// There is nowhere to say it but the counter.
-			lost.Add(1)
+			// The log itself has failed, so the error is only counted.
+			dropped.Add(1)
 		}
 	}
 }
 
-// stopWait bounds how long a stop waits for a slow output.
-const stopWait = 200 * time.Millisecond
+// stopTimeout limits how long stop waits for a slow output.
+const stopTimeout = 200 * time.Millisecond
 
 func (w *writer) stop() {
 	w.once.Do(func() {
-		limit := time.After(stopWait)
+		timeout := time.After(stopTimeout)
 		select {
 		case w.lines <- nil:
-		case <-limit:
+		case <-timeout:
 			return
 		}
 		select {
 		case <-w.done:
-		case <-limit:
+		case <-timeout:
 		}
 	})
 }
 
-// budget counts the lines of each message in the present second.
+// budget counts the lines of each message in the current second.
 type budget struct {
-	mu     sync.Mutex
-	second int64
-	left   map[string]int
+	mu        sync.Mutex
+	second    int64
+	remaining map[string]int
 }
 
-// take reports whether a message may be logged, and how many lines were left
-// out in the second that has just ended.
-func (b *budget) take(message string, now time.Time) (ok bool, leftOut int) {
+// take reports whether a message may be logged, and how many lines were suppressed
+// in the previous second that had any lines.
+func (b *budget) take(message string, now time.Time) (ok bool, omitted int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := now.Unix(); s != b.second {
 		b.second = s
-		for _, n := range b.left {
-			leftOut += max(0, -n)
+		for _, n := range b.remaining {
+			omitted += max(0, -n)
 		}
-		clear(b.left)
+		clear(b.remaining)
 	}
-	n, seen := b.left[message]
+	n, seen := b.remaining[message]
 	if !seen {
-		n = perSecond
+		n = linesPerSecond
 	}
-	b.left[message] = n - 1
-	return n > 0, leftOut
+	b.remaining[message] = n - 1
+	return n > 0, omitted
 }
 
-// limiter drops records that are over the budget of their message.
+// limiter drops records that exceed the budget of their message.
 type limiter struct {
 	slog.Handler
 	budget *budget
 }
 
-// Handle writes a record if its message may be logged.
+// Handle writes a record unless its message is over the budget.
 func (l *limiter) Handle(ctx context.Context, r slog.Record) error {
-	ok, leftOut := l.budget.take(r.Message, r.Time)
-	if leftOut > 0 {
+	ok, omitted := l.budget.take(r.Message, r.Time)
+	if omitted > 0 {
 		note := slog.NewRecord(r.Time, slog.LevelWarn, "log lines left out", 0)
-		note.AddAttrs(slog.Int("lines", leftOut))
+		note.AddAttrs(slog.Int("lines", omitted))
 		if err := l.Handler.Handle(ctx, note); err != nil {
 			return err
 		}
--- a/core/plumbing/eventlog/eventlog_test.go
+++ b/core/plumbing/eventlog/eventlog_test.go
@@ -13,31 +13,31 @@
 	"github.com/matryer/is"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// stuckWriter is an output that blocks until it is released.
+type stuckWriter struct{ release chan struct{} }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *stuckWriter) Write(b []byte) (int, error) {
 	<-s.release
 	return len(b), nil
 }
 
-// Nobody reads the log any more. Requests must not wait for it: lines are lost
-// and counted.
+// Guards against requests that block when nobody reads the log: lines are dropped
+// and counted instead.
 func TestStuckOutputBlocksNobody(t *testing.T) {
 	is := is.New(t)
-	out := &stuck{make(chan struct{})}
+	out := &stuckWriter{make(chan struct{})}
 	log, stop := New(out, "p", "i", slog.LevelInfo)
-	before := lost.Value()
-	for i := range 40 * buffered {
+	before := dropped.Value()
+	for i := range 40 * bufferedLines {
 		log.Info(string(rune('a'+i%26)) + time.Duration(i/100).String())
 	}
-	is.True(lost.Value()-before > buffered)
+	is.True(dropped.Value()-before > bufferedLines)
 	close(out.release)
 	stop()
 }
 
-// One kind of line floods the log. The others are still written, and what was
-// left out is said.
+// Guards against a flood of one message that hides the others. The others are still
+// written, and the number of suppressed lines is logged.
 func TestFloodOfOneMessage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -49,7 +49,7 @@
 			return b.Write(p)
 		})
 		log, stop := New(out, "p", "i", slog.LevelInfo)
-		for range 10 * perSecond {
+		for range 10 * linesPerSecond {
 			log.Info("flood", "id", 1)
 			synctest.Wait()
 		}
@@ -60,7 +60,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		text := b.String()
-		is.Equal(strings.Count(text, `"msg":"flood"`), perSecond)
+		is.Equal(strings.Count(text, `"msg":"flood"`), linesPerSecond)
 		is.Equal(strings.Count(text, `"msg":"important"`), 1)
 		is.True(strings.Contains(text, `"msg":"log lines left out"`))
 		for line := range strings.Lines(text) {
@@ -83,8 +83,8 @@
 	}
 }
 
-// An operator turns the log down. What is below the level must not cost anything
-// beyond the look, and the rest is still written.
+// Guards against a log level that is ignored: lines below it are dropped and the rest
+// are still written.
 func TestLevel(t *testing.T) {
 	is := is.New(t)
 	var out bytes.Buffer
--- a/core/plumbing/histogram/histogram.go
+++ b/core/plumbing/histogram/histogram.go
@@ -1,4 +1,4 @@
-// Package histogram shows histograms of whole numbers as expvar variables.
+// Package histogram publishes histograms of integers as expvar variables.
 //
 // # Usage
 //
@@ -14,35 +14,35 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of a histogram in its unit, and its significant digits. A value
-// over the range counts as the highest.
+// The largest value of a histogram, in its unit, and its significant digits. A value
+// above the largest is recorded as the largest.
 const (
 	histogramMax    = 600_000_000
 	histogramDigits = 2
 )
 
-// Histogram is a histogram of whole numbers, such as microseconds.
+// Histogram is a histogram of integers, such as microseconds.
 type Histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
 }
 
 // New publishes a histogram as the expvar variable name. It panics if
-// the name is taken, as expvar.Publish does.
+// the name is in use, as expvar.Publish does.
 func New(name string) *Histogram {
 	h := &Histogram{h: hdrhistogram.New(1, histogramMax, histogramDigits)}
 	expvar.Publish(name, h)
 	return h
 }
 
-// Record counts one value.
+// Record adds one value.
 func (h *Histogram) Record(v int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	_ = h.h.RecordValue(min(max(v, 1), histogramMax))
 }
 
-// summary is what expvar shows of a histogram.
+// summary is the JSON form of a histogram.
 type summary struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean"`
@@ -52,7 +52,7 @@
 	Max   int64   `json:"max"`
 }
 
-// String returns the summary as JSON, as expvar.Var asks.
+// String returns the summary as JSON. It implements expvar.Var.
 func (h *Histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/core/plumbing/histogram/histogram_test.go
+++ b/core/plumbing/histogram/histogram_test.go
@@ -15,7 +15,7 @@
 	for i := range int64(100) {
 		h.Record(i + 1)
 	}
-	h.Record(-5) // counts as the lowest
+	h.Record(-5) // recorded as the smallest value
 	var s struct{ Count, P50, Max int64 }
 	is.NoErr(json.Unmarshal([]byte(h.String()), &s))
 	is.Equal(s.Count, int64(101))
--- a/core/plumbing/instance/instance.go
+++ b/core/plumbing/instance/instance.go
@@ -1,6 +1,6 @@
-// Package instance is what the programs on the users' platform have in common:
-// the command line, the settings that the platform gives, the log, the metrics
-// address, and a run from start to a graceful stop.
+// Package instance has the code that the programs on the users' platform share: the
+// command line, the settings from the platform, the log, the metrics address, and
+// the lifecycle from start to graceful shutdown.
 //
 // # Usage
 //
@@ -43,44 +43,44 @@
 )
 
 const (
-	// MetricsPort is where each process shows its metrics.
+	// MetricsPort is the port where each process serves its metrics.
 	MetricsPort = 9750
 	// MetricsPath is the path of the metrics.
 	MetricsPath = "/metrics"
-	// gcPercent trades processor time for memory, which is dear: a heap of a few
-	// megabytes is collected at half of its size again. Peak memory of a sidecar
-	// 5.3 MB, of a gateway 10 MB, under the load of a busy minute.
+	// gcPercent trades CPU time for memory, which is scarcer: a heap of a few megabytes
+	// is collected when it has grown by half. Peak memory is then 5.3 MB for a sidecar
+	// and 10 MB for a gateway, under the load of a busy minute.
 	gcPercent = 50
-	// killMargin is how long before SIGKILL a process has ended by itself.
+	// killMargin is how long before SIGKILL a graceful shutdown must be complete.
 	killMargin = 500 * time.Millisecond
-	// startLimit bounds the start.
-	startLimit = 10 * time.Second
+	// startTimeout limits the time to start.
+	startTimeout = 10 * time.Second
 )
 
-// Env is what a program is built from.
+// Env is the environment that a program is built from.
 type Env struct {
 	Boot boot.Settings
 	Log  *slog.Logger
-	// NoPlan says that expert maps are to stay as they are.
+	// NoPlan disables the planning of expert maps: they stay as they are.
 	NoPlan bool
-	// Trace is the IP address and port of a collector of spans, or empty; TraceRatio
-	// is the part of the requests that are traced, from 0 to 1.
+	// Trace is the IP address and port of a span collector, or empty; TraceRatio is the
+	// fraction of requests that are traced, from 0 to 1.
 	Trace      string
 	TraceRatio float64
 }
 
-// Program is one program. All its fields are needed.
+// Program describes one program. All fields are required.
 type Program struct {
 	Name  string
 	Usage string
-	// Settings is where those of the process come from.
+	// Settings is the source of the settings of the process.
 	Settings boot.Source
-	// Build returns what the program consists of. Its stop hooks end it
+	// Build returns the components of the program. Their stop hooks shut it down
 	// gracefully.
 	Build func(Env) fx.Option
 }
 
-// Main parses the command line, acts and exits.
+// Main parses the command line, runs the selected action and exits.
 func (p Program) Main() {
 	cmd := &cli.Command{
 		Name:  p.Name,
@@ -94,7 +94,7 @@
 			&cli.StringFlag{Name: "trace", Usage: "send a gateway's spans to the OTLP/HTTP collector at `ADDR`, an IP address and port"},
 			&cli.FloatFlag{Name: "trace-ratio", Value: 0.01, Usage: "trace this `PART` of the requests, from 0 to 1"},
 		},
-		Action: func(_ context.Context, cmd *cli.Command) error { return p.act(cmd, os.Stdout) },
+		Action: func(_ context.Context, cmd *cli.Command) error { return p.execute(cmd, os.Stdout) },
 	}
 	if err := cmd.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
@@ -102,7 +102,7 @@
 	}
 }
 
-func (p Program) act(cmd *cli.Command, out io.Writer) error {
+func (p Program) execute(cmd *cli.Command, out io.Writer) error {
 	if cmd.Bool("version") {
 		_, err := fmt.Fprintln(out, p.Name, build())
 		return err
@@ -128,7 +128,7 @@
 	return p.run(env, level)
 }
 
-// checkTrace reports a bad flag of tracing.
+// checkTrace returns an error if a tracing flag is invalid.
 func (e Env) checkTrace() error {
 	if _, err := netip.ParseAddrPort(e.Trace); e.Trace != "" && err != nil {
 		return errors.Errorf("-trace: %q: want an IP address and port", e.Trace)
@@ -159,7 +159,7 @@
 	return w.Flush()
 }
 
-// check checks a settings file and says what was read.
+// check validates a settings file and prints what was read.
 func check(source boot.Source, file string, out io.Writer) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -173,7 +173,7 @@
 	return err
 }
 
-// build returns the version of the sources, as the compiler has noted it.
+// build returns the source revision and Go version that the compiler recorded.
 func build() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -187,7 +187,7 @@
 	return "no revision " + info.GoVersion
 }
 
-// run builds the program, runs it until SIGTERM and stops it.
+// run builds and starts the program, and stops it on SIGTERM.
 func (p Program) run(env Env, level slog.Level) error {
 	debug.SetGCPercent(gcPercent)
 	log, stopLog := eventlog.New(os.Stdout, p.Name, env.Boot.Instance, level)
@@ -196,7 +196,7 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGHUP)
 	app := fx.New(fx.NopLogger, fx.Supply(env), p.Build(env), fx.Invoke(serveMetrics))
-	ctx, cancel := context.WithTimeout(context.Background(), startLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), startTimeout)
 	defer cancel()
 	if err := app.Start(ctx); err != nil {
 		log.Error("not started", "error", err.Error())
@@ -218,8 +218,8 @@
 	return err
 }
 
-// reload reads the settings again. Nothing in them can change in the life of a
-// process but what it does not use, so that it only says what it found.
+// reload reads and validates the settings again and logs the result. The settings that a
+// process uses can't change while it runs, so none are applied.
 func (p Program) reload(log *slog.Logger) {
 	if _, err := p.Settings.Load(); err != nil {
 		log.Error("reload", "error", err.Error())
@@ -228,20 +228,20 @@
 	log.Info("reload", "changed", false)
 }
 
-// serveMetrics shows the expvar variables on the metrics address.
+// serveMetrics serves the expvar variables on the metrics address.
 func serveMetrics(lc fx.Lifecycle, env Env) {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+MetricsPath, expvar.Handler())
 	Serve(lc, env.Log, netip.AddrPortFrom(env.Boot.IP, MetricsPort), mux)
 }
 
-// headerWait bounds how long a client may take to send a header.
-const headerWait = 10 * time.Second
+// headerTimeout limits how long a client may take to send its request headers.
+const headerTimeout = 10 * time.Second
 
-// Serve serves a handler on an address while the program runs. An address that
-// can't be had is logged: metrics are not worth the program.
+// Serve serves a handler on an address while the program runs. If it can't listen, it
+// only logs the error: a program must not fail for lack of metrics.
 func Serve(lc fx.Lifecycle, log *slog.Logger, addr netip.AddrPort, h http.Handler) {
-	server := &http.Server{Handler: h, ReadHeaderTimeout: headerWait}
+	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			l, err := net.Listen("tcp", addr.String())
@@ -250,7 +250,7 @@
 				return nil
 			}
 			go func() {
-				// It ends when the server is closed.
+				// It returns when the server is closed.
 				_ = server.Serve(l)
 			}()
 			return nil
--- a/core/plumbing/instance/instance_test.go
+++ b/core/plumbing/instance/instance_test.go
@@ -7,8 +7,8 @@
 	"github.com/matryer/is"
 )
 
-// An operator mistypes the address of the collector or the part of the requests. The
-// program must not start and send nothing, or everything.
+// Guards against a mistyped collector address or trace ratio: the program must not start
+// and then trace no requests, or all of them.
 func TestCheckTrace(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -17,11 +17,11 @@
 	}{
 		{"off", Env{}, true},
 		{"on", Env{Trace: "10.0.0.9:4318", TraceRatio: 0.01}, true},
-		{"a name", Env{Trace: "collector:4318"}, false},
+		{"host name", Env{Trace: "collector:4318"}, false},
 		{"no port", Env{Trace: "10.0.0.9"}, false},
-		{"over all", Env{Trace: "10.0.0.9:4318", TraceRatio: 1.1}, false},
-		{"below none", Env{TraceRatio: -0.1}, false},
-		{"no number", Env{TraceRatio: math.NaN()}, false},
+		{"ratio over 1", Env{Trace: "10.0.0.9:4318", TraceRatio: 1.1}, false},
+		{"ratio below 0", Env{TraceRatio: -0.1}, false},
+		{"ratio not a number", Env{TraceRatio: math.NaN()}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
--- a/core/plumbing/keys/keys.go
+++ b/core/plumbing/keys/keys.go
@@ -1,8 +1,8 @@
 // Package keys loads the TLS keys between the system's own processes.
 //
 // Each process has a certificate signed by the deployment's own authority and
-// accepts only peers that have one too. Without keys the processes speak clear
-// text, which Check allows on loopback addresses only.
+// accepts only peers that have one too. Without keys the processes communicate in
+// clear text, which Check allows on loopback addresses only.
 //
 // # Usage
 //
@@ -24,19 +24,19 @@
 	"verbenashift/core/plumbing/settings"
 )
 
-// Files names the PEM files of one process. The zero value means clear text.
+// Files holds the names of the PEM files of one process. The zero value means clear text.
 type Files struct {
 	Cert      string
 	Key       string
 	Authority string
 }
 
-// ClearTextError says that an address off loopback has no keys.
+// ClearTextError reports a listen address that is not on loopback and has no keys.
 type ClearTextError struct {
 	Address string
 }
 
-// Error returns the address.
+// Error names the address and what it needs.
 func (e *ClearTextError) Error() string {
 	return fmt.Sprintf("clear text is allowed on loopback only: %s needs a certificate and a key", e.Address)
 }
@@ -48,13 +48,13 @@
 	s.String("tls", "authority", &f.Authority, "", "PEM file of the authority that signs the processes' certificates")
 }
 
-// Set reports whether keys are set.
+// Set reports whether keys are configured.
 func (f Files) Set() bool {
 	return f.Cert != ""
 }
 
-// Check refuses clear text between processes on an address that others can
-// reach.
+// Check returns an error if processes would communicate in clear text on an address
+// that other machines can reach.
 func (f Files) Check(addr string) error {
 	if f.Set() {
 		return nil
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Server returns the configuration of a listener that asks its peers for a
-// certificate, nil without keys.
+// Server returns the TLS configuration of a listener that requires client
+// certificates, or nil without keys.
 func (f Files) Server() (*tls.Config, error) {
 	cfg, pool, err := f.load()
 	if cfg == nil || err != nil {
@@ -86,7 +86,7 @@
 	return cfg, nil
 }
 
-// Client returns the configuration of a dialer, nil without keys.
+// Client returns the TLS configuration of a dialer, or nil without keys.
 func (f Files) Client() (*tls.Config, error) {
 	cfg, pool, err := f.load()
 	if cfg == nil || err != nil {
--- a/core/plumbing/keys/keys_test.go
+++ b/core/plumbing/keys/keys_test.go
@@ -9,14 +9,14 @@
 	"verbenashift/core/plumbing/keys"
 )
 
-// An agent is set up on a real address and its keys are forgotten. Prompts
-// would cross the network in clear text: it must not start.
+// Guards against an agent that listens on a network address without keys: prompts
+// would cross the network in clear text.
 func TestClearTextStaysOnLoopback(t *testing.T) {
 	for addr, ok := range map[string]bool{"127.0.1.13:7000": true, "[::1]:7000": true, "10.0.0.5:7000": false, "0.0.0.0:7000": false} {
 		is := is.New(t)
 		err := keys.Files{}.Check(addr)
-		var refused *keys.ClearTextError
-		is.Equal(errors.As(err, &refused), !ok)
+		var clearText *keys.ClearTextError
+		is.Equal(errors.As(err, &clearText), !ok)
 	}
 	is.New(t).NoErr(keys.Files{Cert: "cert.pem"}.Check("10.0.0.5:7000"))
 }
--- a/core/plumbing/observe/observe.go
+++ b/core/plumbing/observe/observe.go
@@ -1,6 +1,5 @@
-// Package observe serves what the platform and operators ask a process for: whether it lives,
-// whether it takes work, which revisions of the configuration it has had in force, and its
-// counters.
+// Package observe serves the monitoring endpoints of a process for the platform and operators:
+// liveness, readiness, the revisions of the configuration that were in force, and the counters.
 //
 // # Usage
 //
@@ -15,21 +14,21 @@
 	"github.com/gorilla/mux"
 )
 
-// Source is the process that is asked.
+// Source provides the state of the process.
 type Source struct {
-	// Unready returns why the process takes no work, or "" if it does.
+	// Unready returns why the process is not ready for work, or "" if it is ready.
 	Unready func() string
-	// Revisions returns those that were in force, oldest first.
+	// Revisions returns the revisions that were in force, oldest first.
 	Revisions func() Revisions
 }
 
-// Revisions are those of the configuration that a process has had in force.
+// Revisions are the revisions of the configuration that a process has had in force.
 type Revisions struct {
 	Revision uint64   `json:"revision"`
 	History  []uint64 `json:"history"`
 }
 
-// Routes returns the handler of the process's observe address.
+// Routes returns the handler for the process's monitoring address.
 func Routes(s Source) http.Handler {
 	m := mux.NewRouter()
 	m.HandleFunc("/healthz", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
@@ -49,6 +48,6 @@
 
 func (s Source) serveRevisions(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	// The caller has gone if this fails.
+	// It fails only if the client has disconnected.
 	_ = json.NewEncoder(w).Encode(s.Revisions())
 }
--- a/core/plumbing/pause/pause.go
+++ b/core/plumbing/pause/pause.go
@@ -1,9 +1,9 @@
-// Package pause waits for a time that the end of a context cuts short.
+// Package pause provides sleeps that end early when a context ends or a condition holds.
 //
 // # Usage
 //
 //	for pause.For(ctx, time.Second) {
-//		look()
+//		poll()
 //	}
 package pause
 
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// For waits and reports whether the context still goes on. It returns at once
-// where d is not positive.
+// For sleeps for d or until ctx is done, and reports whether ctx is still active.
+// It returns immediately if d is not positive.
 func For(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -28,10 +28,10 @@
 	}
 }
 
-// untilPoll is how often Until looks.
+// untilPoll is the interval at which Until checks its condition.
 const untilPoll = 20 * time.Millisecond
 
-// Until waits until a condition holds, for at most d, and reports whether it does.
+// Until polls until a condition holds, for at most d, and reports whether it does.
 func Until(d time.Duration, holds func() bool) bool {
 	for end := time.Now().Add(d); ; time.Sleep(untilPoll) {
 		if holds() {
--- a/core/plumbing/process/parts.go
+++ b/core/plumbing/process/parts.go
@@ -11,14 +11,14 @@
 	"verbenashift/core/plumbing/telemetry"
 )
 
-// milli is what the settings count sampling in.
-const milli = 1000
+// perMilleScale converts the sampling setting, in requests per thousand, to a ratio.
+const perMilleScale = 1000
 
-// Tracer returns a tracer that ends with the program. Export is where spans go, perMil how
-// many of a thousand requests are traced.
-func Tracer(lc fx.Lifecycle, program, instance, export string, perMil int) (trace.Tracer, error) {
+// Tracer returns a tracer that is shut down when the program stops. Export is the address of
+// the span collector, perMille the number of requests per thousand that are traced.
+func Tracer(lc fx.Lifecycle, program, instance, export string, perMille int) (trace.Tracer, error) {
 	tracer, stop, err := telemetry.NewTracer(context.Background(), telemetry.TraceConfig{
-		Program: program, Instance: instance, Export: export, Ratio: float64(perMil) / milli,
+		Program: program, Instance: instance, Export: export, Ratio: float64(perMille) / perMilleScale,
 	})
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	return tracer, nil
 }
 
-// Dialer returns what connects to the other processes with the keys in files.
+// Dialer returns a dialer for the other processes that uses the keys in f.
 func Dialer(f keys.Files) (*peer.Dialer, error) {
 	tls, err := f.Client()
 	if err != nil {
--- a/core/plumbing/process/process.go
+++ b/core/plumbing/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the programs of the system have in common: their
-// command line, and a run from start to a graceful stop.
+// Package process has the code that the programs of the system share: the command
+// line and the lifecycle from start to graceful shutdown.
 //
 // # Usage
 //
@@ -34,20 +34,20 @@
 	ExitSettings = 2
 )
 
-// Program is one program. All its fields are needed.
+// Program describes one program. All fields are required.
 type Program struct {
 	Name  string
 	Usage string
-	// Declare declares the settings anew.
+	// Declare returns a new declaration of the settings.
 	Declare func() *settings.Set
-	// Check checks the settings that were read from file beyond their single
-	// values, keys included.
+	// Check validates what involves several of the settings read from file, keys
+	// included.
 	Check func(file string) error
-	// Run runs the program until it is told to stop and returns its exit code.
+	// Run runs the program until it is asked to stop and returns its exit code.
 	Run func() int
 }
 
-// Main parses the command line, acts and exits.
+// Main parses the command line, runs the selected action and exits.
 func (p Program) Main() {
 	cmd := &cli.Command{
 		Name:  p.Name,
@@ -57,7 +57,7 @@
 			&cli.StringFlag{Name: "check", Usage: "check `FILE` and exit"},
 			&cli.BoolFlag{Name: "reference", Usage: "print all settings as a Markdown table"},
 		},
-		Action: func(_ context.Context, cmd *cli.Command) error { return p.act(cmd, os.Stdout) },
+		Action: func(_ context.Context, cmd *cli.Command) error { return p.execute(cmd, os.Stdout) },
 	}
 	if err := cmd.Run(context.Background(), os.Args); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
@@ -65,7 +65,7 @@
 	}
 }
 
-func (p Program) act(cmd *cli.Command, out io.Writer) error {
+func (p Program) execute(cmd *cli.Command, out io.Writer) error {
 	if cmd.Bool("reference") {
 		return p.Declare().Reference(out)
 	}
@@ -97,8 +97,8 @@
 	return p.Check(file)
 }
 
-// Run starts what the options provide, waits for a signal or an fx.Shutdowner,
-// and stops it again within stop. It returns the exit code.
+// Run starts an application built from options, waits for a signal or an
+// fx.Shutdowner, and stops the application within stop. It returns the exit code.
 func Run(stop time.Duration, options ...fx.Option) int {
 	app := fx.New(fx.Options(options...), fx.StopTimeout(stop), fx.WithLogger(newLogger))
 	ctx := context.Background()
@@ -114,7 +114,7 @@
 	return signal.ExitCode
 }
 
-// newLogger has fx log what it does at the debug level, errors aside.
+// newLogger has fx log its events at the debug level, except for errors.
 func newLogger(log *slog.Logger) fxevent.Logger {
 	l := &fxevent.SlogLogger{Logger: log}
 	l.UseLogLevel(slog.LevelDebug)
--- a/core/plumbing/ring/ring.go
+++ b/core/plumbing/ring/ring.go
@@ -1,13 +1,12 @@
-// Package ring joins the goroutines of two duties by a bounded queue.
+// Package ring implements a bounded queue between goroutines.
 //
-// A Ring has a fixed capacity, keeps the order of its items and allocates
-// nothing per item. A full ring is visible at once: Push reports it, so that
-// the producer can shed work or refuse it, and PushWait holds the producer
-// back. Any number of goroutines may push and pop, although the usual case is
-// one of each.
+// A Ring has a fixed capacity, is first-in first-out and allocates nothing per
+// item. A full ring applies backpressure: Push reports it, so that the producer can
+// shed or reject work, and PushWait blocks the producer. Any number of goroutines
+// may push and pop, although the usual case is one of each.
 //
-// Close ends the flow without losing an item that was taken in: pops go on
-// until the ring is empty and only then return ErrClosed.
+// Close does not lose an item that was accepted: pops continue until the ring is
+// empty and only then return ErrClosed.
 //
 // # Usage
 //
@@ -60,7 +59,7 @@
 	}
 }
 
-// Push adds v without waiting. It reports whether v was taken in: false means
+// Push adds v without blocking. It reports whether v was accepted: false means
 // that the ring is full or closed.
 func (r *Ring[T]) Push(v T) bool {
 	r.mu.Lock()
@@ -77,8 +76,8 @@
 	return true
 }
 
-// PushWait adds v and waits for space as long as ctx allows. The error is
-// ErrClosed or that of ctx; v was not taken in when there is one.
+// PushWait adds v, blocking until there is space or ctx is done. The error is
+// ErrClosed or that of ctx; v was not accepted if there is one.
 func (r *Ring[T]) PushWait(ctx context.Context, v T) error {
 	for !r.Push(v) {
 		select {
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// TryPop removes the oldest item without waiting. It reports false if the ring
+// TryPop removes the oldest item without blocking. It reports false if the ring
 // is empty.
 func (r *Ring[T]) TryPop() (v T, ok bool) {
 	r.mu.Lock()
@@ -111,7 +110,7 @@
 	return v, true
 }
 
-// Pop removes the oldest item and waits for one as long as ctx allows. The
+// Pop removes the oldest item, blocking until there is one or ctx is done. The
 // error is that of ctx, or ErrClosed once a closed ring is empty.
 func (r *Ring[T]) Pop(ctx context.Context) (T, error) {
 	for {
@@ -121,7 +120,7 @@
 		select {
 		case <-r.items:
 		case <-r.done:
-			return r.last()
+			return r.popClosed()
 		case <-ctx.Done():
 			var zero T
 			return zero, ctx.Err()
@@ -129,8 +128,8 @@
 	}
 }
 
-// last pops from a closed ring, to which nothing is added any more.
-func (r *Ring[T]) last() (T, error) {
+// popClosed pops from a closed ring, to which nothing can be added any more.
+func (r *Ring[T]) popClosed() (T, error) {
 	v, ok := r.TryPop()
 	if !ok {
 		return v, ErrClosed
@@ -138,7 +137,7 @@
 	return v, nil
 }
 
-// Close refuses further items and lets pops drain the rest. It may be called
+// Close rejects further items and lets pops drain the rest. It may be called
 // more than once.
 func (r *Ring[T]) Close() {
 	r.mu.Lock()
@@ -160,8 +159,9 @@
 // Cap returns the capacity.
 func (r *Ring[T]) Cap() int { return len(r.buf) }
 
-// wake leaves a token in ch unless one is there. A waiter that takes it looks
-// at the ring again, and leaves a token for the next waiter if there is more.
+// wake puts a token into ch unless it holds one. A waiter that receives the token
+// checks the ring again, and puts a token back for the next waiter if more items or
+// slots are available.
 func wake(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
--- a/core/plumbing/ring/ring_test.go
+++ b/core/plumbing/ring/ring_test.go
@@ -29,8 +29,8 @@
 	is.True(!ok)
 }
 
-// A producer is told that its item was taken in, then the ring is closed for a
-// shutdown. An item dropped there would be a request without an answer.
+// Guards against a close that drops an item after Push has accepted it: at a
+// shutdown that would be a request without an answer.
 func TestCloseDrains(t *testing.T) {
 	is := is.New(t)
 	r := ring.New[int](4)
@@ -65,34 +65,34 @@
 	})
 }
 
-// window is a context that holds a goroutine back between its look at the ring
-// and its wait, which asks for Done in between.
-type window struct {
+// pausedContext is a context that stops a goroutine between its check of the ring and
+// its wait, since it calls Done in between.
+type pausedContext struct {
 	context.Context
 	entered chan struct{}
 	release chan struct{}
 }
 
-func newWindow(ctx context.Context) window {
-	return window{ctx, make(chan struct{}, 8), make(chan struct{})}
+func newPausedContext(ctx context.Context) pausedContext {
+	return pausedContext{ctx, make(chan struct{}, 8), make(chan struct{})}
 }
 
-func (w window) Done() <-chan struct{} {
+func (w pausedContext) Done() <-chan struct{} {
 	w.entered <- struct{}{}
 	<-w.release
 	return w.Context.Done()
 }
 
-// Two consumers found the ring empty and are about to wait; then two items
-// come at once. The second wake-up finds the first one's token still there:
-// unless the first consumer passes it on, an item stays in the ring with a
-// consumer waiting. In the bubble that is a deadlock, which ends the test.
-// A ring that is closed after the items must not hide them either.
+// Guards against a lost wake-up. Two consumers have found the ring empty and are about
+// to wait when two items arrive at once. The second wake-up finds the first one's token
+// still there: unless the first consumer passes it on, an item stays in the ring with a
+// consumer waiting, which is a deadlock in the synctest bubble. Closing the ring after
+// the items must not hide them either.
 func TestEachWaitingConsumerGetsAnItem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		for round := range 40 { // select picks either of items and closing
-			r, w := ring.New[int](2), newWindow(t.Context())
+		for round := range 40 { // select chooses randomly between items and done
+			r, w := ring.New[int](2), newPausedContext(t.Context())
 			got := make(chan int, 2)
 			for range 2 {
 				go func() {
@@ -112,12 +112,12 @@
 	})
 }
 
-// Two producers found the ring full and are about to wait; then two slots come
-// free at once. The same story from the other side.
+// Guards against the same lost wake-up for producers: two have found the ring full and
+// are about to wait when two slots become free at once.
 func TestEachWaitingProducerGetsASlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r, w := ring.New[int](2), newWindow(t.Context())
+		r, w := ring.New[int](2), newPausedContext(t.Context())
 		is.True(r.Push(1) && r.Push(2))
 		pushed := make(chan error, 2)
 		for range 2 {
--- a/core/plumbing/settings/settings.go
+++ b/core/plumbing/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads a program's settings from an INI file.
+// Package settings reads and validates a program's settings from an INI file.
 //
-// Each key is declared once, with its default, unit, bounds and meaning; the
-// same declaration checks the file at start-up and prints the reference page.
-// A key that was not declared, a value out of bounds or a missing file is an
-// error that names the file, the section, the key and what was expected.
+// Each key is declared once, with its default, unit, bounds and meaning. The same
+// declaration validates the file at start-up and generates the reference page. An
+// undeclared key, a value out of bounds or a missing file is an error that names
+// the file, the section, the key and what was expected.
 //
 // # Usage
 //
@@ -25,18 +25,18 @@
 	"gopkg.in/ini.v1"
 )
 
-// Error says which setting is wrong.
+// Error reports an invalid setting.
 type Error struct {
 	File    string
 	Section string
 	Key     string
 	// Got is the value found; empty if the key or the file is missing.
 	Got string
-	// Want says in words what was expected.
+	// Want describes what was expected.
 	Want string
 }
 
-// Error returns the place and what was expected there.
+// Error names the setting and what was expected.
 func (e *Error) Error() string {
 	if e.Key == "" {
 		return fmt.Sprintf("settings file %s: want %s", e.File, e.Want)
@@ -51,7 +51,7 @@
 	parse                         func(string) error
 }
 
-// Set is the declared settings of one program. The zero value is empty.
+// Set is the set of settings that one program declares. The zero value is empty.
 type Set struct {
 	keys []key
 }
@@ -60,7 +60,7 @@
 	s.keys = append(s.keys, k)
 }
 
-// String declares a free text setting.
+// String declares a setting of free text.
 func (s *Set) String(section, name string, p *string, def, doc string) {
 	*p = def
 	s.add(key{section: section, name: name, def: def, want: "text", doc: doc, parse: func(v string) error {
@@ -81,7 +81,7 @@
 }
 
 // Address declares an IP address and port, such as 127.0.0.1:8080. An empty
-// default makes it required, unless optional is part of the default "none".
+// default makes it required; the default "none" makes it optional.
 func (s *Set) Address(section, name string, p *string, def, doc string) {
 	*p = strings.TrimPrefix(def, "none")
 	s.add(key{section: section, name: name, def: def, want: "an IP number and port such as 127.0.0.1:8080", doc: doc, parse: func(v string) error {
@@ -111,7 +111,7 @@
 	}})
 }
 
-// Duration declares a length of time between low and high.
+// Duration declares a duration between low and high.
 func (s *Set) Duration(section, name string, p *time.Duration, def, low, high time.Duration, doc string) {
 	*p = def
 	want := fmt.Sprintf("a duration between %v and %v", low, high)
@@ -125,7 +125,7 @@
 	}})
 }
 
-// Int declares a whole number of unit between low and high.
+// Int declares an integer between low and high, counted in unit.
 func (s *Set) Int(section, name string, p *int, def, low, high int, unit, doc string) {
 	*p = def
 	want := fmt.Sprintf("a whole number of %s between %d and %d", unit, low, high)
@@ -139,7 +139,7 @@
 	}})
 }
 
-// Bool declares a switch.
+// Bool declares a Boolean setting.
 func (s *Set) Bool(section, name string, p *bool, def bool, doc string) {
 	*p = def
 	s.add(key{section: section, name: name, def: strconv.FormatBool(def), want: "true or false", doc: doc, parse: func(v string) error {
@@ -149,11 +149,11 @@
 	}})
 }
 
-// Choice declares one word out of a list; the first is the default.
-func (s *Set) Choice(section, name string, p *string, doc string, words ...string) {
-	*p = words[0]
-	s.add(key{section: section, name: name, def: words[0], want: "one of " + strings.Join(words, ", "), doc: doc, parse: func(v string) error {
-		for _, w := range words {
+// Choice declares a setting with a fixed list of values; the first is the default.
+func (s *Set) Choice(section, name string, p *string, doc string, values ...string) {
+	*p = values[0]
+	s.add(key{section: section, name: name, def: values[0], want: "one of " + strings.Join(values, ", "), doc: doc, parse: func(v string) error {
+		for _, w := range values {
 			if v == w {
 				*p = v
 				return nil
@@ -163,12 +163,12 @@
 	}})
 }
 
-// Secret marks the setting declared last: errors never show its value.
+// Secret marks the most recently declared setting as secret: errors never show its value.
 func (s *Set) Secret() {
 	s.keys[len(s.keys)-1].secret = true
 }
 
-// Load reads and checks file. The first fault found is returned as *Error.
+// Load reads and validates file. It returns the first problem found as *Error.
 func (s *Set) Load(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -177,7 +177,7 @@
 	return s.Parse(file, data)
 }
 
-// Parse checks the contents of a settings file; file is used in errors only.
+// Parse validates the contents of a settings file; file is used in errors only.
 func (s *Set) Parse(file string, data []byte) error {
 	f, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", IgnoreInlineComment: true, SkipUnrecognizableLines: false}, data)
 	if err != nil {
@@ -213,14 +213,14 @@
 	return &Error{File: file, Section: k.section, Key: k.name, Got: v, Want: k.want}
 }
 
-// required reports whether the key must stand in the file: only the typed
-// keys without a default, since an empty text is a fine default.
+// required reports whether the key must be present in the file: only typed keys
+// without a default, since an empty string is a valid default for free text.
 func (k key) required() bool {
 	return k.def == "" && k.want != "text"
 }
 
-// checkNames refuses sections and keys that were not declared, so that a
-// misspelt key fails at start-up instead of leaving its default in force.
+// checkNames rejects sections and keys that were not declared, so that a misspelt
+// key is an error at start-up and its default is not used unnoticed.
 func (s *Set) checkNames(file string, f *ini.File) error {
 	for _, sec := range f.Sections() {
 		for _, k := range sec.Keys() {
--- a/core/plumbing/settings/settings_test.go
+++ b/core/plumbing/settings/settings_test.go
@@ -46,14 +46,14 @@
 			err := declare(&c).Parse("x.ini", []byte(tt.text))
 			if tt.ok {
 				is.NoErr(err)
-				is.Equal(c.wait, time.Second) // the default holds
+				is.Equal(c.wait, time.Second) // the default is used
 				return
 			}
-			var fault *settings.Error
-			is.True(errors.As(err, &fault))
-			is.Equal(fault.Key, tt.key)
-			is.Equal(fault.Got, tt.got)
-			is.True(fault.Want != "")
+			var settingsErr *settings.Error
+			is.True(errors.As(err, &settingsErr))
+			is.Equal(settingsErr.Key, tt.key)
+			is.Equal(settingsErr.Got, tt.got)
+			is.True(settingsErr.Want != "")
 		})
 	}
 }
@@ -63,7 +63,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var c sample
 		if declare(&c).Parse("x.ini", data) == nil && (c.slots < 1 || c.slots > 64) {
-			t.Fatal("a value out of bounds was taken")
+			t.Fatal("a value out of bounds was accepted")
 		}
 	})
 }
--- a/core/plumbing/tcp/tcp.go
+++ b/core/plumbing/tcp/tcp.go
@@ -1,4 +1,5 @@
-// Package tcp opens connections that break when the other end no longer answers.
+// Package tcp opens TCP connections that fail promptly when the peer becomes
+// unreachable.
 //
 // # Usage
 //
@@ -12,23 +13,23 @@
 	"time"
 )
 
-// The limits of connections. Links inside a region take a few milliseconds, so
-// that a second without an answer to a connect, or most of one without an
-// acknowledgement of sent bytes, means that the other end is gone or cut off:
-// two lost packets in a row are sent again after 600 ms.
+// The timeouts of a connection. Links inside a region have latencies of a few
+// milliseconds, so a second without an answer to a connect, or 800 ms without an
+// acknowledgement of sent bytes, means that the peer is down or unreachable: two
+// packets lost in a row are retransmitted within 600 ms.
 const (
 	dialTimeout = time.Second
 	ackTimeout  = 800 * time.Millisecond
 )
 
 // tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT: how long sent
-// bytes may stay without an acknowledgement before the connection is closed.
+// bytes may stay unacknowledged before the connection is closed.
 const tcpUserTimeout = 18
 
-// Dial opens a TCP connection that breaks if the other end no longer answers.
+// Dial opens a TCP connection that fails if the peer stops acknowledging data.
 //
-// An instance without power or behind a cut sends no reset: without the socket
-// option a write to it would hang for minutes.
+// An instance that lost power or is behind a network partition sends no reset:
+// without the socket option a write to it would hang for minutes.
 func Dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: limitUnacknowledged}
 	return d.DialContext(ctx, network, addr)
--- a/core/plumbing/telemetry/telemetry.go
+++ b/core/plumbing/telemetry/telemetry.go
@@ -1,9 +1,9 @@
-// Package telemetry gives a program its log, its traces and its metrics.
+// Package telemetry provides the logger and the tracer of a program.
 //
 // Logs are JSON lines by log/slog. Traces are OpenTelemetry spans, one for
 // each hop of a request, exported over OTLP/HTTP when an address is set.
-// Metrics are expvar variables; package histogram has histograms for expvar.
-// None of the three ever holds a prompt, an answer or a token.
+// Metrics are expvar variables; package histogram provides histograms for expvar.
+// None of the three ever contains a prompt, an answer or a token.
 //
 // # Usage
 //
@@ -26,25 +26,25 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// NewLogger returns a logger of JSON lines that names the program and the
-// instance in each line.
+// NewLogger returns a logger that writes JSON lines, each with the names of the
+// program and the instance.
 func NewLogger(w io.Writer, program, instance string) *slog.Logger {
 	h := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: slog.LevelInfo})
 	return slog.New(h).With("program", program, "instance", instance)
 }
 
-// TraceConfig says where spans go.
+// TraceConfig configures tracing.
 type TraceConfig struct {
 	Program  string
 	Instance string
 	// Export is the IP address and port of an OTLP/HTTP collector; empty
-	// turns tracing off.
+	// disables tracing.
 	Export string
-	// Ratio is the share of requests traced, from 0 to 1.
+	// Ratio is the fraction of requests that are traced, from 0 to 1.
 	Ratio float64
 }
 
-// NewTracer returns a tracer and a function that flushes and stops it.
+// NewTracer returns a tracer and a function that flushes and shuts it down.
 func NewTracer(ctx context.Context, cfg TraceConfig) (trace.Tracer, func(context.Context) error, error) {
 	if cfg.Export == "" {
 		return noop.NewTracerProvider().Tracer(cfg.Program), func(context.Context) error { return nil }, nil
@@ -76,7 +76,7 @@
 }
 
 // Extract returns ctx with the remote parent named by a W3C trace context. A
-// malformed parent is ignored, as the recommendation asks.
+// malformed parent is ignored, as the W3C recommendation requires.
 func Extract(ctx context.Context, parent string) context.Context {
 	if parent == "" {
 		return ctx
--- a/core/plumbing/telemetry/telemetry_test.go
+++ b/core/plumbing/telemetry/telemetry_test.go
@@ -17,9 +17,8 @@
 	"verbenashift/core/plumbing/telemetry"
 )
 
-// An operator looks for where a slow request waited. The spans of the entry
-// and of the agent must come to the collector as one trace, or each hop would
-// stand alone.
+// Guards against spans of the entry and of the agent that arrive at the collector
+// as separate traces: an operator could not see where a slow request waited.
 func TestSpansOfTwoProcessesAreOneTrace(t *testing.T) {
 	is := is.New(t)
 	got := make(chan *coltrace.ExportTraceServiceRequest, 4)
@@ -35,7 +34,7 @@
 	cfg := telemetry.TraceConfig{Export: strings.TrimPrefix(collector.URL, "http://"), Ratio: 1}
 	entry, stopEntry, err := telemetry.NewTracer(t.Context(), cfg)
 	is.NoErr(err)
-	cfg.Ratio = 0 // the agent follows the entry's decision
+	cfg.Ratio = 0 // the agent follows the entry's sampling decision
 	agent, stopAgent, err := telemetry.NewTracer(t.Context(), cfg)
 	is.NoErr(err)
 
