--- a/core/plumbing/story/cause.go
+++ b/core/plumbing/story/cause.go
@@ -10,12 +10,12 @@
 	"verbenashift/core/request/queue"
 )
 
-// Kind says why a request has not been served.
+// Kind classifies why a request was not served.
 type Kind string
 
 // The kinds of causes.
 const (
-	// Served is no failure.
+	// Served: the request succeeded.
 	Served Kind = "served"
 	// CallerDisconnected: the caller has closed its connection.
 	CallerDisconnected Kind = "caller left"
@@ -26,40 +26,40 @@
 	NoConfiguration Kind = "gateway without configuration"
 	// ServerFailed: the server ran the request and failed it.
 	ServerFailed Kind = "failed by the server"
-	// ConnectionLost: the server's connection broke after the request had left.
+	// ConnectionLost: the connection to the server broke after the request was sent.
 	ConnectionLost Kind = "connection to the server lost"
-	// ServerSilent: the server said nothing more while others went on.
+	// ServerSilent: the server sent nothing more while others did.
 	ServerSilent Kind = "server silent"
-	// GroupSilent: all servers of an expert group said nothing more while other
-	// groups went on.
+	// GroupSilent: all servers of an expert group sent nothing more while other
+	// groups did.
 	GroupSilent Kind = "group silent"
-	// RankMissing: a rank of the expert group did not answer, and its group makes
-	// no passes without it.
+	// RankMissing: a rank of the expert group did not answer, and the group can't
+	// run forward passes without it.
 	RankMissing Kind = "rank of the group missing"
-	// SlowServer: a server was slow, and its group with it.
+	// SlowServer: a server was slow and slowed down its group.
 	SlowServer Kind = "slow server"
-	// ImbalancedExperts: the experts' load was uneven, and the group slow by it.
+	// ImbalancedExperts: the load of the experts was imbalanced, which slowed down the group.
 	ImbalancedExperts Kind = "uneven expert load"
-	// Overload: more requests came than the targets could take in time.
+	// Overload: more requests arrived than the targets could run in time.
 	Overload Kind = "more requests than the targets take"
-	// Refused: the servers that were asked refused it.
+	// Refused: the servers that it was sent to refused it.
 	Refused Kind = "refused by servers"
-	// Quarantined: targets have crashed under requests with its content, and it is not sent.
+	// Quarantined: requests with the same content have crashed targets, so it is not sent.
 	Quarantined Kind = "held back, crashes targets"
-	// DeadlineExceeded: the request's own time was over.
+	// DeadlineExceeded: the deadline of the request passed.
 	DeadlineExceeded Kind = "time over"
-	// Unknown: the log does not tell.
+	// Unknown: the log does not show the cause.
 	Unknown Kind = "not told by the log"
 )
 
 // Cause is why a request ended as it did.
 type Cause struct {
 	Kind Kind
-	// Detail is the words of the line that tells it.
+	// Detail is the part of the log line that shows the cause.
 	Detail string
 }
 
-// String returns the cause for people.
+// String returns the cause in readable form.
 func (c Cause) String() string {
 	if c.Detail == "" {
 		return string(c.Kind)
@@ -68,17 +68,17 @@
 }
 
 const (
-	// slowPace is the pace over which a server is taken for the cause of long
-	// passes, unevenSkew the ratio of the most loaded rank to the mean: at a
-	// fifth more either lengthens passes beyond the pauses that callers see on a
-	// calm day.
-	slowPace   = 1.25
-	unevenSkew = 1.5
+	// slowPace is the pace above which a server is considered the cause of long
+	// passes, imbalancedSkew the same for the ratio of the most loaded rank to the mean:
+	// at a fifth more, either makes passes longer than the pauses that callers see under
+	// normal load.
+	slowPace       = 1.25
+	imbalancedSkew = 1.5
 )
 
-// CauseOf works out the cause from the story of a request.
+// CauseOf determines why a request ended as it did from its RequestTrace.
 func CauseOf(id string, own []Line) Cause {
-	end, found := lastOwn(id, own)
+	end, found := endLine(id, own)
 	if !found {
 		return Cause{Unknown, "no line says how it ended"}
 	}
@@ -89,7 +89,7 @@
 	case reason == quarantine.ReasonQuarantined:
 		return Cause{Quarantined, "print " + end.Field("print")}
 	case end.Field("outcome") == "broken-off":
-		return lost(own, end)
+		return incompleteCause(own, end)
 	case status >= 200 && status < 300:
 		return Cause{Kind: Served}
 	case status == 401 || status == 404 || status == 413:
@@ -99,13 +99,13 @@
 	case status == 503 && strings.Contains(reason, "no configuration"):
 		return Cause{Kind: NoConfiguration}
 	case status == 503 || status == 429:
-		return refused(own, end)
+		return refusalCause(own, end)
 	}
-	return lost(own, end)
+	return incompleteCause(own, end)
 }
 
-// lastOwn returns the line that says how a request ended.
-func lastOwn(id string, own []Line) (Line, bool) {
+// endLine returns the line that records how a request ended.
+func endLine(id string, own []Line) (Line, bool) {
 	for i := len(own) - 1; i >= 0; i-- {
 		if own[i].ID == id && own[i].Message == "request" {
 			return own[i], true
@@ -114,8 +114,8 @@
 	return Line{}, false
 }
 
-// lost tells why an answer did not come, or not whole.
-func lost(own []Line, end Line) Cause {
+// incompleteCause determines why an answer was missing or incomplete.
+func incompleteCause(own []Line, end Line) Cause {
 	reason := end.Field("reason")
 	for _, l := range own {
 		switch {
@@ -135,11 +135,11 @@
 	case strings.Contains(reason, "answer broken"):
 		return Cause{ConnectionLost, strings.Trim(reason, `"`)}
 	}
-	return refused(own, end)
+	return refusalCause(own, end)
 }
 
-// refused tells why nobody took a request.
-func refused(own []Line, end Line) Cause {
+// refusalCause determines why no server accepted a request.
+func refusalCause(own []Line, end Line) Cause {
 	reason := end.Field("reason")
 	if c, ok := groupCause(own, end); ok {
 		return c
@@ -156,13 +156,13 @@
 	case strings.Contains(reason, "no target"):
 		return Cause{Refused, "no target is left"}
 	case strings.Contains(reason, "deadline"), strings.Contains(reason, "full"), strings.Contains(reason, "displaced"):
-		return Cause{Overload, queueOf(own)}
+		return Cause{Overload, queueState(own)}
 	}
 	return Cause{Unknown, strings.Trim(reason, `"`)}
 }
 
-// queueOf returns the last state of the gateway's queue.
-func queueOf(own []Line) string {
+// queueState returns the last logged state of the gateway's queue.
+func queueState(own []Line) string {
 	for i := len(own) - 1; i >= 0; i-- {
 		if l := own[i]; l.Message == "queue" {
 			return fmt.Sprintf("%s waiting, %s running of %s", l.Field("waiting"), l.Field("running"), l.Field("limit"))
@@ -171,9 +171,9 @@
 	return ""
 }
 
-// groupCause tells what kept the request's expert group from its work, by the last
-// word of its steward. A request that has got no place had to wait for all groups of its
-// service; any of them may tell why.
+// groupCause determines what impeded the request's expert group, from the last state that
+// its coordinator logged. A request that was not assigned to a group waited for all groups
+// of its service, so the state of any of them may show the cause.
 func groupCause(own []Line, end Line) (Cause, bool) {
 	service, group := end.Field("service"), end.Field("group")
 	for i := len(own) - 1; i >= 0; i-- {
@@ -189,7 +189,7 @@
 			return Cause{RankMissing, inGroup(l, fmt.Sprintf("%s of %s known", l.Field("known"), l.Field("ranks")))}, true
 		case number(l, "slowest-pace") > slowPace:
 			return Cause{SlowServer, inGroup(l, "pace "+l.Field("slowest-pace"))}, true
-		case number(l, "skew") > unevenSkew:
+		case number(l, "skew") > imbalancedSkew:
 			return Cause{ImbalancedExperts, inGroup(l, "skew "+l.Field("skew"))}, true
 		}
 		return Cause{}, false
@@ -197,10 +197,10 @@
 	return Cause{}, false
 }
 
-// inGroup puts the name of a line's group before what it tells.
-func inGroup(l Line, what string) string {
+// inGroup prefixes a detail with the name of the line's group.
+func inGroup(l Line, detail string) string {
 	if group := l.Field("group"); group != "" {
-		return "group " + group + ": " + what
+		return "group " + group + ": " + detail
 	}
-	return what
+	return detail
 }
--- a/core/plumbing/story/doubts.go
+++ b/core/plumbing/story/doubts.go
@@ -7,41 +7,41 @@
 	"time"
 )
 
-// Suspicion tells how the gateways have found a target of plain requests to fail.
+// Suspicion summarizes how the gateways found a target of plain requests to fail.
 type Suspicion struct {
 	Target, Service string
-	// Causes are those of the gateways' own evidence, sorted.
+	// Causes are the causes that gateways saw in their own requests, sorted.
 	Causes []string
-	// Observations counts the doubts by a gateway's own requests, Observers the gateways that had
-	// any, and Informed those that others have told.
+	// Observations counts the suspicions raised by a gateway's own requests, Observers the
+	// gateways that raised any, and Informed the gateways that received a report from others.
 	Observations, Observers, Informed int
-	// First and Last are when it was doubted first and last; All is how long after the
-	// first doubt the last gateway acted on it.
+	// First and Last are the times of the first and the last suspicion; Propagation is how
+	// long after the first one the last gateway acted on it.
 	First, Last time.Time
 	Propagation time.Duration
-	// Ejected counts the gateways that have ejected it.
+	// Ejected counts the gateways that ejected the target.
 	Ejected int
 }
 
-// doubting collects what lines say of one target.
-type doubting struct {
+// suspicionBuilder accumulates the log lines about one target.
+type suspicionBuilder struct {
 	Suspicion
-	finders, told, ejected, known map[string]bool
-	causes                        map[string]bool
+	observers, informed, ejected, acting map[string]bool
+	causes                               map[string]bool
 }
 
-// reportsNeeded is how many others a gateway must hear a doubt from to act on it.
+// reportsNeeded is how many other gateways must report a suspicion before a gateway acts on it.
 const reportsNeeded = 2
 
-func newDoubting(target string) *doubting {
-	return &doubting{
+func newSuspicionBuilder(target string) *suspicionBuilder {
+	return &suspicionBuilder{
 		Suspicion: Suspicion{Target: target},
-		finders:   map[string]bool{}, told: map[string]bool{}, ejected: map[string]bool{}, known: map[string]bool{},
+		observers: map[string]bool{}, informed: map[string]bool{}, ejected: map[string]bool{}, acting: map[string]bool{},
 		causes: map[string]bool{},
 	}
 }
 
-func (d *doubting) add(l Line) {
+func (d *suspicionBuilder) add(l Line) {
 	if l.Message == "target health" {
 		if l.Field("state") == "ejected" {
 			d.ejected[l.Instance] = true
@@ -56,19 +56,19 @@
 	own := strings.Trim(l.Field("by"), `"`) == "own requests"
 	if own {
 		d.Observations++
-		d.finders[l.Instance] = true
+		d.observers[l.Instance] = true
 		d.causes[l.Field("cause")] = true
 	} else {
-		d.told[l.Instance] = true
+		d.informed[l.Instance] = true
 	}
-	if acts := own || number(l, "reports") >= reportsNeeded; acts && !d.known[l.Instance] {
-		d.known[l.Instance] = true
+	if acts := own || number(l, "reports") >= reportsNeeded; acts && !d.acting[l.Instance] {
+		d.acting[l.Instance] = true
 		d.Propagation = l.At.Sub(d.First)
 	}
 }
 
-func (d *doubting) finish() Suspicion {
-	d.Observers, d.Informed, d.Ejected = len(d.finders), len(d.told), len(d.ejected)
+func (d *suspicionBuilder) finish() Suspicion {
+	d.Observers, d.Informed, d.Ejected = len(d.observers), len(d.informed), len(d.ejected)
 	for cause := range d.causes {
 		d.Causes = append(d.Causes, cause)
 	}
@@ -76,18 +76,18 @@
 	return d.Suspicion
 }
 
-// Suspicions tells which targets the gateways have doubted, in the order of the first doubts.
+// Suspicions returns the targets that the gateways suspected, in the order of the first suspicions.
 func Suspicions(lines []Line) []Suspicion {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.At.Compare(b.At) })
-	targets := map[string]*doubting{}
+	targets := map[string]*suspicionBuilder{}
 	for _, l := range sorted {
 		if l.Message != "target doubted" && l.Message != "target health" {
 			continue
 		}
 		target := l.Field("target")
 		if targets[target] == nil {
-			targets[target] = newDoubting(target)
+			targets[target] = newSuspicionBuilder(target)
 		}
 		targets[target].add(l)
 	}
--- a/core/plumbing/story/groups.go
+++ b/core/plumbing/story/groups.go
@@ -7,37 +7,38 @@
 	"time"
 )
 
-// GroupSummary tells how an expert group was steered.
+// GroupSummary summarizes how an expert group was coordinated.
 type GroupSummary struct {
 	Group string
-	// Coordinators is how many times an agent has become the steward, MaxConcurrent how many
-	// acted at the same time at most.
+	// Coordinators is how many times an agent became the coordinator, MaxConcurrent the
+	// largest number that acted at the same time.
 	Coordinators, MaxConcurrent int
-	// Uncoordinated is how long nobody acted between the first and the last word of a steward.
+	// Uncoordinated is how long no coordinator acted, between the first and the last line of one.
 	Uncoordinated time.Duration
-	// MapChanges counts the changes of the map that were begun.
+	// MapChanges counts the map changes that were started.
 	MapChanges int
-	// Skew and WorstSkew are the mean and the 95th percentile of the most loaded rank
-	// over the mean, PassMillis the mean length of a pass in milliseconds, as far as known.
+	// Skew and WorstSkew are the mean and the 95th percentile of the load of the most loaded
+	// rank over the mean load, PassMillis the mean duration of a forward pass in
+	// milliseconds. Each is 0 if unknown.
 	Skew, WorstSkew, PassMillis float64
 }
 
-// term is the time for which one steward has acted.
+// term is the period in which one coordinator acted.
 type term struct {
 	instance    string
 	from, until time.Time
 	ended       bool
 }
 
-// steering collects what lines say of one group.
-type steering struct {
+// summaryBuilder accumulates the log lines about one group.
+type summaryBuilder struct {
 	GroupSummary
-	terms        []*term
-	skews, waits []float64
+	terms         []*term
+	skews, passes []float64
 }
 
-// current returns the term that an instance is in, or nil.
-func (s *steering) current(instance string) *term {
+// current returns the current term of an instance, or nil.
+func (s *summaryBuilder) current(instance string) *term {
 	for i := len(s.terms) - 1; i >= 0; i-- {
 		if t := s.terms[i]; t.instance == instance && !t.ended {
 			return t
@@ -46,11 +47,11 @@
 	return nil
 }
 
-func (s *steering) add(l Line) {
+func (s *summaryBuilder) add(l Line) {
 	t := s.current(l.Instance)
 	if l.Message == "steward begins" {
 		if t != nil {
-			// Its process was killed and has started again.
+			// Its process was killed and restarted.
 			t.ended = true
 		}
 		s.Coordinators++
@@ -68,11 +69,11 @@
 		s.MapChanges++
 	case "group state":
 		s.skews = appendKnown(s.skews, l.Field("skew"))
-		s.waits = appendKnown(s.waits, l.Field("pass-ms"))
+		s.passes = appendKnown(s.passes, l.Field("pass-ms"))
 	}
 }
 
-// appendKnown appends a number that is over 0: 0 stands for one that is not known.
+// appendKnown appends a number that is over 0: 0 stands for an unknown value.
 func appendKnown(list []float64, text string) []float64 {
 	if x, err := strconv.ParseFloat(text, 64); err == nil && x > 0 {
 		return append(list, x)
@@ -80,16 +81,16 @@
 	return list
 }
 
-// finish works out what follows from all lines.
-func (s *steering) finish() GroupSummary {
+// finish computes the values that depend on all lines.
+func (s *summaryBuilder) finish() GroupSummary {
 	for _, t := range s.terms {
-		at := 0
+		concurrent := 0
 		for _, other := range s.terms {
 			if !t.from.Before(other.from) && t.from.Before(other.until) {
-				at++
+				concurrent++
 			}
 		}
-		s.MaxConcurrent = max(s.MaxConcurrent, at, 1)
+		s.MaxConcurrent = max(s.MaxConcurrent, concurrent, 1)
 	}
 	slices.SortFunc(s.terms, func(a, b *term) int { return a.from.Compare(b.from) })
 	var until time.Time
@@ -101,7 +102,7 @@
 			until = t.until
 		}
 	}
-	s.Skew, s.PassMillis = mean(s.skews), mean(s.waits)
+	s.Skew, s.PassMillis = mean(s.skews), mean(s.passes)
 	if slices.Sort(s.skews); len(s.skews) > 0 {
 		s.WorstSkew = s.skews[len(s.skews)*95/100]
 	}
@@ -119,11 +120,11 @@
 	return sum / float64(len(list))
 }
 
-// GroupSummaries tells how each expert group was steered, by name.
+// GroupSummaries returns a summary of each expert group, sorted by name.
 func GroupSummaries(lines []Line) []GroupSummary {
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.At.Compare(b.At) })
-	groups := map[string]*steering{}
+	groups := map[string]*summaryBuilder{}
 	for _, l := range sorted {
 		switch l.Message {
 		case "steward begins", "steward ends", "group state", "change of map":
@@ -132,7 +133,7 @@
 		}
 		name := l.Field("group")
 		if groups[name] == nil {
-			groups[name] = &steering{GroupSummary: GroupSummary{Group: name}}
+			groups[name] = &summaryBuilder{GroupSummary: GroupSummary{Group: name}}
 		}
 		groups[name].add(l)
 	}
--- a/core/plumbing/story/groups_test.go
+++ b/core/plumbing/story/groups_test.go
@@ -9,14 +9,15 @@
 	"github.com/matryer/is"
 )
 
-// groupLine is a line of a steward, so many seconds after midnight.
-func groupLine(at float64, message, instance, group, more string) string {
-	t := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(at * float64(time.Second)))
+// groupLine returns a log line of a coordinator, at seconds after midnight.
+func groupLine(seconds float64, message, instance, group, more string) string {
+	t := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC).Add(time.Duration(seconds * float64(time.Second)))
 	return fmt.Sprintf(`{"time":%q,"msg":%q,"instance":%q,"group":%q%s}`, t.Format(time.RFC3339Nano), message, instance, group, more)
 }
 
-// The steward of one group is killed, and another agent takes over two seconds later; in
-// the other group two act at the same time for a moment. The logs alone show both.
+// Guards against logs that do not show a gap without a coordinator or two coordinators at
+// once: in one group the coordinator is killed and another agent takes over two seconds
+// later; in the other group two act at the same time for a moment.
 func TestHowGroupsWereSteered(t *testing.T) {
 	is := is.New(t)
 	got := GroupSummaries(Read(strings.NewReader(strings.Join([]string{
@@ -30,7 +31,7 @@
 		groupLine(3, "steward begins", "d", "g1", ""),
 		groupLine(4, "steward ends", "c", "g1", ""),
 		groupLine(5, "group state", "d", "g1", ""),
-		groupLine(5, "group state", "x", "g1", ""), // it never said that it is the steward
+		groupLine(5, "group state", "x", "g1", ""), // it never logged that it is the coordinator
 	}, "\n"))))
 	is.Equal(got, []GroupSummary{
 		{Group: "g0", Coordinators: 2, MaxConcurrent: 1, Uncoordinated: 2 * time.Second, MapChanges: 1, Skew: 2, WorstSkew: 2.5, PassMillis: 70},
@@ -38,8 +39,8 @@
 	})
 }
 
-// A day's drafts are late for several reasons. The table of reasons adds up to all tries,
-// and a pause is put down to what the draft's own group has told.
+// Guards against a table of reasons that does not add up to all tries, and against a pause
+// that is attributed to the state of another group than the request's own.
 func TestSharesByReason(t *testing.T) {
 	is := is.New(t)
 	request := func(id, group, end string) string {
@@ -73,8 +74,8 @@
 	is.Equal(total, 14)
 	by := ByReason(lines)
 	for id, want := range map[string]string{
-		"a": reasonOnTime, "b": reasonUneven, "c": reasonFull, "d": reasonMissing, "e": reasonSlowRank, "f": reasonPause, "g": reasonMoved, "h": reasonPlace,
-		"i": reasonFirst, "j": reasonBack, "k": reasonLate, "l": "refused: refused by", "m": "failed: answer broken", "n": reasonLeft,
+		"a": reasonOnTime, "b": reasonImbalanced, "c": reasonLongPasses, "d": reasonMissingRank, "e": reasonSlowRank, "f": reasonUnknownPause, "g": reasonMoved, "h": reasonQueued,
+		"i": reasonFirstEvent, "j": reasonReturning, "k": reasonPlain, "l": "refused: refused by", "m": "failed: answer broken", "n": reasonDisconnected,
 	} {
 		for _, l := range lines {
 			if l.ID == id {
--- a/core/plumbing/story/reason.go
+++ b/core/plumbing/story/reason.go
@@ -5,29 +5,29 @@
 	"strings"
 )
 
-// The reasons for which a try was not on time. Each try has one; those that the log does
-// not tell have a line of their own.
+// The reasons why a try was not on time. Each try has one; tries whose reason the log does
+// not show have a reason of their own.
 const (
-	reasonOnTime   = "on time"
-	reasonBack     = "late: came back after an earlier try"
-	reasonPlace    = "late: waited for a place"
-	reasonFirst    = "late: first event of a running request"
-	reasonMissing  = "late: pause, a rank was missing"
-	reasonSlowRank = "late: pause, a rank was slow"
-	reasonUneven   = "late: pause, uneven experts"
-	reasonMoved    = "late: pause, moved to another server"
-	reasonFull     = "late: pause, long passes at even experts"
-	reasonPause    = "late: pause, not told by the log"
-	reasonLate     = "late: plain request"
-	reasonLeft     = "caller left"
+	reasonOnTime       = "on time"
+	reasonReturning    = "late: came back after an earlier try"
+	reasonQueued       = "late: waited for a place"
+	reasonFirstEvent   = "late: first event of a running request"
+	reasonMissingRank  = "late: pause, a rank was missing"
+	reasonSlowRank     = "late: pause, a rank was slow"
+	reasonImbalanced   = "late: pause, uneven experts"
+	reasonMoved        = "late: pause, moved to another server"
+	reasonLongPasses   = "late: pause, long passes at even experts"
+	reasonUnknownPause = "late: pause, not told by the log"
+	reasonPlain        = "late: plain request"
+	reasonDisconnected = "caller left"
 )
 
-// longPass is the length of a pass, in milliseconds, from which a pause is put down to
-// it: two thirds of the shortest pause that deployments allow.
+// longPass is the duration of a forward pass, in milliseconds, above which a pause is
+// attributed to it: two thirds of the shortest pause limit that deployments have.
 const longPass = 80
 
-// ByReason groups requests by why they were not on time. The states of their expert group
-// while they ran tell the reason of a pause.
+// ByReason groups requests by the reason why they were not on time. The reason of a pause
+// comes from the states of the request's expert group while it ran.
 func ByReason(lines []Line) func(Line) string {
 	states := map[string][]Line{}
 	for _, l := range lines {
@@ -38,11 +38,11 @@
 	return func(l Line) string {
 		switch status := l.Field("status"); {
 		case l.Field("outcome") == "caller-left":
-			return reasonLeft
+			return reasonDisconnected
 		case status == "503":
-			return "refused: " + plainReason(l.Field("reason"))
+			return "refused: " + reasonClass(l.Field("reason"))
 		case status != "200":
-			return "failed: " + plainReason(l.Field("reason"))
+			return "failed: " + reasonClass(l.Field("reason"))
 		case l.Field("on-time") == "true":
 			return reasonOnTime
 		}
@@ -50,48 +50,48 @@
 	}
 }
 
-// lateReason tells why a whole answer was late.
+// lateReason returns why a complete answer was late.
 func lateReason(l Line, states []Line) string {
 	switch l.Field("late-by") {
 	case "return":
-		return reasonBack
+		return reasonReturning
 	case "first":
 		if 2*number(l, "queued-ms") > number(l, "first-ms") {
-			return reasonPlace
+			return reasonQueued
 		}
-		return reasonFirst
+		return reasonFirstEvent
 	case "pause":
 		return pauseReason(l, states)
 	}
-	return reasonLate
+	return reasonPlain
 }
 
-// pauseReason tells why a stream had a long pause, by the worst that its group has told
-// while it ran.
+// pauseReason returns why a stream had a long pause, by the worst state that its group
+// logged while it ran.
 func pauseReason(l Line, states []Line) string {
-	var missing, slow, uneven, long bool
+	var missing, slow, imbalanced, long bool
 	for _, s := range states {
-		if s.At.Before(l.At.Add(-l.took())) || s.At.After(l.At.Add(after)) {
+		if s.At.Before(l.At.Add(-l.elapsed())) || s.At.After(l.At.Add(after)) {
 			continue
 		}
 		missing = missing || number(s, "known") < number(s, "ranks")
 		slow = slow || number(s, "slowest-pace") > slowPace
-		uneven = uneven || number(s, "skew") > unevenSkew
+		imbalanced = imbalanced || number(s, "skew") > imbalancedSkew
 		long = long || number(s, "pass-ms") > longPass
 	}
 	switch {
 	case number(l, "ran") > 1:
 		return reasonMoved
 	case missing:
-		return reasonMissing
+		return reasonMissingRank
 	case slow:
 		return reasonSlowRank
-	case uneven:
-		return reasonUneven
+	case imbalanced:
+		return reasonImbalanced
 	case long:
-		return reasonFull
+		return reasonLongPasses
 	}
-	return reasonPause
+	return reasonUnknownPause
 }
 
 // number returns an attribute that is a number, or 0 if the line has none.
@@ -103,8 +103,8 @@
 	return x
 }
 
-// plainReason cuts off of a reason what differs from request to request.
-func plainReason(reason string) string {
+// reasonClass removes the part of a reason that differs between requests.
+func reasonClass(reason string) string {
 	reason = strings.Trim(reason, `"`)
 	for _, class := range []string{"refused by", "failed by", "request not sent", "answer broken"} {
 		if strings.HasPrefix(reason, class) {
--- a/core/plumbing/story/shares.go
+++ b/core/plumbing/story/shares.go
@@ -6,17 +6,18 @@
 	"strconv"
 )
 
-// Share is what became of the tries of one group of requests. Each try of a caller
-// has an identifier of its own, so that one that was refused and came back is two.
+// Share counts the outcomes of the tries in one group of requests. Each try of a caller
+// has its own identifier, so a request that was refused and retried counts as two.
 type Share struct {
 	Group string
 	Tries int
-	// OnTime and Late are whole answers, Refused has not run, Failed ended in another
-	// way, and Disconnected is of callers that did not wait for the end.
+	// OnTime and Late count complete answers, Refused the tries that did not run, Failed
+	// those that ended in another way, and Disconnected those whose callers did not wait
+	// for the end.
 	OnTime, Late, Refused, Failed, Disconnected int
 }
 
-// Served returns the part of the tries that got a whole answer, of those whose
+// Served returns the fraction of tries that got a complete answer, among those whose
 // callers waited for one.
 func (s Share) Served() float64 {
 	if s.Tries == s.Disconnected {
@@ -41,8 +42,8 @@
 	}
 }
 
-// Shares counts the requests that have ended, by groups, in the order of their
-// names. Lines whose group is "" are left out.
+// Shares counts the requests that have ended per group, sorted by group name. Lines
+// whose group is "" are skipped.
 func Shares(lines []Line, group func(Line) string) []Share {
 	shares := map[string]*Share{}
 	for _, l := range lines {
@@ -66,7 +67,7 @@
 	return out
 }
 
-// ByField groups requests by an attribute of their lines.
+// ByField groups requests by an attribute of their log lines.
 func ByField(name string) func(Line) string {
 	return func(l Line) string { return l.Field(name) }
 }
@@ -105,7 +106,7 @@
 	}
 }
 
-// tokens returns the size of a request, or 0 if its line does not tell.
+// tokens returns the size of a request, or 0 if its line does not have it.
 func tokens(l Line) int {
 	n, err := strconv.Atoi(l.Field("tokens"))
 	if err != nil {
--- a/core/plumbing/story/shares_test.go
+++ b/core/plumbing/story/shares_test.go
@@ -8,13 +8,13 @@
 	"github.com/matryer/is"
 )
 
-// requestLine is a line of the end of a request.
+// requestLine returns the log line of the end of a request.
 func requestLine(id, workspace, end string, tokens int) string {
 	return fmt.Sprintf(`{"time":"2026-01-01T00:00:00Z","msg":"request","instance":"g1","id":%q,"workspace":%q,"route":"r","tokens":%d,%s}`, id, workspace, tokens, end)
 }
 
-// One home's requests are mostly refused while a rival's are served. The shares of
-// the workspaces show it, from the log alone.
+// Guards against a workspace whose requests are mostly refused while those of another are
+// served, without the log showing it.
 func TestSharesOfWorkspaces(t *testing.T) {
 	is := is.New(t)
 	lines := Read(strings.NewReader(strings.Join([]string{
@@ -38,8 +38,8 @@
 	is.Equal(Share{Tries: 3, Disconnected: 3}.Served(), 0.0)
 }
 
-// The longest drafts are the first to suffer when memory is short. They are counted
-// by themselves, among the requests of their own route.
+// Guards against failures of the longest requests that go unnoticed among the others: they
+// are the first to suffer when memory is short, so they are counted separately, per route.
 func TestSharesOfSizes(t *testing.T) {
 	is := is.New(t)
 	var text []string
--- a/core/plumbing/story/story.go
+++ b/core/plumbing/story/story.go
@@ -1,16 +1,16 @@
-// Package story tells from log files alone what became of a request, and why.
+// Package story reconstructs from log files alone how a request ended, and why.
 //
-// Programs log a line for each decision that touches a request or changes what
-// they believe. The story of a request is its own lines, what its gateway
-// believed meanwhile, and what the stewards of expert groups did. Its cause is
-// worked out from these: the last line says how it ended, the beliefs say why it
-// came to that.
+// Programs log a line for each decision that affects a request and for each change
+// of the state that decisions depend on. The trace of a request consists of its own
+// lines, the state changes of its gateway in the same period, and the actions of the
+// coordinators of expert groups. Its cause follows from these: the last line of the
+// request records how it ended, the state changes show why.
 //
 // # Usage
 //
 //	lines := story.Read(file)
 //	own := story.Of(id, lines)
-//	fmt.Println(story.Cause(id, own))
+//	fmt.Println(story.CauseOf(id, own))
 package story
 
 import (
@@ -25,16 +25,17 @@
 	"time"
 )
 
-// before is how long before a request what was believed is shown: changes
-// of a map and the states of a group are a second apart.
+// before is how long before the start of a request state changes belong to its trace:
+// map changes and group states are logged a second apart.
 const before = 1500 * time.Millisecond
 
-// after takes in lines that were written just after the answer.
+// after is how long after the end of a request they still do: some lines are written
+// just after the answer.
 const after = 50 * time.Millisecond
 
-// beliefs are the messages that tell what decided a request beside its own lines:
-// those of its gateway, and those of the stewards.
-var beliefs = map[string]bool{
+// gatewayMessages and groupMessages are the messages of state changes that explain a
+// request beside its own lines: those of its gateway, and those of the coordinators.
+var gatewayMessages = map[string]bool{
 	"queue": true, "all targets of the group refuse": true, "targets of the group take requests again": true,
 	"target": true, "target gone": true, "target health": true, "target missing after an outage of the store": true,
 	"configuration in force": true, "store does not answer": true, "store answers again": true, "digest": true,
@@ -42,7 +43,7 @@
 	"target has started again": true, "target doubted": true, "server entry not understood": true,
 }
 
-var groupBeliefs = map[string]bool{
+var groupMessages = map[string]bool{
 	"group state": true, "change of map": true, "steward begins": true, "steward ends": true,
 	"order refused": true, "order not answered": true, "order not understood": true, "sidecar does not answer": true,
 	"group has been formed anew": true, "steward not heeded": true, "own rank has left the group": true, "rank": true,
@@ -51,18 +52,18 @@
 // Line is one line of a log.
 type Line struct {
 	At time.Time
-	// Message names the kind of line, Instance who wrote it.
+	// Message identifies the kind of line, Instance the instance that wrote it.
 	Message  string
 	Instance string
-	// ID is that of the request that the line is about, if it is about one.
+	// ID is the identifier of the request that the line is about, if any.
 	ID     string
 	fields []field
 }
 
-// field is one attribute, as it is written.
+// field is one attribute, as it stands in the log.
 type field struct{ name, value string }
 
-// Field returns an attribute, or "".
+// Field returns the value of an attribute, or "" if the line has none of that name.
 func (l Line) Field(name string) string {
 	for _, f := range l.fields {
 		if f.name == name {
@@ -75,8 +76,8 @@
 // maxLogLine is the longest line that is read.
 const maxLogLine = 1 << 20
 
-// Read returns the JSON lines of a log; whatever stands before the JSON of a
-// line, and lines without any, are left out.
+// Read returns the JSON lines of a log. It skips any text before the JSON of a line,
+// and lines without JSON.
 func Read(r io.Reader) []Line {
 	var lines []Line
 	s := bufio.NewScanner(r)
@@ -92,7 +93,7 @@
 	return lines
 }
 
-// parseLine keeps the attributes in their order.
+// parseLine decodes a line and keeps the order of its attributes.
 func parseLine(text []byte) (Line, bool) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	if t, err := d.Token(); err != nil || t != json.Delim('{') {
@@ -136,7 +137,7 @@
 	}
 }
 
-// RequestTrace returns what explains a request, in the order of time.
+// RequestTrace returns the lines that explain a request, in chronological order.
 func RequestTrace(id string, lines []Line) []Line {
 	var first, last time.Time
 	gateways := map[string]bool{}
@@ -145,7 +146,7 @@
 			continue
 		}
 		gateways[l.Instance] = true
-		if began := l.At.Add(-l.took()); first.IsZero() || began.Before(first) {
+		if began := l.At.Add(-l.elapsed()); first.IsZero() || began.Before(first) {
 			first = began
 		}
 		if l.At.After(last) {
@@ -156,20 +157,20 @@
 		return nil
 	}
 	first, last = first.Add(-before), last.Add(after)
-	var story []Line
+	var trace []Line
 	for _, l := range lines {
 		near := !l.At.Before(first) && !l.At.After(last)
 		own := l.ID == id
-		if own || near && (gateways[l.Instance] && beliefs[l.Message] || groupBeliefs[l.Message]) {
-			story = append(story, l)
+		if own || near && (gateways[l.Instance] && gatewayMessages[l.Message] || groupMessages[l.Message]) {
+			trace = append(trace, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b Line) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
-	return story
+	slices.SortStableFunc(trace, func(a, b Line) int { return cmp.Compare(a.At.UnixNano(), b.At.UnixNano()) })
+	return trace
 }
 
-// took is how long the request of the line had taken by then.
-func (l Line) took() time.Duration {
+// elapsed returns how long the request of the line had taken when it was logged.
+func (l Line) elapsed() time.Duration {
 	d, err := time.ParseDuration(l.Field("ms") + "ms")
 	if err != nil {
 		return 0 // The line has no such attribute.
@@ -177,7 +178,7 @@
 	return d
 }
 
-// Text returns the line for people.
+// Text returns the line in readable form.
 func (l Line) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s %s %s", l.At.UTC().Format("15:04:05.000"), l.Instance, l.Message)
--- a/core/plumbing/story/story_test.go
+++ b/core/plumbing/story/story_test.go
@@ -7,8 +7,9 @@
 	"github.com/matryer/is"
 )
 
-// A log is read as it was found: with a prefix of the collector, with lines of
-// another kind between, and cut off at its end. What can be read is kept.
+// Guards against a log that is not read because of its form: with a prefix from the log
+// collector, with other text between the lines, or truncated at the end. The lines that
+// can be parsed are kept.
 func TestReadKeepsWhatItCan(t *testing.T) {
 	is := is.New(t)
 	lines := Read(strings.NewReader(`not JSON
