--- a/core/peer/frames.go
+++ b/core/peer/frames.go
@@ -17,19 +17,18 @@
 	"verbenashift/core/peer/wire/wireconnect"
 )
 
-// The streams of frames keep to connect's streaming protocol on the wire, so
-// that any connect client or handler can stand at the other end. They are read
-// and written here, because the library allocates four times for each frame
-// and a frame carries a single token.
+// Streams of frames use Connect's streaming protocol on the wire, so that the other
+// end can be any Connect client or handler. They are encoded and decoded here, because
+// the library makes four allocations per frame and a frame carries a single token.
 const (
 	streamType = "application/connect+proto"
-	// prefixSize is the flags and the length before each message.
+	// prefixSize is the size of the flags and the length before each message.
 	prefixSize = 5
-	// endFlag marks the last message, which is JSON and holds the error if
-	// there was one.
+	// endFlag marks the last message, which is JSON and contains the error, if
+	// any.
 	endFlag = 0b10
-	// readBuffer holds a few dozen frames of one token.
-	readBuffer = 4 << 10
+	// readBufferSize is enough for a few dozen frames of one token.
+	readBufferSize = 4 << 10
 )
 
 // FrameReader reads the answer of one call that streams frames. It is not safe for
@@ -37,7 +36,7 @@
 type FrameReader struct {
 	body io.ReadCloser
 	buf  []byte
-	// r and w bound the bytes in buf that are not yet read.
+	// buf[r:w] are the bytes that are not yet read.
 	r, w int
 }
 
@@ -46,7 +45,7 @@
 	return d.stream(ctx, addr, wireconnect.AgentServiceSubmitProcedure, m)
 }
 
-// Attach reads an earlier answer on from the agent at addr.
+// Attach resumes the stream of an earlier answer from the agent at addr.
 func (d *Dialer) Attach(ctx context.Context, addr string, m *wire.AttachRequest) (*FrameReader, error) {
 	return d.stream(ctx, addr, wireconnect.AgentServiceAttachProcedure, m)
 }
@@ -70,7 +69,7 @@
 		_ = resp.Body.Close()
 		return nil, errors.Errorf("agent answered with status %d", resp.StatusCode)
 	}
-	return &FrameReader{body: resp.Body, buf: make([]byte, readBuffer)}, nil
+	return &FrameReader{body: resp.Body, buf: make([]byte, readBufferSize)}, nil
 }
 
 // appendMessage appends one message with its prefix.
@@ -84,9 +83,9 @@
 	return b, nil
 }
 
-// Receive reads the next frame into m, whose Data is used again and valid until
-// the next call. It returns io.EOF after the last one; a stream that ends in
-// any other way is another error.
+// Receive reads the next frame into m, whose Data is reused and valid until the next
+// call. It returns io.EOF after the last frame; a stream that ends in any other way is
+// another error.
 func (s *FrameReader) Receive(m *wire.Frame) error {
 	prefix, err := s.next(prefixSize)
 	if err != nil {
@@ -101,7 +100,7 @@
 		return err
 	}
 	if flags == endFlag {
-		return endOf(b)
+		return decodeEnd(b)
 	}
 	if flags != 0 {
 		return errors.Errorf("frame has unknown flags %#x", flags)
@@ -109,11 +108,11 @@
 	return decodeFrame(b, m)
 }
 
-// next returns the next n bytes, valid until the next call. A stream that ends
-// before them was cut off, which must not look like its end.
+// next returns the next n bytes, valid until the next call. A stream that ends before
+// them is truncated, which must not be mistaken for its end.
 func (s *FrameReader) next(n int) ([]byte, error) {
 	for s.w-s.r < n {
-		s.room(n)
+		s.reserve(n)
 		k, err := s.body.Read(s.buf[s.w:])
 		s.w += k
 		if err == nil || s.w-s.r >= n {
@@ -129,8 +128,8 @@
 	return b, nil
 }
 
-// room makes place for n bytes behind r.
-func (s *FrameReader) room(n int) {
+// reserve ensures that the buffer has space for n bytes from r.
+func (s *FrameReader) reserve(n int) {
 	if s.r == s.w {
 		s.r, s.w = 0, 0
 	}
@@ -145,8 +144,9 @@
 	s.r, s.buf = 0, buf
 }
 
-// endOf reads the last message of a stream.
-func endOf(b []byte) error {
+// decodeEnd decodes the last message of a stream. It returns io.EOF if the message has no
+// error.
+func decodeEnd(b []byte) error {
 	var end struct {
 		Error *struct {
 			Code    string `json:"code"`
@@ -162,7 +162,7 @@
 	return io.EOF
 }
 
-// The numbers of the fields that frames of one token hold.
+// The field numbers of the fields in a data frame.
 const (
 	fieldSequence = 1
 	fieldAttempt  = 2
@@ -170,8 +170,8 @@
 	fieldData     = 4
 )
 
-// decodeFrame reads the fields of a data frame into m without an allocation,
-// and leaves every other frame to the protobuf library.
+// decodeFrame decodes a data frame into m without allocating, and every other frame
+// with the protobuf library.
 func decodeFrame(b []byte, m *wire.Frame) error {
 	data := m.Data[:0]
 	m.Reset()
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// Close lets go of the stream. The agent sees that its reader has left.
+// Close closes the stream. The agent detects that its reader has disconnected.
 func (s *FrameReader) Close() error {
 	return s.body.Close()
 }
@@ -252,8 +252,8 @@
 	return s.flush()
 }
 
-// HandleFrames serves a call that streams frames. The message of the call is
-// read into a new one of type M.
+// HandleFrames returns a handler for a call that streams frames. The message of the
+// call is decoded into a new M.
 func HandleFrames[M any, P interface {
 	*M
 	proto.Message
@@ -275,14 +275,14 @@
 	})
 }
 
-// readMessage reads the one message of a call.
+// readMessage reads the single message of a call.
 func readMessage(w http.ResponseWriter, r *http.Request, m proto.Message) error {
 	b, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage+prefixSize))
 	if err != nil {
 		return err
 	}
 	if len(b) < prefixSize || b[0] != 0 || int(binary.BigEndian.Uint32(b[1:])) != len(b)-prefixSize {
-		return errors.New("message has a wrong prefix")
+		return errors.New("message prefix has unknown flags or a mismatched length")
 	}
 	return proto.Unmarshal(b[prefixSize:], m)
 }
--- a/core/peer/frames_test.go
+++ b/core/peer/frames_test.go
@@ -17,18 +17,18 @@
 	"verbenashift/core/peer/wire/wireconnect"
 )
 
-// answer is a whole answer of several frames.
+// answer returns a complete answer of several frames.
 func answer() []*wire.Frame {
 	return []*wire.Frame{
 		{Kind: wire.FrameKind_FRAME_KIND_HEAD, Status: 200, Headers: []*wire.Header{{Name: "Content-Type", Values: []string{"text/event-stream"}}}},
 		{Sequence: 1, Attempt: 2, Kind: wire.FrameKind_FRAME_KIND_DATA, Data: []byte("a long first piece")},
-		{Sequence: 2, Attempt: 2, Kind: wire.FrameKind_FRAME_KIND_DATA, Data: []byte(strings.Repeat("x", 3*readBuffer))},
+		{Sequence: 2, Attempt: 2, Kind: wire.FrameKind_FRAME_KIND_DATA, Data: []byte(strings.Repeat("x", 3*readBufferSize))},
 		{Sequence: 3, Attempt: 2, Kind: wire.FrameKind_FRAME_KIND_DATA},
 		{Sequence: 4, Kind: wire.FrameKind_FRAME_KIND_END, Outcome: wire.Outcome_OUTCOME_COMPLETE, Load: &wire.Load{Queued: 3}},
 	}
 }
 
-// libraryAgent answers by the library's own handler.
+// libraryAgent answers with the library's own handler.
 type libraryAgent struct {
 	wireconnect.UnimplementedAgentServiceHandler
 	err error
@@ -60,8 +60,8 @@
 	return l.Addr().String()
 }
 
-// ends are the two ways to serve the same answer.
-func ends(err error) map[string]http.Handler {
+// handlers returns the two handlers for the same answer.
+func handlers(err error) map[string]http.Handler {
 	a := &libraryAgent{err: err}
 	_, library := wireconnect.NewAgentServiceHandler(a)
 	own := HandleFrames(func(_ context.Context, _ *wire.SubmitRequest, s *FrameWriter) error { return a.serve(s) })
@@ -69,7 +69,7 @@
 }
 
 func TestFramesSpeakConnect(t *testing.T) {
-	for name, h := range ends(nil) {
+	for name, h := range handlers(nil) {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := NewDialer(DialConfig{})
@@ -95,10 +95,10 @@
 	}
 }
 
-// An agent fails in the middle of an answer. The entry must see an error and
-// not the end of the stream, or the caller would get half an answer as whole.
+// Guards against an error of the agent in the middle of an answer that looks like the end
+// of the stream: the caller would take a partial answer for a complete one.
 func TestErrorIsNoEnd(t *testing.T) {
-	for name, h := range ends(errors.New("target lost")) {
+	for name, h := range handlers(errors.New("target lost")) {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			d := NewDialer(DialConfig{})
@@ -117,9 +117,9 @@
 	}
 }
 
-// An agent is killed while it streams an obituary: the connection closes after
-// a whole frame or in the middle of one. A caller would see a short answer
-// that looks complete if the reader took the closed connection for the end.
+// Guards against a closed connection that is taken for the end of a stream. If an agent is
+// killed while it streams, the connection closes after a complete frame or within one, and
+// the caller would take a truncated answer for a complete one.
 func TestCutStreamIsNoEnd(t *testing.T) {
 	whole, err := appendMessage(nil, answer()[1])
 	if err != nil {
@@ -142,7 +142,7 @@
 	is := is.New(t)
 	s := &FrameReader{body: io.NopCloser(strings.NewReader("\x00\xff\xff\xff\xff")), buf: make([]byte, 8)}
 	is.True(s.Receive(&wire.Frame{}) != nil)
-	is.Equal(len(s.buf), 8) // no memory was asked for
+	is.Equal(len(s.buf), 8) // nothing was allocated
 }
 
 func TestDataFramesDoNotAllocate(t *testing.T) {
--- a/core/peer/outcome.go
+++ b/core/peer/outcome.go
@@ -5,7 +5,7 @@
 	"verbenashift/core/request/outcome"
 )
 
-// ToWire returns an outcome as frames have it.
+// ToWire converts an outcome to its form in frames.
 func ToWire(o outcome.Outcome) wire.Outcome {
 	switch o {
 	case outcome.Complete:
@@ -19,7 +19,7 @@
 	}
 }
 
-// FromWire returns the outcome that a frame has. What a later version may say is unknown.
+// FromWire converts the outcome in a frame. A value that only a later version knows is Unknown.
 func FromWire(o wire.Outcome) outcome.Outcome {
 	switch o {
 	case wire.Outcome_OUTCOME_COMPLETE:
--- a/core/peer/outcome_test.go
+++ b/core/peer/outcome_test.go
@@ -7,7 +7,7 @@
 	"verbenashift/core/request/outcome"
 )
 
-// Guards against an outcome that becomes another one on its way between processes.
+// Guards against an outcome that changes when it is sent from one process to another.
 func TestOutcomesOnTheWire(t *testing.T) {
 	for _, o := range []outcome.Outcome{outcome.Unknown, outcome.Complete, outcome.NotRun, outcome.Failed} {
 		if got := FromWire(ToWire(o)); got != o {
@@ -15,6 +15,6 @@
 		}
 	}
 	if got := FromWire(wire.Outcome(99)); got != outcome.Unknown {
-		t.Errorf("what a later version may say is taken for %v", got)
+		t.Errorf("the unknown wire outcome 99 arrives as %v", got)
 	}
 }
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -1,10 +1,10 @@
-// Package peer connects the system's own processes to each other.
+// Package peer connects the processes of the system to each other.
 //
-// Entries and agents speak connect over HTTP/2, with TLS where keys are set
-// and in clear text otherwise, which is meant for loopback only. A Dialer
-// holds at most two connections for each peer in use, one for streams and one
-// for short calls; connections to a frozen process are found by HTTP/2 pings
-// and closed, which breaks the streams on them.
+// Entries and agents use the Connect protocol over HTTP/2, with TLS if keys are
+// configured and in clear text otherwise, which is meant for loopback only. A Dialer
+// holds at most two connections to each peer in use, one for streams and one for
+// unary calls. HTTP/2 pings detect connections to a process that does not respond;
+// these are closed, which breaks the streams on them.
 //
 // # Usage
 //
@@ -25,51 +25,50 @@
 	"verbenashift/core/peer/wire/wireconnect"
 )
 
-// The times after which a silent connection is probed and given up.
+// The timeouts after which an idle connection is probed with a ping, and closed.
 const (
 	defaultDialTimeout = time.Second
 	defaultPingAfter   = time.Second
 	defaultPingTimeout = 2 * time.Second
 	defaultIdleTimeout = 30 * time.Second
-	// streamIdleTimeout is shorter, since connections of streams are probed
-	// each second: at 16 requests a second to 670 agents a few dozen are idle.
+	// streamIdleTimeout is shorter, since connections for streams are probed every
+	// second: at 16 requests per second to 670 agents a few dozen are idle.
 	streamIdleTimeout = 5 * time.Second
-	// callPingAfter is for connections of short calls, which are bounded by
-	// their callers. Their pings only find dead connections in the pool.
+	// callPingAfter is for connections for unary calls, whose callers set deadlines.
+	// Their pings only detect dead connections in the pool.
 	callPingAfter = 15 * time.Second
 )
 
-// maxMessage bounds one message between processes, in bytes.
+// maxMessage is the largest message between processes, in bytes.
 const maxMessage = 16 << 20
 
-// DialConfig says how to reach other processes. Its times have useful defaults
-// when zero.
+// DialConfig configures the connections to other processes. A duration of zero means a
+// default.
 type DialConfig struct {
 	// TLS is nil for clear text.
 	TLS *tls.Config
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout limits how long it takes to establish a connection.
 	DialTimeout time.Duration
-	// PingAfter is the silence after which a connection of streams is probed,
-	// PingTimeout how long the probe may take.
+	// PingAfter is how long a connection for streams may receive nothing before it is
+	// probed, PingTimeout how long the probe may take.
 	PingAfter   time.Duration
 	PingTimeout time.Duration
-	// IdleTimeout is how long a connection is kept that nobody uses. In a
-	// fleet that has met in full, the pings and the memory of idle connections
-	// would come to more than a node may spend on control.
+	// IdleTimeout is how long an unused connection stays open. In a fleet where every
+	// process has connected to every other, the pings and the memory of idle connections
+	// would exceed what a node may spend on control.
 	IdleTimeout time.Duration
 }
 
-// Dialer hands out clients of agents by address. It is safe for use by several
-// goroutines.
+// Dialer creates clients for agents by address. It is safe for concurrent use.
 //
-// Streams have connections of their own, since a frozen agent must break its
-// streams within seconds: their connections are probed often, those of short
-// calls seldom.
+// Streams have separate connections, since streams from an agent that does not respond
+// must break within seconds: their connections are probed often, those for unary calls
+// rarely.
 type Dialer struct {
 	streams *http.Client
 	calls   *http.Client
 	scheme  string
-	// service makes the short calls to all agents.
+	// service makes the unary calls to all agents.
 	service wireconnect.AgentServiceClient
 }
 
@@ -84,7 +83,7 @@
 		streams: newClient(cfg, orDefault(cfg.PingAfter, defaultPingAfter), orDefault(cfg.IdleTimeout, streamIdleTimeout)),
 		calls:   calls,
 		scheme:  scheme,
-		service: wireconnect.NewAgentServiceClient(addressed{calls}, scheme+"://agent",
+		service: wireconnect.NewAgentServiceClient(addressClient{calls}, scheme+"://agent",
 			connect.WithReadMaxBytes(maxMessage), connect.WithAcceptCompression("gzip", nil, nil)),
 	}
 }
@@ -120,15 +119,15 @@
 	d.calls.CloseIdleConnections()
 }
 
-// NotSent reports whether err shows that a call never left this process: the
-// connection could not be made. Every other transport error leaves open
-// whether the peer has seen the call.
+// NotSent reports whether err shows that a call was never sent, since the connection
+// could not be established. After any other transport error it is unknown whether the
+// peer has received the call.
 func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// NewServer returns a server for calls of other processes on h. It speaks
+// NewServer returns a server that handles calls from other processes with h. It uses
 // HTTP/2 in clear text if cfg is nil.
 func NewServer(h http.Handler, cfg *tls.Config) *http.Server {
 	var p http.Protocols
@@ -145,7 +144,7 @@
 	}
 }
 
-// Serve serves on l, with TLS where the server has keys.
+// Serve serves on l, with TLS if the server has a TLS configuration.
 func Serve(s *http.Server, l net.Listener) error {
 	if s.TLSConfig != nil {
 		return s.ServeTLS(l, "", "")
@@ -153,18 +152,18 @@
 	return s.Serve(l)
 }
 
-// The reasons by which an agent answers an Attach that finds no answer.
+// The reasons that an agent returns for an Attach that finds no answer.
 const (
-	// ReasonNotSeen says that this incarnation never saw the request.
+	// ReasonNotSeen means that this incarnation never received the request.
 	ReasonNotSeen = "request-not-seen"
-	// ReasonAnswerUnavailable says that the answer was lost or is no longer kept.
+	// ReasonAnswerUnavailable means that the answer was lost or is no longer stored.
 	ReasonAnswerUnavailable = "answer-gone"
 )
 
-// ReasonPaused is why an agent refuses a request whose target has refused others and asked to
-// be left alone, for the time of the refusal's RetryAfter.
+// ReasonPaused is the reason of an agent that refuses a request because its target has refused
+// others and asked for no more requests for the refusal's RetryAfter.
 const ReasonPaused = "target-paused"
 
-// HeaderSharedPrefix is set by an entry in the headers of a call whose
-// workspace shares its prefix cache; the agent then leaves the cache salt out.
+// HeaderSharedPrefix is a header that an entry sets on a call whose workspace shares its
+// prefix cache; the agent then omits the cache salt.
 const HeaderSharedPrefix = "X-Shared-Prefix"
--- a/core/peer/peer_test.go
+++ b/core/peer/peer_test.go
@@ -24,7 +24,7 @@
 	return connect.NewResponse(&wire.ExchangeResponse{From: a.name}), nil
 }
 
-// serveAgent serves an agent and tells closed of each connection that ends.
+// serveAgent serves an agent and sends to closed when a connection ends.
 func serveAgent(t *testing.T, name string, closed chan<- struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,10 +59,9 @@
 	is.True(NotSent(err))
 }
 
-// An operator looks at the fleet, so that an entry connects to every agent.
-// Hours later it still holds 670 connections and probes each of them: more
-// bytes and memory than it may spend on control. An idle connection must close
-// by itself.
+// Guards against idle connections that stay open: after an operator's look at the fleet
+// an entry has connections to all 670 agents, and to hold and probe them costs more
+// bytes and memory than it may spend on control.
 func TestIdleConnectionsClose(t *testing.T) {
 	is := is.New(t)
 	closed := make(chan struct{}, 1)
