--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -160,8 +160,8 @@
 	ReasonAnswerUnavailable = "answer-gone"
 )
 
-// ReasonPaused is the reason of an agent that refuses a request because its target has refused
-// others and asked for no more requests for the refusal's RetryAfter.
+// ReasonPaused is the reason why an agent refuses a request whose target has refused others and
+// asked to be sent none until the refusal's RetryAfter has passed.
 const ReasonPaused = "target-paused"
 
 // HeaderSharedPrefix is a header that an entry sets on a call whose workspace shares its
--- a/core/peer/peer_test.go
+++ b/core/peer/peer_test.go
@@ -59,8 +59,8 @@
 	is.True(NotSent(err))
 }
 
-// Guards against idle connections that stay open: after an operator's look at the fleet
-// an entry has connections to all 670 agents, and to hold and probe them costs more
+// Guards against idle connections that stay open: after an operator has viewed the
+// fleet an entry has connections to all 670 agents, and to hold and probe them costs more
 // bytes and memory than it may spend on control.
 func TestIdleConnectionsClose(t *testing.T) {
 	is := is.New(t)
--- a/core/plumbing/story/story.go
+++ b/core/plumbing/story/story.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	lines := story.Read(file)
-//	own := story.Of(id, lines)
+//	own := story.RequestTrace(id, lines)
 //	fmt.Println(story.CauseOf(id, own))
 package story
 
