--- a/agent/steering/load.go
+++ b/agent/steering/load.go
@@ -40,7 +40,7 @@
 	p, shape := &g.planning, g.shape.Load()
 	plan := loading.Plan{Group: shape.name, Version: uint64(maps.Version()), Tasks: loading.Tasks(&shape.expert, moves)}
 	for range shape.members {
-		plan.Room = append(plan.Room, int64(g.cfg.Spare)*shape.expert.ExpertBytes)
+		plan.FreeMemory = append(plan.FreeMemory, int64(g.cfg.Spare)*shape.expert.ExpertBytes)
 	}
 	maps = left.vacate(maps)
 	for _, m := range maps {
@@ -63,7 +63,7 @@
 		}
 		if next, ok := nextMaps(&shape.expert, maps, todo); ok {
 			committed := g.switchTo(ctx, from, next)
-			p.queue.Settled(shape.name, committed)
+			p.queue.SwitchEnded(shape.name, committed)
 			maps = next
 		}
 		select {
--- a/core/experts/expert/expert_test.go
+++ b/core/experts/expert/expert_test.go
@@ -223,7 +223,7 @@
 	is.Equal(s.MaxSkew, 89.0)
 	is.Equal(s.Moves, 61)
 	is.Equal(s.Reasons[Balanced]+s.Reasons[Moving], 61)
-	h.Most = 10
+	h.MaxRecords = 10
 	h.Add(Record{At: start.Add(90 * time.Minute)})
 	is.Equal(len(h.Records()), 10)
 }
--- a/core/experts/expert/history.go
+++ b/core/experts/expert/history.go
@@ -34,9 +34,9 @@
 type History struct {
 	// Window is how far back the history goes; 0 means DefaultWindow.
 	Window time.Duration
-	// Most is the most records it keeps; 0 means DefaultRecords.
-	Most    int
-	records []Record
+	// MaxRecords is the most records it keeps; 0 means DefaultRecords.
+	MaxRecords int
+	records    []Record
 }
 
 // Summary is the history in figures.
@@ -53,7 +53,7 @@
 // Add appends a record and drops those that are too old or too many.
 func (h *History) Add(r Record) {
 	h.records = append(h.records, r)
-	window, most := h.Window, h.Most
+	window, most := h.Window, h.MaxRecords
 	if window <= 0 {
 		window = DefaultWindow
 	}
--- a/core/experts/expert/rebalance.go
+++ b/core/experts/expert/rebalance.go
@@ -8,11 +8,11 @@
 	// PerRank is the same over all layers. It bounds how long the copies of a
 	// change take. 0 means no limit.
 	PerRank int
-	// Enough is the skew at which a layer is left alone: what lies below it is
+	// TargetSkew is the skew at which a layer is left alone: what lies below it is
 	// not worth the copies. 0 means as low as can be.
-	Enough float64
-	// Steps bounds the work on one layer; 0 means defaultSteps.
-	Steps int
+	TargetSkew float64
+	// MaxSteps bounds the work on one layer; 0 means defaultSteps.
+	MaxSteps int
 }
 
 // defaultSteps is enough for a layer whose mix of work has changed altogether;
@@ -27,7 +27,7 @@
 // as the sum of its layers, each as long as its most loaded rank.
 func Rebalance(g *Group, maps []Map, loads [][]float64, lim Limits) (next []Map, before, after float64) {
 	shared := &quota{perLayer: lim.PerLayer, perRank: lim.PerRank, rank: make([]int, len(g.Ranks))}
-	steps := lim.Steps
+	steps := lim.MaxSteps
 	if steps <= 0 {
 		steps = defaultSteps
 	}
@@ -45,7 +45,7 @@
 	for len(open) > 0 {
 		k := mostSkewed(open)
 		s := open[k]
-		if s.rank[s.worst()] <= lim.Enough || len(s.steps) >= steps || !s.improve() {
+		if s.rank[s.worst()] <= lim.TargetSkew || len(s.steps) >= steps || !s.improve() {
 			open = append(open[:k], open[k+1:]...)
 		}
 	}
--- a/core/experts/expert/recent.go
+++ b/core/experts/expert/recent.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Recent keeps how much each expert of a layer was chosen lately. It sums
+// RecentLoads keeps how much each expert of a layer was chosen lately. It sums
 // counts that are read first-hand several times a second and forgets them with
 // a time constant, where an Estimator forecasts from late reports with gaps.
-type Recent struct {
-	// Memory is the time constant of forgetting.
-	Memory time.Duration
+type RecentLoads struct {
+	// TimeConstant is the time constant of forgetting.
+	TimeConstant time.Duration
 
 	loads []float64
 	at    time.Time
@@ -33,7 +33,7 @@
 
 // shifted reports whether the counts of a call show that other experts are in
 // demand, and learns what is usual.
-func (r *Recent) shifted(chosen []float64) bool {
+func (r *RecentLoads) shifted(chosen []float64) bool {
 	a, b := sum(r.loads), sum(chosen)
 	if a <= 0 || len(r.loads) != len(chosen) {
 		return false
@@ -54,9 +54,9 @@
 	return false
 }
 
-// Begin sets the loads before the first call of Observe, as far as they are
+// SetPrior sets the loads before the first call of Observe, as far as they are
 // guessed. The total says for how much work the guess stands.
-func (r *Recent) Begin(guess []float64, total float64) {
+func (r *RecentLoads) SetPrior(guess []float64, total float64) {
 	r.loads = append([]float64(nil), guess...)
 	if s := sum(guess); s > 0 {
 		for e := range r.loads {
@@ -67,7 +67,7 @@
 
 // Observe adds what was chosen since the last call. A time without any work is
 // no time: what was chosen before it is still the best guess after it.
-func (r *Recent) Observe(now time.Time, chosen []float64) {
+func (r *RecentLoads) Observe(now time.Time, chosen []float64) {
 	if sum(chosen) <= 0 {
 		r.at = now
 		return
@@ -75,8 +75,8 @@
 	if len(r.loads) != len(chosen) {
 		r.loads = make([]float64, len(chosen))
 	}
-	if !r.at.IsZero() && r.Memory > 0 {
-		keep := math.Exp(-now.Sub(r.at).Seconds() / r.Memory.Seconds())
+	if !r.at.IsZero() && r.TimeConstant > 0 {
+		keep := math.Exp(-now.Sub(r.at).Seconds() / r.TimeConstant.Seconds())
 		if r.shifted(chosen) {
 			keep *= shiftKeep
 		}
@@ -92,7 +92,7 @@
 
 // Loads returns the loads of the experts; only their proportions matter. It is
 // empty before the first call of Observe.
-func (r *Recent) Loads() []float64 { return r.loads }
+func (r *RecentLoads) Loads() []float64 { return r.loads }
 
 // Total returns the sum of the loads.
-func (r *Recent) Total() float64 { return sum(r.loads) }
+func (r *RecentLoads) Total() float64 { return sum(r.loads) }
--- a/core/experts/expert/recent_test.go
+++ b/core/experts/expert/recent_test.go
@@ -42,7 +42,7 @@
 	rng := rand.New(rand.NewPCG(7, 8))
 	const every, choices = 200 * time.Millisecond, 4000
 	before, after := skewed(rng, 64), skewed(rng, 64)
-	r := Recent{Memory: 500 * time.Millisecond}
+	r := RecentLoads{TimeConstant: 500 * time.Millisecond}
 	now := time.Unix(1000, 0)
 	observe := func(mix []float64) {
 		now = now.Add(every)
--- a/core/experts/load/doc.go
+++ b/core/experts/load/doc.go
@@ -16,13 +16,13 @@
 // # Usage
 //
 //	q := load.NewQueue(load.Settings{Rate: 1 << 30, Chunk: 8 << 20})
-//	err := q.Begin(now, load.Plan{Group: "captions", Version: 7, Room: room, Replicas: replicas, Tasks: tasks})
+//	err := q.Begin(now, load.Plan{Group: "captions", Version: 7, FreeMemory: free, Replicas: replicas, Tasks: tasks})
 //	actions := q.Next(now)
 //	for _, f := range actions.Fetches {
 //		n := read(f)               // GET with a range from f.Offset
 //		q.Progress(f, n)           // less than f.Length when it broke
 //	}
 //	for _, arm := range actions.Arms {
-//		q.Settled(arm.Group, prepareAndSwitch(arm))
+//		q.SwitchEnded(arm.Group, prepareAndSwitch(arm))
 //	}
 package load
--- a/core/experts/load/load_test.go
+++ b/core/experts/load/load_test.go
@@ -128,13 +128,13 @@
 		w := newWorld(t, rapid.IntRange(2, 6).Draw(t, "ranks"), 2, rapid.IntRange(2, 5).Draw(t, "experts"))
 		q := NewQueue(Settings{Rate: 1 << 30, Chunk: mb})
 		tasks := w.tasks()
-		if err := q.Begin(start, Plan{Group: "g", Version: 1, Room: w.room(), Replicas: [][]int{w.replicas()}, Tasks: tasks}); err != nil {
+		if err := q.Begin(start, Plan{Group: "g", Version: 1, FreeMemory: w.room(), Replicas: [][]int{w.replicas()}, Tasks: tasks}); err != nil {
 			t.Fatal(err)
 		}
 		var late []Fetch
 		for now := start; q.Loading("g"); now = now.Add(10 * time.Millisecond) {
 			if now.Sub(start) > 10*time.Second {
-				t.Fatalf("still loading: %d bytes left", q.Left("g"))
+				t.Fatalf("still loading: %d bytes left", q.RemainingBytes("g"))
 			}
 			a := q.Next(now)
 			for _, f := range a.Fetches {
@@ -150,15 +150,15 @@
 			if rapid.IntRange(0, 15).Draw(t, "restart") == 0 && len(a.Arms) == 0 {
 				r := rapid.IntRange(0, len(w.held)-1).Draw(t, "rank")
 				w.extra[r] = map[int32]int64{}
-				q.Restarted("g", r, w.room()[r])
+				q.RankRestarted("g", r, w.room()[r])
 			}
 			for _, arm := range a.Arms {
 				w.change(arm.Moves, true)
-				q.Settled("g", true)
+				q.SwitchEnded("g", true)
 			}
 			for _, release := range a.Releases {
 				w.change(release.Drops, false)
-				q.Settled("g", true)
+				q.SwitchEnded("g", true)
 			}
 			if len(a.Failed) > 0 {
 				return
@@ -176,7 +176,7 @@
 	is.Helper()
 	p := Plan{Group: name, Version: 1, Share: share, Replicas: [][]int{make([]int, len(gains))}}
 	for i, gain := range gains {
-		p.Room = append(p.Room, size)
+		p.FreeMemory = append(p.FreeMemory, size)
 		p.Tasks = append(p.Tasks, Task{Rank: i, Load: int32(i), Drop: -1, Bytes: size, Gain: gain})
 	}
 	is.NoErr(q.Begin(start, p))
@@ -193,11 +193,11 @@
 	q.Next(start)
 	first := q.Next(start.Add(time.Second)).Fetches
 	is.Equal(len(first), 1) // one read at a time on a rank
-	q.Restarted("g", 0, size)
+	q.RankRestarted("g", 0, size)
 	second := q.Next(start.Add(time.Second)).Fetches
 	is.Equal(len(second), 1)
 	q.Progress(first[0], first[0].Length)
-	is.Equal(q.Left("g"), size)
+	is.Equal(q.RemainingBytes("g"), size)
 	q.Progress(second[0], mb/2)
 	third := q.Next(start.Add(2 * time.Second)).Fetches
 	is.Equal(third[0].Offset, mb/2) // resumed where it broke
@@ -248,11 +248,11 @@
 	var refused *PlanError
 	is.True(errors.As(q.Begin(start, Plan{Group: "g"}), &refused))
 	is.Equal(refused.Reason, "busy")
-	bad := Plan{Group: "h", Room: []int64{size}, Replicas: [][]int{{1}}, Tasks: []Task{{Rank: 1, Bytes: size}}}
+	bad := Plan{Group: "h", FreeMemory: []int64{size}, Replicas: [][]int{{1}}, Tasks: []Task{{Rank: 1, Bytes: size}}}
 	is.True(errors.As(q.Begin(start, bad), &refused))
 	is.Equal(refused.Reason, "invalid")
 	// The only replica of expert 0 can't be dropped to make room.
-	stuck := Plan{Group: "h", Room: []int64{0}, Replicas: [][]int{{1, 0}}, Tasks: []Task{{Load: 1, Drop: 0, Bytes: size}}}
+	stuck := Plan{Group: "h", FreeMemory: []int64{0}, Replicas: [][]int{{1, 0}}, Tasks: []Task{{Load: 1, Drop: 0, Bytes: size}}}
 	is.NoErr(q.Begin(start, stuck))
 	is.Equal(q.Next(start).Failed[0].Reason, "no-room")
 	is.Equal(q.Loading("h"), false)
@@ -268,7 +268,7 @@
 	q.Progress(f[0], f[0].Length)
 	is.Equal(len(q.Next(start.Add(time.Second)).Arms), 1)
 	is.Equal(len(q.Next(start.Add(time.Second)).Arms), 0) // armed once
-	q.Settled("g", false)
+	q.SwitchEnded("g", false)
 	is.Equal(q.Loading("g"), false)
 }
 
@@ -280,7 +280,7 @@
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, Plan{
-		Group: "g", Room: []int64{size, 0}, Replicas: [][]int{{1, 1}},
+		Group: "g", FreeMemory: []int64{size, 0}, Replicas: [][]int{{1, 1}},
 		Tasks: []Task{{Rank: 0, Load: 1, Drop: 0, Bytes: size}, {Rank: 1, Load: 0, Drop: 1, Bytes: size}},
 	}))
 	a := q.Next(start.Add(time.Second))
@@ -297,7 +297,7 @@
 		}
 		waves, releases, failed = waves+len(a.Arms), releases+len(a.Releases), failed+len(a.Failed)
 		if len(a.Arms)+len(a.Releases) > 0 {
-			q.Settled("g", true)
+			q.SwitchEnded("g", true)
 		}
 	}
 	return waves, releases, failed
@@ -310,11 +310,11 @@
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, Plan{
-		Group: "g", Room: []int64{size}, Replicas: [][]int{{0, 0}},
+		Group: "g", FreeMemory: []int64{size}, Replicas: [][]int{{0, 0}},
 		Tasks: []Task{{Load: 0, Drop: -1, Bytes: size}, {Load: 1, Drop: -1, Bytes: size}},
 	}))
 	q.Next(start)
-	q.Restarted("g", 0, size)
+	q.RankRestarted("g", 0, size)
 	waves, _, failed := drive(q, start.Add(time.Second))
 	is.Equal(waves, 1)
 	is.Equal(failed, 1)
@@ -324,7 +324,7 @@
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, Plan{
-		Group: "g", Room: []int64{0, size}, Replicas: [][]int{{1, 1}},
+		Group: "g", FreeMemory: []int64{0, size}, Replicas: [][]int{{1, 1}},
 		Tasks: []Task{{Rank: 0, Load: 1, Drop: 0, Bytes: size}, {Rank: 1, Load: 0, Drop: -1, Bytes: size}},
 	}))
 	waves, releases, failed := drive(q, start)
--- a/core/experts/load/plan_test.go
+++ b/core/experts/load/plan_test.go
@@ -27,7 +27,7 @@
 	moves := expert.Diff(g, 0, m, goal)
 	p := Plan{Group: "g", Replicas: [][]int{m.Replicas(16)}, Tasks: Tasks(g, moves)}
 	for range g.Ranks {
-		p.Room = append(p.Room, size)
+		p.FreeMemory = append(p.FreeMemory, size)
 	}
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, p))
@@ -42,7 +42,7 @@
 			waves++
 			m = m.Apply(g, 0, Moves(arm.Moves))
 			is.NoErr(m.Validate(g))
-			q.Settled("g", true)
+			q.SwitchEnded("g", true)
 		}
 		is.Equal(len(a.Releases), 0)
 	}
--- a/core/experts/load/queue.go
+++ b/core/experts/load/queue.go
@@ -41,8 +41,8 @@
 	Version uint64
 	// Share is the group's weight at the store; 0 means 1.
 	Share float64
-	// Room is the free memory of each rank beside the map in force, in bytes.
-	Room []int64
+	// FreeMemory is the free memory of each rank beside the map in force, in bytes.
+	FreeMemory []int64
 	// Replicas is the number of replicas of each expert by layer, as in force.
 	Replicas [][]int
 	Tasks    []Task
@@ -157,7 +157,7 @@
 }
 
 func (p *Plan) fits(t Task) bool {
-	if t.Rank < 0 || t.Rank >= len(p.Room) || t.Layer < 0 || t.Layer >= len(p.Replicas) {
+	if t.Rank < 0 || t.Rank >= len(p.FreeMemory) || t.Layer < 0 || t.Layer >= len(p.Replicas) {
 		return false
 	}
 	experts := int32(len(p.Replicas[t.Layer]))
@@ -233,20 +233,20 @@
 	t.offset += min(max(n, 0), f.Length)
 }
 
-// Restarted says that a rank lost its memory: what it had loaded of the wave
+// RankRestarted says that a rank lost its memory: what it had loaded of the wave
 // is loaded again. The room is its free memory beside the map in force. An
 // armed wave is left to the switch, which aborts it and settles.
-func (q *Queue) Restarted(name string, rank int, room int64) {
+func (q *Queue) RankRestarted(name string, rank int, room int64) {
 	g := q.group(name)
-	if g == nil || (g.phase != loading && g.phase != releasing) || rank < 0 || rank >= len(g.plan.Room) {
+	if g == nil || (g.phase != loading && g.phase != releasing) || rank < 0 || rank >= len(g.plan.FreeMemory) {
 		return
 	}
 	g.restart(rank, room)
 }
 
-// Settled says how the switch that an Arm or a Release asked for ended. After
+// SwitchEnded says how the switch that an Arm or a Release asked for ended. After
 // an abort the plan is given up, and its loaded replicas may be freed.
-func (q *Queue) Settled(name string, committed bool) {
+func (q *Queue) SwitchEnded(name string, committed bool) {
 	g := q.group(name)
 	if g == nil || (g.phase != armed && g.phase != releasing) {
 		return
@@ -264,8 +264,8 @@
 	return g != nil && g.phase != idle
 }
 
-// Left returns the bytes that a group has still to read.
-func (q *Queue) Left(name string) int64 {
+// RemainingBytes returns the bytes that a group has still to read.
+func (q *Queue) RemainingBytes(name string) int64 {
 	g := q.group(name)
 	if g == nil || g.phase == idle {
 		return 0
--- a/core/experts/load/wave.go
+++ b/core/experts/load/wave.go
@@ -45,7 +45,7 @@
 
 func (g *group) begin(p Plan) {
 	served := g.served
-	p.Room = slices.Clone(p.Room)
+	p.FreeMemory = slices.Clone(p.FreeMemory)
 	replicas := make([][]int, len(p.Replicas))
 	for l := range p.Replicas {
 		replicas[l] = slices.Clone(p.Replicas[l])
@@ -53,7 +53,7 @@
 	p.Replicas = replicas
 	waiting := slices.Clone(p.Tasks)
 	slices.SortStableFunc(waiting, byGain)
-	*g = group{plan: p, phase: loading, waiting: waiting, served: served, reads: g.reads, busy: make([]bool, len(p.Room))}
+	*g = group{plan: p, phase: loading, waiting: waiting, served: served, reads: g.reads, busy: make([]bool, len(p.FreeMemory))}
 }
 
 // advance starts the next wave, arms a loaded one, or ends the plan.
@@ -90,7 +90,7 @@
 		g.waiting = without(g.waiting, wave)
 		for _, t := range wave {
 			g.tasks = append(g.tasks, progress{Task: t})
-			g.plan.Room[t.Rank] -= t.Bytes
+			g.plan.FreeMemory[t.Rank] -= t.Bytes
 		}
 		return
 	}
@@ -108,7 +108,7 @@
 
 // fitting returns the most useful tasks that the ranks have room for.
 func (g *group) fitting() []Task {
-	room := slices.Clone(g.plan.Room)
+	room := slices.Clone(g.plan.FreeMemory)
 	var wave []Task
 	for _, t := range g.waiting {
 		if room[t.Rank] >= t.Bytes {
@@ -195,7 +195,7 @@
 	if t.Drop < 0 {
 		return
 	}
-	g.plan.Room[t.Rank] += t.Bytes
+	g.plan.FreeMemory[t.Rank] += t.Bytes
 	g.plan.Replicas[t.Layer][t.Drop]--
 }
 
@@ -203,18 +203,18 @@
 // fit the rank's room any more, it is cut anew from all tasks.
 func (g *group) restart(rank int, room int64) {
 	g.busy[rank] = false
-	g.plan.Room[rank] = room
+	g.plan.FreeMemory[rank] = room
 	for i := range g.tasks {
 		if t := &g.tasks[i]; t.Rank == rank {
 			t.offset, t.reading = 0, false
-			g.plan.Room[rank] -= t.Bytes
+			g.plan.FreeMemory[rank] -= t.Bytes
 		}
 	}
-	if g.plan.Room[rank] >= 0 {
+	if g.plan.FreeMemory[rank] >= 0 {
 		return
 	}
 	for _, t := range g.tasks {
-		g.plan.Room[t.Rank] += t.Bytes
+		g.plan.FreeMemory[t.Rank] += t.Bytes
 		g.waiting = append(g.waiting, t.Task)
 	}
 	slices.SortStableFunc(g.waiting, byGain)
--- a/sidecar/planner.go
+++ b/sidecar/planner.go
@@ -49,7 +49,7 @@
 	ranks []string
 	// places are the last ones of each target.
 	places map[string]*engine.Placement
-	recent []expert.Recent
+	recent []expert.RecentLoads
 	// guess are the loads that an earlier steward has saved, until they are used.
 	guess *savedLoads
 	// placed says that places are those of the map in force.
@@ -73,9 +73,9 @@
 	}
 	p.engine = e
 	p.places = map[string]*engine.Placement{}
-	p.recent = make([]expert.Recent, e.Sets)
+	p.recent = make([]expert.RecentLoads, e.Sets)
 	for i := range p.recent {
-		p.recent[i].Memory = memory
+		p.recent[i].TimeConstant = memory
 	}
 	p.begin()
 }
@@ -93,7 +93,7 @@
 		for e, x := range loads {
 			guess[e] = float64(x)
 		}
-		p.recent[l].Begin(guess, guessCounts*float64(p.engine.Experts))
+		p.recent[l].SetPrior(guess, guessCounts*float64(p.engine.Experts))
 	}
 	p.guess = nil
 }
@@ -156,7 +156,7 @@
 	for l := range p.recent {
 		loads[l] = p.recent[l].Loads()
 	}
-	next, before, after := expert.Rebalance(&p.group, maps, loads, expert.Limits{PerLayer: p.engine.Spare, PerRank: p.perRank(), Enough: stop})
+	next, before, after := expert.Rebalance(&p.group, maps, loads, expert.Limits{PerLayer: p.engine.Spare, PerRank: p.perRank(), TargetSkew: stop})
 	if before-after < gain {
 		return proposal{}, false
 	}
