--- a/core/experts/load/doc.go
+++ b/core/experts/load/doc.go
@@ -1,17 +1,18 @@
-// Package load orders the loading of expert weights through the rate-limited
+// Package load schedules the loading of expert weights from the rate-limited
 // weight store.
 //
-// A plan of moves is cut into waves. A wave never needs more memory than the
-// ranks have free beside the map in force: room is made first, then the
-// replicas are loaded, and only then is the wave armed and switched. Applied
-// alone, each wave is a map that holds every expert, so that a plan may stop
-// after any wave. Within a wave the most useful replica comes first.
+// A plan of moves is divided into waves. A wave never needs more memory than
+// the ranks have free beside the active map: memory is freed first, then the
+// replicas are loaded, and only then is the wave armed and switched. The map
+// after each wave holds every expert, so a plan may stop after any wave.
+// Within a wave the replica with the largest gain is loaded first.
 //
 // Groups share the store's rate in proportion to their shares, counted in
-// bytes; a group that was idle doesn't save up. Reading is resumable: a
-// broken read goes on at its byte offset.
+// bytes; an idle group accumulates no credit. Reads are resumable: an
+// interrupted read continues at its byte offset.
 //
-// The queue is pure: it has no clock, no input or output and no goroutine.
+// The queue is deterministic: it has no clock, does no I/O and starts no
+// goroutine.
 //
 // # Usage
 //
@@ -20,7 +21,7 @@
 //	actions := q.Next(now)
 //	for _, f := range actions.Fetches {
 //		n := read(f)               // GET with a range from f.Offset
-//		q.Progress(f, n)           // less than f.Length when it broke
+//		q.Progress(f, n)           // less than f.Length when it was interrupted
 //	}
 //	for _, arm := range actions.Arms {
 //		q.SwitchEnded(arm.Group, prepareAndSwitch(arm))
--- a/core/experts/load/load_test.go
+++ b/core/experts/load/load_test.go
@@ -18,7 +18,7 @@
 
 var start = time.Date(2026, time.December, 1, 6, 0, 0, 0, time.UTC)
 
-// TestMain fixes the seed, so that every run tries the same plans.
+// TestMain fixes the seed, so that every run uses the same plans.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -29,13 +29,13 @@
 	os.Exit(m.Run())
 }
 
-// world is the oracle of the property test: what the ranks hold and how much
-// of what has arrived, told by the actions alone.
+// world is the model of the property test: what the ranks hold and how much of
+// each replica has been read, derived from the actions alone.
 type world struct {
 	t        *rapid.T
 	experts  int
-	held     []map[int32]bool // the map in force, by rank
-	extra    []map[int32]int64
+	held     []map[int32]bool  // the active map, by rank
+	loaded   []map[int32]int64 // bytes read of each new expert, by rank
 	capacity []int64
 }
 
@@ -47,7 +47,7 @@
 			held[int32((r*slots+k)%experts)] = true
 		}
 		w.held = append(w.held, held)
-		w.extra = append(w.extra, map[int32]int64{})
+		w.loaded = append(w.loaded, map[int32]int64{})
 		spare := int64(rapid.IntRange(0, 1).Draw(t, "spare"))
 		w.capacity = append(w.capacity, (int64(len(held))+spare)*size)
 	}
@@ -64,35 +64,36 @@
 	return n
 }
 
-func (w *world) room() []int64 {
-	room := make([]int64, len(w.held))
-	for r := range room {
-		room[r] = w.capacity[r] - int64(len(w.held[r]))*size
+func (w *world) freeMemory() []int64 {
+	free := make([]int64, len(w.held))
+	for r := range free {
+		free[r] = w.capacity[r] - int64(len(w.held[r]))*size
 	}
-	return room
+	return free
 }
 
 func (w *world) fetched(f Fetch, n int64) {
-	if w.extra[f.Rank][f.Expert] != f.Offset {
-		w.t.Fatalf("rank %d expert %d: read from %d, has %d", f.Rank, f.Expert, f.Offset, w.extra[f.Rank][f.Expert])
+	if w.loaded[f.Rank][f.Expert] != f.Offset {
+		w.t.Fatalf("rank %d expert %d: read from %d, has %d", f.Rank, f.Expert, f.Offset, w.loaded[f.Rank][f.Expert])
 	}
-	w.extra[f.Rank][f.Expert] = f.Offset + n
-	if used := int64(len(w.held[f.Rank])+len(w.extra[f.Rank])) * size; used > w.capacity[f.Rank] {
+	w.loaded[f.Rank][f.Expert] = f.Offset + n
+	if used := int64(len(w.held[f.Rank])+len(w.loaded[f.Rank])) * size; used > w.capacity[f.Rank] {
 		w.t.Fatalf("rank %d: %d bytes used of %d", f.Rank, used, w.capacity[f.Rank])
 	}
 }
 
-// change makes a switch: every replica must be there, and every expert stay.
+// change applies a switch and fails the test when a replica isn't loaded or an
+// expert has no replica afterwards.
 func (w *world) change(moves []Task, loaded bool) {
 	for _, m := range moves {
 		delete(w.held[m.Rank], m.Drop)
 		if !loaded {
 			continue
 		}
-		if w.extra[m.Rank][m.Load] != size {
-			w.t.Fatalf("armed with %d bytes of expert %d on rank %d", w.extra[m.Rank][m.Load], m.Load, m.Rank)
+		if w.loaded[m.Rank][m.Load] != size {
+			w.t.Fatalf("armed with %d bytes of expert %d on rank %d", w.loaded[m.Rank][m.Load], m.Load, m.Rank)
 		}
-		delete(w.extra[m.Rank], m.Load)
+		delete(w.loaded[m.Rank], m.Load)
 		w.held[m.Rank][m.Load] = true
 	}
 	for e, n := range w.replicas() {
@@ -102,7 +103,7 @@
 	}
 }
 
-// tasks draws a change of the map that leaves every expert a replica.
+// tasks draws a change to the map that leaves every expert a replica.
 func (w *world) tasks() []Task {
 	var tasks []Task
 	n := w.replicas()
@@ -128,7 +129,7 @@
 		w := newWorld(t, rapid.IntRange(2, 6).Draw(t, "ranks"), 2, rapid.IntRange(2, 5).Draw(t, "experts"))
 		q := NewQueue(Settings{Rate: 1 << 30, Chunk: mb})
 		tasks := w.tasks()
-		if err := q.Begin(start, Plan{Group: "g", Version: 1, FreeMemory: w.room(), Replicas: [][]int{w.replicas()}, Tasks: tasks}); err != nil {
+		if err := q.Begin(start, Plan{Group: "g", Version: 1, FreeMemory: w.freeMemory(), Replicas: [][]int{w.replicas()}, Tasks: tasks}); err != nil {
 			t.Fatal(err)
 		}
 		var late []Fetch
@@ -149,8 +150,8 @@
 			}
 			if rapid.IntRange(0, 15).Draw(t, "restart") == 0 && len(a.Arms) == 0 {
 				r := rapid.IntRange(0, len(w.held)-1).Draw(t, "rank")
-				w.extra[r] = map[int32]int64{}
-				q.RankRestarted("g", r, w.room()[r])
+				w.loaded[r] = map[int32]int64{}
+				q.RankRestarted("g", r, w.freeMemory()[r])
 			}
 			for _, arm := range a.Arms {
 				w.change(arm.Moves, true)
@@ -182,10 +183,10 @@
 	is.NoErr(q.Begin(start, p))
 }
 
-// A rank restarts while a read is under way, and the read's end is reported
-// after a new read of the same range has begun. If the late report counted,
-// the rest would be read behind it and the rank would serve an expert whose
-// first bytes are missing.
+// A rank restarts during a read, and the end of that read is reported after a
+// new read of the same range has started. If the late report counted, reading
+// would continue behind it and the rank would serve an expert whose first bytes
+// are missing.
 func TestLateReadAfterRestart(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: mb})
@@ -200,7 +201,7 @@
 	is.Equal(q.RemainingBytes("g"), size)
 	q.Progress(second[0], mb/2)
 	third := q.Next(start.Add(2 * time.Second)).Fetches
-	is.Equal(third[0].Offset, mb/2) // resumed where it broke
+	is.Equal(third[0].Offset, mb/2) // resumed where it was interrupted
 }
 
 func TestMostUsefulFirst(t *testing.T) {
@@ -208,15 +209,15 @@
 	q := NewQueue(Settings{Rate: mb, Chunk: mb})
 	begin(is, q, "g", 1, 0.1, 0.9, 0.5)
 	a := q.Next(start)
-	is.Equal(len(a.Fetches), 0) // no rate saved up yet, and the wave is cut
+	is.Equal(len(a.Fetches), 0) // no rate accumulated yet, and the wave is selected
 	is.Equal(q.Next(start.Add(time.Second)).Fetches[0].Expert, int32(1))
 	is.Equal(q.Next(start.Add(2 * time.Second)).Fetches[0].Expert, int32(2))
 }
 
-// A group loads alone for a while; another starts later. If the newcomer
-// could claim what it didn't use before, the first would stop until both had
-// read the same, and its switch would come minutes late. The rate is never
-// exceeded by more than one chunk.
+// A group loads alone for a while; another starts later. If the second group
+// got credit for its idle time, the first would stop until both had read the
+// same, and its switch would be minutes late. The rate is never exceeded by
+// more than one chunk.
 func TestGroupsShareTheRate(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 8 * mb, Chunk: mb})
@@ -251,7 +252,7 @@
 	bad := Plan{Group: "h", FreeMemory: []int64{size}, Replicas: [][]int{{1}}, Tasks: []Task{{Rank: 1, Bytes: size}}}
 	is.True(errors.As(q.Begin(start, bad), &refused))
 	is.Equal(refused.Reason, "invalid")
-	// The only replica of expert 0 can't be dropped to make room.
+	// The only replica of expert 0 can't be dropped to free memory.
 	stuck := Plan{Group: "h", FreeMemory: []int64{0}, Replicas: [][]int{{1, 0}}, Tasks: []Task{{Load: 1, Drop: 0, Bytes: size}}}
 	is.NoErr(q.Begin(start, stuck))
 	is.Equal(q.Next(start).Failed[0].Reason, "no-room")
@@ -272,10 +273,10 @@
 	is.Equal(q.Loading("g"), false)
 }
 
-// Two ranks exchange their experts, and only one of them has memory to spare.
-// Half of the exchange would fit, but the map after it has no replica of the
-// expert that was dropped: its requests would fail until the second half is
-// loaded. The plan is given up instead.
+// Two ranks exchange their experts, and only one of them has free memory. Half
+// of the exchange would fit, but the map after it has no replica of the dropped
+// expert: its requests would fail until the second half is loaded. The plan is
+// abandoned instead.
 func TestHalfAnExchange(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
@@ -303,9 +304,9 @@
 	return waves, releases, failed
 }
 
-// A rank restarts while a wave is loading, and reports its free memory anew.
-// The wave's own replica still needs that memory. If it were given out twice,
-// the next wave would take the rank beyond its memory and end its engine.
+// A rank restarts while a wave is loading, and reports its free memory again.
+// The wave's own replica still needs that memory. If it were allocated twice,
+// the next wave would exceed the rank's memory and crash its engine.
 func TestRestartKeepsTheWavesRoom(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
@@ -333,8 +334,8 @@
 	is.Equal(failed, 0)
 }
 
-// Nothing is loaded for a minute. If the unused rate were saved up, the next
-// plan would take the store from all other readers at once.
+// Nothing is loaded for a minute. If the unused rate accumulated, the next plan
+// would take the store's rate from all other readers at once.
 func TestUnusedRateIsNotKept(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 8 * mb, Chunk: mb})
--- a/core/experts/load/plan.go
+++ b/core/experts/load/plan.go
@@ -2,7 +2,7 @@
 
 import "verbenashift/core/experts/expert"
 
-// Tasks returns the tasks that load the moves of an expert plan.
+// Tasks returns the tasks that load the replicas of the given moves.
 func Tasks(g *expert.Group, moves []expert.Move) []Task {
 	tasks := make([]Task, 0, len(moves))
 	for _, m := range moves {
@@ -13,7 +13,7 @@
 	return tasks
 }
 
-// Moves returns the moves of a wave, to be applied to the maps in force.
+// Moves returns the moves of a wave, to be applied to the active maps.
 func Moves(tasks []Task) []expert.Move {
 	moves := make([]expert.Move, 0, len(tasks))
 	for _, t := range tasks {
--- a/core/experts/load/plan_test.go
+++ b/core/experts/load/plan_test.go
@@ -11,9 +11,9 @@
 	"verbenashift/core/experts/expert"
 )
 
-// A plan needs more memory than the ranks have to spare, so that it comes into
-// force in several waves. Every map on the way must be one that serves all
-// experts, and the last one must be the planned one.
+// A plan needs more memory than the ranks have free, so that it is applied in
+// several waves. Every intermediate map must serve all experts, and the last
+// one must be the planned one.
 func TestPlanInWaves(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(5, 0))
--- a/core/experts/load/queue.go
+++ b/core/experts/load/queue.go
@@ -7,48 +7,52 @@
 	"time"
 )
 
-// Defaults of Settings.
+// Default values of Settings.
 const (
 	DefaultChunk = 8 << 20
-	// DefaultBurst is how long the unused rate is kept.
+	// DefaultBurst is the duration for which unused rate accumulates.
 	DefaultBurst = 100 * time.Millisecond
 )
 
-// Settings bound the queue.
+// Settings are the limits of a Queue.
 type Settings struct {
-	// Rate is the bytes a second that the weight store gives to the groups of
-	// this queue; 0 stops all loading.
+	// Rate is the rate, in bytes per second, at which the groups of this queue
+	// may read from the weight store; 0 stops all loading.
 	Rate int64
-	// Chunk is the most bytes of one read; 0 means DefaultChunk.
+	// Chunk is the maximum size of one read in bytes; 0 means DefaultChunk.
 	Chunk int64
-	// Burst is how long the unused rate is kept; 0 means DefaultBurst.
+	// Burst is the duration for which unused rate accumulates; 0 means
+	// DefaultBurst.
 	Burst time.Duration
 }
 
-// Task loads one replica and later frees the one it replaces.
+// Task loads one replica and, after the switch, frees the one it replaces.
 type Task struct {
 	Layer, Rank, Slot int
 	// Load and Drop are experts; a negative Drop is a free slot.
 	Load, Drop int32
 	Bytes      int64
-	// Gain orders the tasks: the most useful first.
+	// Gain is the benefit of the task; tasks with a larger gain are loaded
+	// first.
 	Gain float64
 }
 
-// Plan is what a group has to load to get to a new map.
+// Plan lists what a group has to load to reach a new map.
 type Plan struct {
 	Group   string
 	Version uint64
-	// Share is the group's weight at the store; 0 means 1.
+	// Share is the group's weight in dividing the store's rate; 0 means 1.
 	Share float64
-	// FreeMemory is the free memory of each rank beside the map in force, in bytes.
+	// FreeMemory is the memory in bytes that each rank has free beside the
+	// active map.
 	FreeMemory []int64
-	// Replicas is the number of replicas of each expert by layer, as in force.
+	// Replicas is the number of replicas of each expert in the active map, by
+	// layer.
 	Replicas [][]int
 	Tasks    []Task
 }
 
-// PlanError says why a plan can't be loaded.
+// PlanError reports why a plan can't be loaded.
 type PlanError struct {
 	// Reason is "busy", "invalid" or "no-room".
 	Reason string
@@ -56,7 +60,7 @@
 	Rank   int
 }
 
-// Error returns the reason with the group and the rank.
+// Error returns the reason, the group and the rank.
 func (e *PlanError) Error() string {
 	return fmt.Sprintf("load plan of group %s: %s (rank %d)", e.Group, e.Reason, e.Rank)
 }
@@ -70,11 +74,11 @@
 	Offset      int64
 	Length      int64
 	task        int
-	read        uint64
+	readID      uint64
 }
 
-// Arm says that all replicas of a wave are loaded: the group may prepare the
-// switch to the map with these moves.
+// Arm reports that all replicas of a wave are loaded: the group may prepare
+// the switch to the map with these moves.
 type Arm struct {
 	Group   string
 	Version uint64
@@ -82,8 +86,8 @@
 	Moves   []Task
 }
 
-// Release asks to switch to a map without these replicas first, because no
-// rank has room for the next wave otherwise. Each expert keeps a replica.
+// Release requests a switch to a map without the replicas in Drops, because
+// otherwise no rank has memory for the next wave. Each expert keeps a replica.
 type Release struct {
 	Group   string
 	Version uint64
@@ -91,19 +95,19 @@
 	Drops   []Task
 }
 
-// Actions is what is to be done next.
+// Actions holds the work that is due.
 type Actions struct {
 	Fetches  []Fetch
 	Arms     []Arm
 	Releases []Release
-	// Failed holds the plans that were given up for lack of room.
+	// Failed holds the plans that were abandoned for lack of memory.
 	Failed []*PlanError
 }
 
-// Queue orders the loading of several groups.
+// Queue schedules the loading of several groups.
 type Queue struct {
 	settings Settings
-	groups   []*group // by name
+	groups   []*group // sorted by name
 	tokens   float64
 	last     time.Time
 }
@@ -119,8 +123,8 @@
 	return &Queue{settings: s}
 }
 
-// Begin takes in a plan. It returns a *PlanError when the group still loads
-// another one or the plan doesn't fit its own sizes.
+// Begin starts a plan. It returns a *PlanError when the group is still loading
+// another plan, or when a task's rank, layer, expert or size is out of range.
 func (q *Queue) Begin(now time.Time, p Plan) error {
 	g := q.group(p.Group)
 	if g != nil && g.phase != idle {
@@ -142,20 +146,22 @@
 	return nil
 }
 
-// catchUp keeps a group that was idle from claiming the rate it didn't use:
-// without it, the group would hold up all others until it had read as much.
+// catchUp raises the service count of a group that was idle to the lowest
+// count of the groups that are loading. Without it, the group would block all
+// others until it had read as much as they have.
 func (q *Queue) catchUp(g *group) {
-	first, found := 0.0, false
+	lowest, found := 0.0, false
 	for _, other := range q.groups {
-		if other != g && other.phase == loading && (!found || other.served < first) {
-			first, found = other.served, true
+		if other != g && other.phase == loading && (!found || other.served < lowest) {
+			lowest, found = other.served, true
 		}
 	}
 	if found {
-		g.served = max(g.served, first)
+		g.served = max(g.served, lowest)
 	}
 }
 
+// fits reports whether the task's rank, layer, experts and size are in range.
 func (p *Plan) fits(t Task) bool {
 	if t.Rank < 0 || t.Rank >= len(p.FreeMemory) || t.Layer < 0 || t.Layer >= len(p.Replicas) {
 		return false
@@ -183,9 +189,9 @@
 	q.last = now
 }
 
-// Next returns what is to be done now: the reads that the rate allows, at
-// most one at a time on a rank, and the switches that are due. Call it again
-// after each event and as time passes.
+// Next returns the work that is due: the reads that the rate allows, at most
+// one at a time per rank, and the switches. Call it again after each event and
+// periodically.
 func (q *Queue) Next(now time.Time) Actions {
 	q.refill(now)
 	var a Actions
@@ -208,44 +214,47 @@
 func (q *Queue) leastServed() *group {
 	var best *group
 	for _, g := range q.groups {
-		if g.ready() >= 0 && (best == nil || g.served < best.served) {
+		if g.nextReadable() >= 0 && (best == nil || g.served < best.served) {
 			best = g
 		}
 	}
 	return best
 }
 
-// Progress says that a read ended after n bytes: all of them, or fewer when it
-// broke. The rest is asked for again from there. A late report of an older
-// plan, or of a rank that restarted since, is ignored.
+// Progress records that a read ended after n bytes, fewer than f.Length when
+// it was interrupted. The rest is requested again from that offset. A late
+// report for an older plan, or for a rank that has restarted since, is ignored.
 func (q *Queue) Progress(f Fetch, n int64) {
 	g := q.group(f.Group)
 	if g == nil || g.phase != loading || g.plan.Version != f.Version || f.task >= len(g.tasks) {
 		return
 	}
 	t := &g.tasks[f.task]
-	// The end of a read from before a restart may come when a new read of the
-	// same range is under way: taking it would leave a hole in the weights.
-	if !t.reading || t.read != f.read || t.Load != f.Expert || t.Rank != f.Rank || t.Layer != f.Layer {
+	// The end of a read from before a restart may be reported while a new read
+	// of the same range is in progress: accepting it would leave a gap in the
+	// weights.
+	if !t.reading || t.readID != f.readID || t.Load != f.Expert || t.Rank != f.Rank || t.Layer != f.Layer {
 		return
 	}
 	t.reading, g.busy[t.Rank] = false, false
 	t.offset += min(max(n, 0), f.Length)
 }
 
-// RankRestarted says that a rank lost its memory: what it had loaded of the wave
-// is loaded again. The room is its free memory beside the map in force. An
-// armed wave is left to the switch, which aborts it and settles.
-func (q *Queue) RankRestarted(name string, rank int, room int64) {
+// RankRestarted records that a rank lost its memory: what it had loaded of the
+// wave is loaded again. The parameter free is its free memory beside the active
+// map. An armed wave stays as it is, because the switch aborts and SwitchEnded
+// ends the plan.
+func (q *Queue) RankRestarted(name string, rank int, free int64) {
 	g := q.group(name)
 	if g == nil || (g.phase != loading && g.phase != releasing) || rank < 0 || rank >= len(g.plan.FreeMemory) {
 		return
 	}
-	g.restart(rank, room)
+	g.rankRestarted(rank, free)
 }
 
-// SwitchEnded says how the switch that an Arm or a Release asked for ended. After
-// an abort the plan is given up, and its loaded replicas may be freed.
+// SwitchEnded records the outcome of the switch that an Arm or a Release
+// requested. After an abort the plan is abandoned, and its loaded replicas may
+// be freed.
 func (q *Queue) SwitchEnded(name string, committed bool) {
 	g := q.group(name)
 	if g == nil || (g.phase != armed && g.phase != releasing) {
@@ -255,27 +264,27 @@
 		g.phase = idle
 		return
 	}
-	g.settle()
+	g.commitSwitch()
 }
 
-// Loading reports whether a plan of the group is under way.
+// Loading reports whether a plan of the group is in progress.
 func (q *Queue) Loading(name string) bool {
 	g := q.group(name)
 	return g != nil && g.phase != idle
 }
 
-// RemainingBytes returns the bytes that a group has still to read.
+// RemainingBytes returns the number of bytes that a group has yet to read.
 func (q *Queue) RemainingBytes(name string) int64 {
 	g := q.group(name)
 	if g == nil || g.phase == idle {
 		return 0
 	}
-	left := int64(0)
+	remaining := int64(0)
 	for _, t := range g.tasks {
-		left += t.Bytes - t.offset
+		remaining += t.Bytes - t.offset
 	}
-	for _, t := range g.waiting {
-		left += t.Bytes
+	for _, t := range g.pending {
+		remaining += t.Bytes
 	}
-	return left
+	return remaining
 }
--- a/core/experts/load/wave.go
+++ b/core/experts/load/wave.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// phase is where a group's plan stands.
+// phase is the state of a group's plan.
 type phase int
 
 const (
@@ -15,25 +15,25 @@
 	releasing
 )
 
-// progress is a task of the wave that is being loaded.
-type progress struct {
+// taskProgress is a task of the current wave with what has been read of it.
+type taskProgress struct {
 	Task
 	offset  int64
 	reading bool
-	read    uint64 // the number of the read under way
+	readID  uint64 // of the read in progress
 }
 
 // group is the state of one group's plan.
 type group struct {
-	plan    Plan
-	phase   phase
-	wave    int
-	waiting []Task     // not in a wave yet, the most useful first
-	tasks   []progress // of the wave
-	drops   []Task     // of the release
-	busy    []bool     // of a rank: it is reading
-	reads   uint64     // begun
-	served  float64    // bytes read by share
+	plan         Plan
+	phase        phase
+	wave         int
+	pending      []Task         // not in a wave yet, by descending gain
+	tasks        []taskProgress // of the current wave
+	releaseDrops []Task         // of the release in progress
+	busy         []bool         // by rank: a read is in progress
+	readsStarted uint64         // number of reads started
+	served       float64        // bytes read, divided by the share
 }
 
 func (g *group) share() float64 {
@@ -51,18 +51,18 @@
 		replicas[l] = slices.Clone(p.Replicas[l])
 	}
 	p.Replicas = replicas
-	waiting := slices.Clone(p.Tasks)
-	slices.SortStableFunc(waiting, byGain)
-	*g = group{plan: p, phase: loading, waiting: waiting, served: served, reads: g.reads, busy: make([]bool, len(p.FreeMemory))}
+	pending := slices.Clone(p.Tasks)
+	slices.SortStableFunc(pending, byGain)
+	*g = group{plan: p, phase: loading, pending: pending, served: served, readsStarted: g.readsStarted, busy: make([]bool, len(p.FreeMemory))}
 }
 
-// advance starts the next wave, arms a loaded one, or ends the plan.
+// advance starts the next wave, arms a wave that is loaded, or ends the plan.
 func (g *group) advance(a *Actions) {
 	if g.phase != loading {
 		return
 	}
 	if len(g.tasks) == 0 {
-		g.next(a)
+		g.nextWave(a)
 		return
 	}
 	for _, t := range g.tasks {
@@ -78,63 +78,65 @@
 	a.Arms = append(a.Arms, arm)
 }
 
-// next cuts the next wave from what is waiting.
-func (g *group) next(a *Actions) {
-	if len(g.waiting) == 0 {
+// nextWave takes the tasks of the next wave from the pending ones. When none
+// fits, it requests a release of replicas or abandons the plan.
+func (g *group) nextWave(a *Actions) {
+	if len(g.pending) == 0 {
 		g.phase = idle
 		return
 	}
 	g.wave++
-	wave := g.keepExperts(g.fitting())
+	wave := g.keepExperts(g.fittingTasks())
 	if len(wave) > 0 {
-		g.waiting = without(g.waiting, wave)
+		g.pending = without(g.pending, wave)
 		for _, t := range wave {
-			g.tasks = append(g.tasks, progress{Task: t})
+			g.tasks = append(g.tasks, taskProgress{Task: t})
 			g.plan.FreeMemory[t.Rank] -= t.Bytes
 		}
 		return
 	}
-	g.drops = g.spare()
-	if len(g.drops) == 0 {
+	g.releaseDrops = g.spareReplicas()
+	if len(g.releaseDrops) == 0 {
 		g.phase = idle
-		a.Failed = append(a.Failed, &PlanError{Reason: "no-room", Group: g.plan.Group, Rank: g.waiting[0].Rank})
+		a.Failed = append(a.Failed, &PlanError{Reason: "no-room", Group: g.plan.Group, Rank: g.pending[0].Rank})
 		return
 	}
 	g.phase = releasing
 	a.Releases = append(a.Releases, Release{
-		Group: g.plan.Group, Version: g.plan.Version, Wave: g.wave, Drops: slices.Clone(g.drops),
+		Group: g.plan.Group, Version: g.plan.Version, Wave: g.wave, Drops: slices.Clone(g.releaseDrops),
 	})
 }
 
-// fitting returns the most useful tasks that the ranks have room for.
-func (g *group) fitting() []Task {
-	room := slices.Clone(g.plan.FreeMemory)
+// fittingTasks returns the pending tasks, by descending gain, that fit into the
+// free memory of their ranks.
+func (g *group) fittingTasks() []Task {
+	free := slices.Clone(g.plan.FreeMemory)
 	var wave []Task
-	for _, t := range g.waiting {
-		if room[t.Rank] >= t.Bytes {
-			room[t.Rank] -= t.Bytes
+	for _, t := range g.pending {
+		if free[t.Rank] >= t.Bytes {
+			free[t.Rank] -= t.Bytes
 			wave = append(wave, t)
 		}
 	}
 	return wave
 }
 
-// keepExperts takes tasks out of a wave until the map after it holds every
-// expert. A wave without the new home of an expert must not drop its old one:
-// the expert's requests would have nowhere to go until the next wave.
+// keepExperts removes tasks from a wave until the map after it holds every
+// expert. A wave must not drop the last replica of an expert before a new one
+// is loaded: the expert's requests could not be served until the next wave.
 func (g *group) keepExperts(wave []Task) []Task {
 	for {
-		lost := g.firstLost(wave)
-		if lost < 0 {
+		i := g.leastUsefulLastDrop(wave)
+		if i < 0 {
 			return wave
 		}
-		wave = slices.Delete(wave, lost, lost+1)
+		wave = slices.Delete(wave, i, i+1)
 	}
 }
 
-// firstLost returns the least useful task that drops an expert which the wave
-// leaves without a replica, or -1.
-func (g *group) firstLost(wave []Task) int {
+// leastUsefulLastDrop returns the index of the task with the smallest gain that
+// drops an expert which the wave leaves without a replica, or -1.
+func (g *group) leastUsefulLastDrop(wave []Task) int {
 	change := map[replica]int{}
 	for _, t := range wave {
 		change[replica{t.Layer, t.Load}]++
@@ -150,17 +152,18 @@
 	return -1
 }
 
-// replica is an expert of a layer.
+// replica identifies an expert of a layer.
 type replica struct {
 	layer  int
 	expert int32
 }
 
-// spare returns drops of waiting tasks that leave every expert a replica.
-func (g *group) spare() []Task {
+// spareReplicas returns the pending tasks whose drops leave every expert a
+// replica.
+func (g *group) spareReplicas() []Task {
 	var drops []Task
 	dropped := map[replica]int{}
-	for _, t := range g.waiting {
+	for _, t := range g.pending {
 		r := replica{t.Layer, t.Drop}
 		if t.Drop >= 0 && g.plan.Replicas[t.Layer][t.Drop]-dropped[r] > 1 {
 			dropped[r]++
@@ -170,28 +173,30 @@
 	return drops
 }
 
-// settle takes in a committed switch: what it dropped is free memory now.
-func (g *group) settle() {
+// commitSwitch records a committed switch: the memory of the dropped replicas
+// is free from now on.
+func (g *group) commitSwitch() {
 	if g.phase == releasing {
-		left := without(slices.Clone(g.waiting), g.drops)
-		for _, t := range g.drops {
-			g.free(t)
+		pending := without(slices.Clone(g.pending), g.releaseDrops)
+		for _, t := range g.releaseDrops {
+			g.freeDropped(t)
 			t.Drop = -1
-			left = append(left, t)
+			pending = append(pending, t)
 		}
-		slices.SortStableFunc(left, byGain)
-		g.waiting = left
-		g.drops = nil
+		slices.SortStableFunc(pending, byGain)
+		g.pending = pending
+		g.releaseDrops = nil
 	}
 	for _, t := range g.tasks {
-		g.free(t.Task)
+		g.freeDropped(t.Task)
 		g.plan.Replicas[t.Layer][t.Load]++
 	}
 	g.tasks = nil
 	g.phase = loading
 }
 
-func (g *group) free(t Task) {
+// freeDropped accounts for the removal of the replica that the task drops.
+func (g *group) freeDropped(t Task) {
 	if t.Drop < 0 {
 		return
 	}
@@ -199,11 +204,12 @@
 	g.plan.Replicas[t.Layer][t.Drop]--
 }
 
-// restart forgets what a rank had loaded of the wave. When the wave doesn't
-// fit the rank's room any more, it is cut anew from all tasks.
-func (g *group) restart(rank int, room int64) {
+// rankRestarted discards what a rank had loaded of the wave. When the wave no
+// longer fits into the rank's free memory, its tasks become pending again and
+// the next wave is selected from all of them.
+func (g *group) rankRestarted(rank int, free int64) {
 	g.busy[rank] = false
-	g.plan.FreeMemory[rank] = room
+	g.plan.FreeMemory[rank] = free
 	for i := range g.tasks {
 		if t := &g.tasks[i]; t.Rank == rank {
 			t.offset, t.reading = 0, false
@@ -215,26 +221,27 @@
 	}
 	for _, t := range g.tasks {
 		g.plan.FreeMemory[t.Rank] += t.Bytes
-		g.waiting = append(g.waiting, t.Task)
+		g.pending = append(g.pending, t.Task)
 	}
-	slices.SortStableFunc(g.waiting, byGain)
+	slices.SortStableFunc(g.pending, byGain)
 	g.tasks = nil
 	clear(g.busy)
 }
 
 func byGain(a, b Task) int { return cmp.Compare(b.Gain, a.Gain) }
 
-func without(tasks, taken []Task) []Task {
-	set := make(map[Task]bool, len(taken))
-	for _, t := range taken {
+// without returns tasks without those in excluded. It modifies tasks.
+func without(tasks, excluded []Task) []Task {
+	set := make(map[Task]bool, len(excluded))
+	for _, t := range excluded {
 		set[t] = true
 	}
 	return slices.DeleteFunc(tasks, func(t Task) bool { return set[t] })
 }
 
-// ready returns the first task of the wave that can be read on, or -1. A rank
-// reads one expert at a time.
-func (g *group) ready() int {
+// nextReadable returns the index of the first task of the wave whose reading
+// can start or continue, or -1. A rank reads one expert at a time.
+func (g *group) nextReadable() int {
 	if g.phase != loading {
 		return -1
 	}
@@ -247,13 +254,13 @@
 }
 
 func (g *group) fetch(chunk int64) Fetch {
-	i := g.ready()
+	i := g.nextReadable()
 	t := &g.tasks[i]
 	t.reading, g.busy[t.Rank] = true, true
-	g.reads++
-	t.read = g.reads
+	g.readsStarted++
+	t.readID = g.readsStarted
 	return Fetch{
 		Group: g.plan.Group, Version: g.plan.Version, Rank: t.Rank, Layer: t.Layer, Expert: t.Load,
-		Offset: t.offset, Length: min(chunk, t.Bytes-t.offset), task: i, read: t.read,
+		Offset: t.offset, Length: min(chunk, t.Bytes-t.offset), task: i, readID: t.readID,
 	}
 }
