--- a/core/experts/load/load_test.go
+++ b/core/experts/load/load_test.go
@@ -32,11 +32,11 @@
 // world is the model of the property test: what the ranks hold and how much of
 // each replica has been read, derived from the actions alone.
 type world struct {
-	t        *rapid.T
-	experts  int
-	held     []map[int32]bool  // the active map, by rank
-	loaded   []map[int32]int64 // bytes read of each new expert, by rank
-	capacity []int64
+	t            *rapid.T
+	experts      int
+	held         []map[int32]bool  // the active map, by rank
+	fetchedBytes []map[int32]int64 // bytes read of each new expert, by rank
+	capacity     []int64
 }
 
 func newWorld(t *rapid.T, ranks, slots, experts int) *world {
@@ -47,7 +47,7 @@
 			held[int32((r*slots+k)%experts)] = true
 		}
 		w.held = append(w.held, held)
-		w.loaded = append(w.loaded, map[int32]int64{})
+		w.fetchedBytes = append(w.fetchedBytes, map[int32]int64{})
 		spare := int64(rapid.IntRange(0, 1).Draw(t, "spare"))
 		w.capacity = append(w.capacity, (int64(len(held))+spare)*size)
 	}
@@ -65,19 +65,19 @@
 }
 
 func (w *world) freeMemory() []int64 {
-	free := make([]int64, len(w.held))
-	for r := range free {
-		free[r] = w.capacity[r] - int64(len(w.held[r]))*size
+	freeMemory := make([]int64, len(w.held))
+	for r := range freeMemory {
+		freeMemory[r] = w.capacity[r] - int64(len(w.held[r]))*size
 	}
-	return free
+	return freeMemory
 }
 
 func (w *world) fetched(f Fetch, n int64) {
-	if w.loaded[f.Rank][f.Expert] != f.Offset {
-		w.t.Fatalf("rank %d expert %d: read from %d, has %d", f.Rank, f.Expert, f.Offset, w.loaded[f.Rank][f.Expert])
+	if w.fetchedBytes[f.Rank][f.Expert] != f.Offset {
+		w.t.Fatalf("rank %d expert %d: read from %d, has %d", f.Rank, f.Expert, f.Offset, w.fetchedBytes[f.Rank][f.Expert])
 	}
-	w.loaded[f.Rank][f.Expert] = f.Offset + n
-	if used := int64(len(w.held[f.Rank])+len(w.loaded[f.Rank])) * size; used > w.capacity[f.Rank] {
+	w.fetchedBytes[f.Rank][f.Expert] = f.Offset + n
+	if used := int64(len(w.held[f.Rank])+len(w.fetchedBytes[f.Rank])) * size; used > w.capacity[f.Rank] {
 		w.t.Fatalf("rank %d: %d bytes used of %d", f.Rank, used, w.capacity[f.Rank])
 	}
 }
@@ -90,10 +90,10 @@
 		if !loaded {
 			continue
 		}
-		if w.loaded[m.Rank][m.Load] != size {
-			w.t.Fatalf("armed with %d bytes of expert %d on rank %d", w.loaded[m.Rank][m.Load], m.Load, m.Rank)
+		if w.fetchedBytes[m.Rank][m.Load] != size {
+			w.t.Fatalf("armed with %d bytes of expert %d on rank %d", w.fetchedBytes[m.Rank][m.Load], m.Load, m.Rank)
 		}
-		delete(w.loaded[m.Rank], m.Load)
+		delete(w.fetchedBytes[m.Rank], m.Load)
 		w.held[m.Rank][m.Load] = true
 	}
 	for e, n := range w.replicas() {
@@ -150,7 +150,7 @@
 			}
 			if rapid.IntRange(0, 15).Draw(t, "restart") == 0 && len(a.Arms) == 0 {
 				r := rapid.IntRange(0, len(w.held)-1).Draw(t, "rank")
-				w.loaded[r] = map[int32]int64{}
+				w.fetchedBytes[r] = map[int32]int64{}
 				q.RankRestarted("g", r, w.freeMemory()[r])
 			}
 			for _, arm := range a.Arms {
--- a/core/experts/load/wave.go
+++ b/core/experts/load/wave.go
@@ -177,14 +177,14 @@
 // is free from now on.
 func (g *group) commitSwitch() {
 	if g.phase == releasing {
-		pending := without(slices.Clone(g.pending), g.releaseDrops)
+		remaining := without(slices.Clone(g.pending), g.releaseDrops)
 		for _, t := range g.releaseDrops {
 			g.freeDropped(t)
 			t.Drop = -1
-			pending = append(pending, t)
+			remaining = append(remaining, t)
 		}
-		slices.SortStableFunc(pending, byGain)
-		g.pending = pending
+		slices.SortStableFunc(remaining, byGain)
+		g.pending = remaining
 		g.releaseDrops = nil
 	}
 	for _, t := range g.tasks {
