--- a/core/experts/expert/bound.go
+++ b/core/experts/expert/bound.go
@@ -1,26 +1,28 @@
 package expert
 
-// Bound is what the slots of a group allow at best for given loads.
+// Bound holds lower bounds on the skew that the slots of a group allow for
+// given loads.
 type Bound struct {
-	// Skew is the largest of the bounds below: no map has a lower one.
+	// Skew is the largest of 1 and the bounds below: no map has a lower skew.
 	Skew float64 `json:"skew"`
-	// Heaviest is the bound by the heaviest expert on as many ranks as it
-	// may have when every other expert keeps its least number of replicas.
+	// Heaviest is the bound from the most loaded expert on as many ranks as it
+	// can have when every other expert has its minimum number of replicas.
 	Heaviest float64 `json:"heaviest"`
-	// Shares is the bound by apportionment: the smallest possible largest
-	// share of one replica, over all ways to give out the slots. With one
-	// slot per rank it is reached, otherwise it is a relaxation that lets
-	// replicas be combined freely.
+	// Shares is the bound from apportionment: the smallest possible largest
+	// share of one replica, over all ways to assign the slots. With one slot
+	// per rank it is tight; otherwise it is a relaxation that ignores how
+	// replicas combine on ranks.
 	Shares float64 `json:"shares"`
 }
 
 // LowerBound returns a lower bound on the skew that any map of the group can
-// have under an even split. The mean gives the bound 1.
+// have under an even split. It is at least 1, because the maximum is at least
+// the mean.
 func LowerBound(g *Group, loads []float64) Bound {
 	return lowerBound(g, loads, Apportion(g, loads))
 }
 
-// lowerBound takes the result of Apportion for the loads.
+// lowerBound is LowerBound with the result of Apportion for the loads.
 func lowerBound(g *Group, loads []float64, replicas []int) Bound {
 	total := sum(loads)
 	if total <= 0 {
@@ -37,15 +39,15 @@
 	return b
 }
 
-// Apportion gives every slot of the group to an expert so that the largest
-// share of a replica is as small as possible. Each next slot goes to the
-// expert with the largest share, which is optimal for this aim: an expert is
-// only given a slot when its share is the maximum, and no smaller number of
-// slots for it can bring the maximum down. An expert has at most one replica
-// on a rank, so a group may keep slots that no expert can use.
+// Apportion returns a number of replicas for each expert that minimizes the
+// largest share of a replica. Each slot in turn goes to the expert with the
+// largest share. This is optimal: an expert only gets a slot when its share is
+// the maximum, and no smaller number of slots for it can lower the maximum. An
+// expert has at most one replica per rank, so some slots of a group may remain
+// unused.
 func Apportion(g *Group, loads []float64) []int {
 	replicas := make([]int, g.Experts)
-	h := shares{loads: loads, replicas: replicas, order: make([]int32, g.Experts)}
+	h := shareHeap{loads: loads, replicas: replicas, order: make([]int32, g.Experts)}
 	for e := range replicas {
 		replicas[e] = g.minReplicas()
 		h.order[e] = int32(e)
@@ -69,20 +71,20 @@
 	return replicas
 }
 
-// shares is a heap of experts, the largest share of a replica on top.
-type shares struct {
+// shareHeap is a max-heap of experts by the share of one replica.
+type shareHeap struct {
 	loads    []float64
 	replicas []int
 	order    []int32
 }
 
-func (h *shares) less(i, j int) bool {
+func (h *shareHeap) less(i, j int) bool {
 	a, b := h.order[i], h.order[j]
 	x, y := h.loads[a]/float64(h.replicas[a]), h.loads[b]/float64(h.replicas[b])
 	return x > y || (x == y && a < b)
 }
 
-func (h *shares) down(i int) {
+func (h *shareHeap) down(i int) {
 	for {
 		next := 2*i + 1
 		if next >= len(h.order) {
--- a/core/experts/expert/doc.go
+++ b/core/experts/expert/doc.go
@@ -1,19 +1,19 @@
 // Package expert decides which experts of an expert-parallel group are
 // replicated, how often, and on which ranks.
 //
-// All ranks of a group advance in lock-step, so the rank with the most work
-// in a layer sets the time of that layer. The measure is the skew: the load
-// of the most loaded rank over the mean load of a rank. The traffic of an
-// expert is split evenly over its replicas; unequal splits are not assumed,
-// because nothing says that an engine can do them.
+// All ranks of a group run in lockstep, so the most loaded rank in a layer
+// determines the time of that layer. The objective is the skew: the load of
+// the most loaded rank over the mean load of a rank. The traffic of an expert
+// is split evenly over its replicas; unequal splits are not assumed, because
+// nothing indicates that engines support them.
 //
-// An Estimator turns reports, which are late and have gaps, into a forecast.
-// A Planner turns the forecast and the maps in force into a Plan with few
-// moves, or into the Reason for which it is better not to move. The planner
-// keeps within the bounds that an operator has confirmed. A History keeps the
+// An Estimator turns load reports, which are late and have gaps, into a
+// forecast. A Planner turns the forecast and the active maps into a Plan with
+// few moves, or into the Reason for not moving. The planner stays within the
+// bounds that an operator has confirmed. A History keeps the records of the
 // last hour for operators.
 //
-// Everything here is deterministic: no clock, no input or output and no
+// The package is deterministic: it has no clock, does no I/O and starts no
 // goroutine. A Planner reuses its memory and serves one goroutine at a time.
 //
 // # Usage
--- a/core/experts/expert/estimator_test.go
+++ b/core/experts/expert/estimator_test.go
@@ -13,8 +13,8 @@
 
 func near(a, b, tolerance float64) bool { return math.Abs(a-b) <= tolerance }
 
-// All traffic doubles at a closing, and no expert gets a larger part of it.
-// If the rise counted as drift, the planner would move experts for nothing.
+// The total traffic rises, and no expert gets a larger share of it. If the rise
+// counted as a trend, the planner would move experts for no benefit.
 func TestWholeTrafficIsNoDrift(t *testing.T) {
 	is := is.New(t)
 	est := NewEstimator(2, Smoothing{})
@@ -41,12 +41,12 @@
 	}
 	got := est.Forecast(nil, minute(22))
 	ratio := got[0] / got[1] * 20 / at(22)
-	is.True(near(ratio, 1, 0.08)) // 8% a minute: 24% off without the drift
+	is.True(near(ratio, 1, 0.08)) // 8% a minute: 24% off without the trend
 	is.True(near(got[2]/got[1], 1, 0.03))
 }
 
-// Reports overtake each other on the way. An old one that comes last must not
-// set the loads back, or experts would be moved to where they were needed
+// Reports may arrive out of order. An old one that arrives last must not
+// overwrite the loads, or experts would be moved to where they were needed
 // minutes ago.
 func TestOldReportIsIgnored(t *testing.T) {
 	is := is.New(t)
@@ -58,8 +58,9 @@
 	is.Equal(est.Age(minute(7)), 2*time.Minute)
 }
 
-// A report lacks the hottest expert. If the gap counted as no load, all other
-// shares would seem to double and the hot expert would lose its replicas.
+// A report lacks the most loaded expert. If the missing value counted as no
+// load, all other shares would seem to double and that expert would lose its
+// replicas.
 func TestGapKeepsShares(t *testing.T) {
 	is := is.New(t)
 	est := NewEstimator(3, Smoothing{})
@@ -70,7 +71,7 @@
 	is.True(near(got[0], 0.5, 0.01))
 	is.True(near(got[2], 2, 0.01))
 	est.Observe(minute(3), []float64{1})
-	is.Equal(est.Age(minute(3)), time.Minute) // a report of another shape
+	is.Equal(est.Age(minute(3)), time.Minute) // a report of another length is ignored
 }
 
 func TestSuddenChangeIsFollowedAtOnce(t *testing.T) {
--- a/core/experts/expert/expert_test.go
+++ b/core/experts/expert/expert_test.go
@@ -19,7 +19,7 @@
 	update = flag.Bool("update", false, "write the golden files")
 )
 
-// TestMain fixes the seed, so that every run tries the same groups.
+// TestMain fixes the seed, so that every run uses the same groups.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
@@ -44,7 +44,7 @@
 	return loads
 }
 
-// known returns an estimator that has seen the loads for a while.
+// knownLoads returns an estimator that has observed the loads several times.
 func knownLoads(loads []float64) *Estimator {
 	est := NewEstimator(len(loads), Smoothing{})
 	for i := range 5 {
@@ -86,16 +86,16 @@
 	})
 }
 
-// TestSearchKeepsItsBooks compares the sums that the search keeps with those
-// of the map, and its map with the rules, after every step.
+// TestSearchKeepsItsBooks compares the sums that the search maintains with those
+// of the map, and validates its map, after every step.
 func TestSearchKeepsItsBooks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, loads := drawGroup(t)
 		from := Place(g, loads)
 		later := rapid.SliceOfN(rapid.Float64Range(0.01, 10), g.Experts, g.Experts).Draw(t, "later")
 		s := newSearch(g)
-		s.begin(from, later)
-		s.aim()
+		s.setMap(from, later)
+		s.setTargets()
 		short := make([]int, g.Experts)
 		for e := range short {
 			short[e] = s.spread.deficit(int32(e))
@@ -126,7 +126,7 @@
 	})
 }
 
-// TestApportionIsOptimal compares with all ways to give out the slots.
+// TestApportionIsOptimal compares Apportion with all ways to assign the slots.
 func TestApportionIsOptimal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g := newGroup(rapid.IntRange(2, 7).Draw(t, "ranks"), rapid.IntRange(1, 2).Draw(t, "slots"), 2)
@@ -170,7 +170,7 @@
 		zones[e][g.Ranks[i/g.Slots].Zone] = true
 	}
 	for e, n := range m.Replicas(g.Experts) {
-		is.True(len(zones[e]) >= min(n, 2)) // a lost zone leaves a replica
+		is.True(len(zones[e]) >= min(n, 2)) // the failure of a zone leaves a replica
 	}
 }
 
--- a/core/experts/expert/group.go
+++ b/core/experts/expert/group.go
@@ -5,13 +5,13 @@
 // Empty marks a slot that holds no expert.
 const Empty int32 = -1
 
-// Rank is where one rank of a group runs.
+// Rank describes where one rank of a group runs and how fast it is.
 type Rank struct {
 	Server string `json:"server"`
 	Zone   string `json:"zone"`
-	// Pace is how much longer the rank takes for the same work than it should;
-	// 0 means 1. A slow rank holds back the whole group, unless it is given as
-	// much less to do.
+	// Pace is the time that the rank takes for its work relative to the
+	// expected time; 0 means 1. A slow rank delays the whole group unless it
+	// gets correspondingly less work.
 	Pace float64 `json:"pace,omitempty"`
 }
 
@@ -22,7 +22,7 @@
 	return r.Pace
 }
 
-// Group is the fixed shape of an expert-parallel group.
+// Group is the fixed configuration of an expert-parallel group.
 type Group struct {
 	Ranks []Rank `json:"ranks"`
 	// Experts is the number of experts in each layer.
@@ -31,28 +31,28 @@
 	Slots int `json:"slots"`
 	// ExpertBytes is the size of one expert's weights in one layer.
 	ExpertBytes int64 `json:"expert-bytes"`
-	// StoreRate is the group's share of the weight store in bytes a second;
-	// 0 means that the rate isn't known.
+	// StoreRate is the group's share of the weight store's rate in bytes per
+	// second; 0 means unknown.
 	StoreRate int64 `json:"store-rate"`
-	// MinReplicas is the least number of replicas of each expert; 0 means 1.
+	// MinReplicas is the minimum number of replicas of each expert; 0 means 1.
 	MinReplicas int `json:"min-replicas,omitempty"`
 }
 
-// ShapeError says that a map or a group can't be used.
+// ShapeError reports an invalid map or group.
 type ShapeError struct {
 	// Reason is a stable kebab-case word.
 	Reason string
-	// Expert, Rank and Slots are the place and the size, where they apply.
+	// Expert, Rank and Slots locate the error, where they apply.
 	Expert, Rank, Slots int
 }
 
-// Error returns the reason with its place.
+// Error returns the reason and the location.
 func (e *ShapeError) Error() string {
 	return fmt.Sprintf("expert map: %s (expert %d, rank %d, slots %d)", e.Reason, e.Expert, e.Rank, e.Slots)
 }
 
 // Validate returns a *ShapeError when the group has no ranks or its slots
-// can't hold the least number of replicas of every expert.
+// can't hold the minimum number of replicas of every expert.
 func (g *Group) Validate() error {
 	if len(g.Ranks) == 0 || g.Experts <= 0 || g.Slots <= 0 {
 		return &ShapeError{Reason: "empty-group", Slots: g.Slots}
@@ -67,7 +67,7 @@
 
 func (g *Group) minReplicas() int { return max(g.MinReplicas, 1) }
 
-// Map is the placement of one layer: the expert in slot k of rank r stands at
+// Map is the placement of one layer: the expert in slot k of rank r is at index
 // r*Slots+k. A rank holds an expert at most once.
 type Map []int32
 
@@ -117,9 +117,9 @@
 	return nil
 }
 
-// Skew returns the load of the most loaded rank, times its pace, over the mean, for loads per
-// expert in any unit. It is 1 when there is no load. The load of an expert
-// without a replica counts in the mean only.
+// Skew returns the largest product of a rank's load and its pace over the mean
+// load, for loads per expert in any unit. It is 1 when there is no load. The
+// load of an expert without a replica counts in the mean only.
 func (m Map) Skew(g *Group, loads []float64) float64 {
 	n := m.Replicas(g.Experts)
 	total := sum(loads)
@@ -147,11 +147,12 @@
 	// Load and Drop are experts; Drop is Empty for a free slot.
 	Load int32 `json:"load"`
 	Drop int32 `json:"drop"`
-	// Gain is the load that the new replica takes over, in mean rank loads.
+	// Gain is the load that the new replica takes over, in units of the mean
+	// load of a rank.
 	Gain float64 `json:"gain"`
 }
 
-// Apply returns the map with the moves of the given layer made.
+// Apply returns a copy of the map with the moves of the given layer applied.
 func (m Map) Apply(g *Group, layer int, moves []Move) Map {
 	out := append(Map(nil), m...)
 	for _, mv := range moves {
--- a/core/experts/expert/history.go
+++ b/core/experts/expert/history.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Record is one round of planning as operators see it.
+// Record is the outcome of one round of planning, for operators.
 type Record struct {
 	At time.Time `json:"at"`
 	// Skew is the expected skew without the moves, Bound the lower bound.
@@ -11,7 +11,7 @@
 	Moves  int     `json:"moves"`
 	Bytes  int64   `json:"bytes"`
 	Reason Reason  `json:"reason"`
-	// Text is the plan's explanation.
+	// Text is the result of Plan.Explain.
 	Text string `json:"text"`
 }
 
@@ -23,25 +23,25 @@
 	}
 }
 
-// The window and the most records of a History with zero fields.
+// The default values of the fields of a History.
 const (
 	DefaultWindow  = time.Hour
 	DefaultRecords = 720
 )
 
-// History keeps the records of the last hour, oldest first. The zero value is
-// ready to use.
+// History keeps the records of a time window, by default the last hour, oldest
+// first. The zero value is ready to use.
 type History struct {
-	// Window is how far back the history goes; 0 means DefaultWindow.
+	// Window is the maximum age of a record; 0 means DefaultWindow.
 	Window time.Duration
-	// MaxRecords is the most records it keeps; 0 means DefaultRecords.
+	// MaxRecords is the maximum number of records; 0 means DefaultRecords.
 	MaxRecords int
 	records    []Record
 }
 
-// Summary is the history in figures.
+// Summary holds statistics of a History.
 type Summary struct {
-	// MeanSkew and MaxSkew are over the records.
+	// MeanSkew and MaxSkew are taken over all records.
 	MeanSkew float64 `json:"mean-skew"`
 	MaxSkew  float64 `json:"max-skew"`
 	Moves    int     `json:"moves"`
@@ -50,17 +50,18 @@
 	Reasons map[Reason]int `json:"reasons"`
 }
 
-// Add appends a record and drops those that are too old or too many.
+// Add appends a record and removes the oldest ones that exceed the window or
+// the maximum number.
 func (h *History) Add(r Record) {
 	h.records = append(h.records, r)
-	window, most := h.Window, h.MaxRecords
+	window, maxRecords := h.Window, h.MaxRecords
 	if window <= 0 {
 		window = DefaultWindow
 	}
-	if most <= 0 {
-		most = DefaultRecords
+	if maxRecords <= 0 {
+		maxRecords = DefaultRecords
 	}
-	drop := max(len(h.records)-most, 0)
+	drop := max(len(h.records)-maxRecords, 0)
 	for r.At.Sub(h.records[drop].At) > window {
 		drop++
 	}
@@ -70,7 +71,7 @@
 // Records returns a copy of the records, oldest first.
 func (h *History) Records() []Record { return append([]Record(nil), h.records...) }
 
-// Summary returns the figures of the records kept.
+// Summary returns statistics of the stored records.
 func (h *History) Summary() Summary {
 	s := Summary{Reasons: map[Reason]int{}}
 	for _, r := range h.records {
--- a/core/experts/expert/place.go
+++ b/core/experts/expert/place.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Place returns a map made from nothing: replicas by Apportion, then the
-// largest share first onto the least loaded rank with a free slot. It serves
-// for the first map of a group and as the baseline of full re-placement; it
-// doesn't care how many bytes it takes to get there. The loads may be in any
-// unit and must have the group's number of experts.
+// Place computes a map from scratch: the numbers of replicas come from
+// Apportion, then the replicas go, by descending share, to the least loaded
+// rank with a free slot. It serves for the first map of a group and as the
+// baseline of full re-placement; it ignores how many bytes must be loaded to
+// reach the map. The loads may be in any unit; there must be one per expert.
 func Place(g *Group, loads []float64) Map {
 	replicas := Apportion(g, loads)
 	total := sum(loads)
@@ -34,7 +34,7 @@
 	return m
 }
 
-// placing is the state of a placement from nothing.
+// placing is the state of Place.
 type placing struct {
 	group  *Group
 	m      Map
@@ -43,10 +43,10 @@
 	spread *spread
 }
 
-// put places a replica on the least loaded rank that keeps the replicas
-// apart, or failing that on the least loaded one with a free slot. When no
-// rank can take it the slot stays empty: the last free ranks hold the expert
-// already.
+// put places a replica on the least loaded rank that spreads the replicas over
+// failure domains, or otherwise on the least loaded rank with a free slot. When
+// no rank can take it, a slot stays empty: the ranks with a free slot already
+// hold the expert.
 func (p *placing) put(e int32, share float64) {
 	best, apart := -1, false
 	for r := range p.load {
@@ -67,6 +67,7 @@
 	p.spread.add(e, best)
 }
 
+// free reports whether a rank has a free slot and doesn't hold the expert.
 func (p *placing) free(r int, e int32) bool {
 	slots := p.group.Slots
 	return p.used[r] < slots && !holds(p.m[r*slots:r*slots+p.used[r]], e)
--- a/core/experts/expert/plan.go
+++ b/core/experts/expert/plan.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// Layer is what the planner knows of one layer.
+// Layer is the planner's input for one layer.
 type Layer struct {
-	// Map is in force.
+	// Map is the active map.
 	Map   Map
 	Loads *Estimator
 }
 
-// Input is what a plan is made from.
+// Input is the input of Planner.Plan.
 type Input struct {
 	Now    time.Time
 	Layers []Layer
 	// Protected is the number of protected requests in progress.
 	Protected int
-	// Switching says that an earlier plan is still being loaded or switched.
+	// Switching reports that an earlier plan is still being loaded or switched.
 	Switching bool
-	// Spent is what the interval's bounds have been used for already.
+	// Spent is the part of the interval's bounds that is already used.
 	Spent Budget
 }
 
-// Plan is what the planner proposes, or why it proposes nothing.
+// Plan is the planner's proposal, or the reason why it proposes nothing.
 type Plan struct {
 	Moves []Move `json:"moves"`
 	Bytes int64  `json:"bytes"`
@@ -36,17 +36,18 @@
 	SkewAfter  float64 `json:"skew-after"`
 	// Bound is the lower bound on the skew that the slots allow.
 	Bound float64 `json:"bound"`
-	// Seconds is how long the loading takes at the weight store's rate; 0
-	// when the rate isn't known.
+	// Seconds is the loading time at the weight store's rate; 0 when the rate
+	// is unknown.
 	Seconds float64 `json:"seconds"`
 	// Confidence is the mean confidence in the forecast, from 0 to 1.
 	Confidence float64 `json:"confidence"`
 	Reason     Reason  `json:"reason"`
-	// Wanted is how many replicas the planner would load without the bounds
-	// of the confirmed intent. More than len(Moves) asks for a new confirm.
+	// Wanted is how many replicas the planner would load without the bounds of
+	// the confirmed intent. When it exceeds len(Moves), loading the rest needs a
+	// new confirmation.
 	Wanted int `json:"wanted"`
-	// Limit is the value that the reason refers to: the least gain or the
-	// greatest number.
+	// Limit is the value that the reason refers to: a minimum gain or
+	// confidence, or a maximum number.
 	Limit float64 `json:"limit,omitempty"`
 }
 
@@ -56,17 +57,17 @@
 	Policy Policy
 	search *search
 	loads  forecast
-	// price is the cost weight in use: the policy's, or a higher one where
-	// the bounds don't allow all that is worth the policy's.
-	price float64
-	// urgent says that only lost experts may be loaded.
-	urgent bool
+	// costWeight is the cost weight in use: the policy's, or a higher one when
+	// the bounds don't allow everything that is worth its cost at the policy's.
+	costWeight float64
+	// restoreOnly reports that only experts with too few replicas may be loaded.
+	restoreOnly bool
 }
 
-// forecast holds the expected loads of a layer when a plan would come into
-// force, at the end of the horizon, and between.
+// forecast holds the expected loads of a layer: when the plan would become
+// active, at the end of the horizon, and the mean of both.
 type forecast struct {
-	soon, end, mean []float64
+	start, end, mean []float64
 }
 
 // NewPlanner returns a planner for a group that passed Validate.
@@ -75,14 +76,14 @@
 }
 
 // Plan returns the moves that are worth their cost within the confirmed
-// bounds. Without moves, Reason says why. The expected gain over the horizon,
-// times the confidence, must exceed the cost of the bytes, layer by layer;
-// the layers with the most worth per replica come first when the bounds don't
-// allow all. Experts without the least number of replicas are restored
-// whatever it costs, within the bounds.
+// bounds. Without moves, Reason says why. In each layer, the expected gain over
+// the horizon, times the confidence, must exceed the cost of the bytes; the
+// layers with the largest net gain per replica come first when the bounds don't
+// allow all moves. Experts with too few replicas are restored at any cost,
+// within the bounds.
 func (p *Planner) Plan(in Input) Plan {
 	plan := Plan{}
-	p.price, p.urgent = p.Policy.Cost, false
+	p.costWeight, p.restoreOnly = p.Policy.Cost, false
 	proposals := make([]proposal, 0, len(in.Layers))
 	for i, layer := range in.Layers {
 		if len(layer.Map) != p.Group.size() || layer.Loads == nil || len(layer.Loads.level) != p.Group.Experts {
@@ -96,27 +97,30 @@
 		plan.Wanted += pr.loads
 	}
 	plan.SkewAfter = plan.SkewBefore
-	if reason, limit := p.wait(in, proposals); reason != Moving {
+	if reason, limit := p.blockingReason(in, proposals); reason != Moving {
 		plan.Reason, plan.Limit = reason, limit
 		return plan
 	}
-	left := in.Spent.left(in.Now, p.Policy, p.Group.ExpertBytes)
-	p.urgent = p.protected(in)
-	if p.price = p.fitting(proposals, left); p.price > p.Policy.Cost || p.urgent {
-		p.again(in, proposals)
+	remaining := in.Spent.remaining(in.Now, p.Policy, p.Group.ExpertBytes)
+	p.restoreOnly = p.protected(in)
+	if p.costWeight = p.costWeightWithin(proposals, remaining); p.costWeight > p.Policy.Cost || p.restoreOnly {
+		p.reviseProposals(in, proposals)
 	}
-	if p.urgent {
-		// The rest waits for the protected work, not for a new confirm.
+	if p.restoreOnly {
+		// The rest waits for the protected work, not for a new confirmation.
 		plan.Wanted = loads(proposals)
 	}
-	p.take(&plan, in, proposals, left)
+	p.fillPlan(&plan, in, proposals, remaining)
 	return plan
 }
 
+// protected reports whether too much protected work is in progress to move
+// experts.
 func (p *Planner) protected(in Input) bool {
 	return p.Policy.Protect && in.Protected > p.Policy.MaxProtected
 }
 
+// loads returns the number of replicas that the proposals load.
 func loads(proposals []proposal) int {
 	total := 0
 	for _, pr := range proposals {
@@ -125,13 +129,14 @@
 	return total
 }
 
-// again proposes anew at the price, or only what is urgent.
-func (p *Planner) again(in Input, proposals []proposal) {
+// reviseProposals replaces the proposals by those at the current cost weight,
+// or only by those that restore experts.
+func (p *Planner) reviseProposals(in Input, proposals []proposal) {
 	for i, pr := range proposals {
 		if pr.loads == 0 {
 			continue
 		}
-		if p.urgent && !pr.forced {
+		if p.restoreOnly && !pr.forced {
 			proposals[i].loads, proposals[i].moves = 0, nil
 			continue
 		}
@@ -139,8 +144,9 @@
 	}
 }
 
-// wait returns the reason that holds the whole group back, or Moving.
-func (p *Planner) wait(in Input, proposals []proposal) (Reason, float64) {
+// blockingReason returns the reason for not changing the group at all, or
+// Moving.
+func (p *Planner) blockingReason(in Input, proposals []proposal) (Reason, float64) {
 	if in.Switching {
 		return SwitchInProgress, 0
 	}
@@ -150,7 +156,7 @@
 		forced = forced || pr.forced
 	}
 	if !moving {
-		return common(proposals)
+		return mostCommonReason(proposals)
 	}
 	if p.protected(in) && !forced {
 		return ProtectedWork, float64(p.Policy.MaxProtected)
@@ -158,9 +164,9 @@
 	return Moving, 0
 }
 
-// common returns the reason that most layers give.
-func common(proposals []proposal) (Reason, float64) {
-	var count [reasons]int
+// mostCommonReason returns the most common reason of the layers.
+func mostCommonReason(proposals []proposal) (Reason, float64) {
+	var count [reasonCount]int
 	best := proposal{reason: Balanced}
 	for _, pr := range proposals {
 		count[pr.reason]++
@@ -171,8 +177,8 @@
 	return best.reason, best.limit
 }
 
-// take fills the plan with proposals until the bounds are reached.
-func (p *Planner) take(plan *Plan, in Input, proposals []proposal, left int) {
+// fillPlan adds proposals to the plan until the bounds are reached.
+func (p *Planner) fillPlan(plan *Plan, in Input, proposals []proposal, left int) {
 	slices.SortStableFunc(proposals, func(a, b proposal) int {
 		if a.forced != b.forced {
 			if a.forced {
@@ -203,19 +209,19 @@
 	}
 }
 
-// workPerLayer bounds the steps of a search by the slots of a layer, because
-// the time of a step grows with them.
+// workPerLayer divided by the slots of a layer is the maximum number of steps
+// of a search, but at least minSteps: the time of a step grows with the slots.
 const (
 	workPerLayer = 57344
-	leastSteps   = 16
+	minSteps     = 16
 )
 
-// fill forecasts the loads for the time a plan comes into force.
-func (f *forecast) fill(est *Estimator, soon time.Time, horizon time.Duration) {
-	f.soon = est.Forecast(f.soon, soon)
-	f.end = est.Forecast(f.end, soon.Add(horizon))
+// fill forecasts the loads from the time at which a plan becomes active.
+func (f *forecast) fill(est *Estimator, start time.Time, horizon time.Duration) {
+	f.start = est.Forecast(f.start, start)
+	f.end = est.Forecast(f.end, start.Add(horizon))
 	f.mean = f.mean[:0]
-	for e := range f.soon {
-		f.mean = append(f.mean, (f.soon[e]+f.end[e])/2)
+	for e := range f.start {
+		f.mean = append(f.mean, (f.start[e]+f.end[e])/2)
 	}
 }
--- a/core/experts/expert/plan_test.go
+++ b/core/experts/expert/plan_test.go
@@ -15,8 +15,8 @@
 	"github.com/matryer/is"
 )
 
-// TestReasons holds what operators read against a golden file, for each
-// reason to move or not to move.
+// TestReasons compares the explanations for operators with a golden file, for
+// each reason to move or not to move.
 func TestReasons(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(8, 2, 8)
@@ -73,7 +73,7 @@
 
 func TestReasonText(t *testing.T) {
 	is := is.New(t)
-	for r := Balanced; r < reasons; r++ {
+	for r := Balanced; r < reasonCount; r++ {
 		text, err := json.Marshal(r)
 		is.NoErr(err)
 		var back Reason
@@ -84,9 +84,10 @@
 	is.True(json.Unmarshal([]byte(`"because"`), &r) != nil)
 }
 
-// closing runs a planner over loads that change by the minute, each plan in
-// force a minute later, and returns the skews after the given minute.
-func closing(g *Group, p Policy, minutes, from int, loads func(i int) []float64) (skews []float64, moves int) {
+// simulate runs a planner over loads that change every minute, where each plan
+// is active a minute later, and returns the skews from the given minute on and
+// the number of moves.
+func simulate(g *Group, p Policy, minutes, from int, loads func(i int) []float64) (skews []float64, moves int) {
 	m := Place(g, loads(0))
 	planner := NewPlanner(g, p)
 	est := NewEstimator(g.Experts, Smoothing{})
@@ -112,10 +113,10 @@
 	return w
 }
 
-// Captions give way to obituaries within half an hour. Step by step, the
-// search takes the companions of a warming expert off its ranks until the
-// expert fills them alone; then no rank has room for another replica, and the
-// group runs a fifth slower for the rest of the closing.
+// The mix of work changes within half an hour. Step by step, the search moves
+// the other experts off the ranks of an expert whose load rises, until that
+// expert fills them alone; then no rank has capacity for another replica, and
+// the group stays a fifth slower.
 func TestWarmingExpertsAreSplitInTime(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(7, 0))
@@ -124,7 +125,7 @@
 	loads := make([]float64, 128)
 	p := Lightbox()
 	p.Cost = 0.3
-	skews, _ := closing(g, p, 60, 45, func(i int) []float64 {
+	skews, _ := simulate(g, p, 60, 45, func(i int) []float64 {
 		b := 1 / (1 + math.Exp(-0.15*float64(i-30)))
 		for e := range loads {
 			loads[e] = ((1-b)*first[e] + b*second[e]) * (1 + 0.01*rng.NormFloat64())
@@ -134,15 +135,15 @@
 	is.True(worst(skews) < 1.07)
 }
 
-// The mix changes from one minute to the next. Few replicas a minute would
-// leave a straggler in every step for a quarter of an hour; a map made anew
-// is cheaper than that, although it loads nearly everything.
+// The mix changes from one minute to the next. Moving few replicas per minute
+// would leave a straggler in every step for a quarter of an hour; a map computed
+// from scratch is cheaper, although it loads nearly everything.
 func TestSuddenSwapIsRenewed(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(8, 0))
 	g := newGroup(256, 4, 128)
 	first, second := randomLoads(rng, 128, 0.8), randomLoads(rng, 128, 0.8)
-	skews, _ := closing(g, Lightbox(), 12, 11, func(i int) []float64 {
+	skews, _ := simulate(g, Lightbox(), 12, 11, func(i int) []float64 {
 		if i < 10 {
 			return first
 		}
@@ -151,9 +152,9 @@
 	is.True(worst(skews) < 1.05) // one plan later
 }
 
-// The loads tremble by a percent and nothing else happens. Without hysteresis
-// the planner would load replicas in every interval, for a gain that the next
-// interval takes back.
+// The loads fluctuate by 1% and are stable otherwise. Without hysteresis the
+// planner would load replicas in every interval, for a gain that is lost in the
+// next one.
 func TestNoiseMovesLittle(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(9, 0))
@@ -162,7 +163,7 @@
 	loads := make([]float64, 32)
 	p := Lakeshore()
 	p.Cost, p.MinGain = 0, 0.05 // the hysteresis alone
-	_, moves := closing(g, p, 60, 0, func(int) []float64 {
+	_, moves := simulate(g, p, 60, 0, func(int) []float64 {
 		for e := range loads {
 			loads[e] = base[e] * (1 + 0.01*rng.NormFloat64())
 		}
@@ -171,9 +172,9 @@
 	is.Equal(moves, 0)
 }
 
-// An operator has confirmed a bound, and the planner is asked four times in
-// one interval. If each plan started from a fresh bound, four times as much
-// would be loaded as was confirmed.
+// An operator has confirmed a bound, and the planner runs four times in one
+// interval. If each plan started with the full bound, four times as much as
+// confirmed would be loaded.
 func TestBoundsHoldOverAnInterval(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(32, 2, 16)
@@ -207,9 +208,9 @@
 	}
 }
 
-// Four layers have the same straggler, and the confirmed bound allows a tenth
-// of what would even them all out. Spent on one layer, it would leave the
-// stragglers of the three others in every step.
+// Four layers have the same straggler, and the confirmed bound allows a tenth of
+// what would balance them all. Spent on one layer, it would leave the stragglers
+// of the other three in every step.
 func TestBoundsAreSpentWhereTheySaveMost(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(64, 4, 32)
@@ -234,9 +235,9 @@
 	is.True(count[0] > 0)
 }
 
-// A server with the only replicas of two experts is lost, and protected work
-// is in progress. Requests for these experts fail until a replica is loaded,
-// so that neither the cost nor the protected work may hold it back.
+// A server with the only replicas of two experts fails while protected work is
+// in progress. Requests for these experts fail until a replica is loaded, so
+// neither the cost nor the protected work may delay it.
 func TestLostExpertsComeBack(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(8, 2, 8)
--- a/core/experts/expert/policy.go
+++ b/core/experts/expert/policy.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Policy is how an operator weighs skew against moves, with the bounds that
-// the operator has confirmed.
+// Policy holds an operator's weights for skew and for moves, with the bounds
+// that the operator has confirmed.
 type Policy struct {
-	// Skew is what a skew of 1 over the horizon is worth, and Cost what
-	// loading every slot of a layer once is worth, on the same scale. Only
-	// their ratio matters.
+	// Skew is the weight of a skew of 1 over the horizon, and Cost the weight of
+	// loading every slot of a layer once, on the same scale. Only their ratio
+	// matters.
 	Skew float64 `json:"skew"`
 	Cost float64 `json:"cost"`
-	// MinGain is the least skew that a change of a layer must save over the
-	// horizon: the hysteresis that keeps noise from moving experts.
+	// MinGain is the minimum reduction of the skew over the horizon that a
+	// change to a layer must bring. This hysteresis prevents moves due to noise.
 	MinGain float64 `json:"min-gain"`
-	// Horizon is how long the gain of a plan is counted.
+	// Horizon is the time over which the gain of a plan is counted.
 	Horizon time.Duration `json:"horizon"`
-	// Lead is the time from planning to the switch, beside the loading.
+	// Lead is the time from planning to the switch, without the loading.
 	Lead time.Duration `json:"lead"`
-	// MinConfidence is the least confidence in the loads of a layer that
-	// allows a change of it.
+	// MinConfidence is the minimum confidence in the loads of a layer that
+	// allows a change to it.
 	MinConfidence float64 `json:"min-confidence"`
 	// Protect makes the planner wait while more than MaxProtected requests
 	// of protected work are in progress.
 	Protect      bool `json:"protect,omitempty"`
 	MaxProtected int  `json:"max-protected,omitempty"`
-	// Interval, MaxBytes and MaxMoves are the confirmed bounds: in each
-	// interval at most so many bytes and replicas are loaded; 0 means no
-	// bound.
+	// Interval, MaxBytes and MaxMoves are the confirmed bounds: at most
+	// MaxBytes bytes and MaxMoves replicas are loaded in each interval; 0 means
+	// no bound.
 	Interval time.Duration `json:"interval"`
 	MaxBytes int64         `json:"max-bytes,omitempty"`
 	MaxMoves int           `json:"max-moves,omitempty"`
 }
 
-// Lightbox returns the preset that weighs skew more: urgent notices can't
-// wait behind a slow rank.
+// Lightbox returns the preset that gives more weight to skew: urgent notices
+// can't wait for a slow rank.
 func Lightbox() Policy {
 	return Policy{
 		Skew: 1, Cost: 0.03, MinGain: 0.002, MinConfidence: 0.1,
@@ -41,9 +41,9 @@
 	}
 }
 
-// Lakeshore returns the preset that weighs the cost of moves more: a move in
-// the middle of a draft puts the draft at risk. It waits while more than
-// eight protected requests are in progress.
+// Lakeshore returns the preset that gives more weight to the cost of moves: a
+// move during a draft puts the draft at risk. It waits while more than eight
+// protected requests are in progress.
 func Lakeshore() Policy {
 	return Policy{
 		Skew: 1, Cost: 1, MinGain: 0.01, MinConfidence: 0.25,
@@ -52,14 +52,14 @@
 	}
 }
 
-// Budget is what has been spent of the confirmed bounds in an interval.
+// Budget is the part of the confirmed bounds that is used in an interval.
 type Budget struct {
 	Start time.Time `json:"start"`
 	Bytes int64     `json:"bytes"`
 	Moves int       `json:"moves"`
 }
 
-// Spend returns the budget after a plan that was started.
+// Spend returns the budget after a plan has started.
 func (b Budget) Spend(now time.Time, p Policy, plan Plan) Budget {
 	b = b.at(now, p)
 	b.Bytes += plan.Bytes
@@ -67,7 +67,7 @@
 	return b
 }
 
-// at returns the budget of the interval that now falls in.
+// at returns the budget of the interval that contains now.
 func (b Budget) at(now time.Time, p Policy) Budget {
 	if b.Start.IsZero() || now.Sub(b.Start) >= p.Interval {
 		return Budget{Start: now}
@@ -75,18 +75,18 @@
 	return b
 }
 
-// left returns how many replicas may still be loaded in the interval, and
-// unbounded for no bound.
-func (b Budget) left(now time.Time, p Policy, expertBytes int64) int {
+// remaining returns how many replicas may still be loaded in the interval, or
+// unbounded when there is no bound.
+func (b Budget) remaining(now time.Time, p Policy, expertBytes int64) int {
 	b = b.at(now, p)
-	left := unbounded
+	remaining := unbounded
 	if p.MaxMoves > 0 {
-		left = min(left, max(p.MaxMoves-b.Moves, 0))
+		remaining = min(remaining, max(p.MaxMoves-b.Moves, 0))
 	}
 	if p.MaxBytes > 0 && expertBytes > 0 {
-		left = min(left, int(max(p.MaxBytes-b.Bytes, 0)/expertBytes))
+		remaining = min(remaining, int(max(p.MaxBytes-b.Bytes, 0)/expertBytes))
 	}
-	return left
+	return remaining
 }
 
 const unbounded = 1 << 30
--- a/core/experts/expert/price.go
+++ b/core/experts/expert/price.go
@@ -1,50 +1,50 @@
 package expert
 
-// point is what a number of loaded replicas makes of a layer's skew.
+// point is the skew of a layer after a number of replicas is loaded.
 type point struct {
 	skew  float64
 	loads int
 }
 
-// points returns what the steps of a search lead to, and a map made anew when
-// it loads anything.
-func (s *search) points(start, renewed point) []point {
+// points returns the points after the steps of a search, and that of a rebuilt
+// map when it loads anything.
+func (s *search) points(start, rebuilt point) []point {
 	points := []point{start}
 	for _, st := range s.steps {
 		if st.loads >= start.loads {
 			points = append(points, point{skew: st.skew, loads: st.loads})
 		}
 	}
-	if renewed.loads > 0 {
-		points = append(points, renewed)
+	if rebuilt.loads > 0 {
+		points = append(points, rebuilt)
 	}
 	return points
 }
 
-// The search for a price: doublings from the first one on, then halvings of
-// the last doubling.
+// The search for a cost weight doubles it, from firstCostWeight on, and then
+// bisects the last doubling.
 const (
-	firstPrice = 0.001
-	doublings  = 24
-	halvings   = 5
+	firstCostWeight = 0.001
+	doublings       = 24
+	halvings        = 5
 )
 
-// fitting returns the lowest cost weight, from the policy's on, at which the
-// layers together load no more than what is left of the bounds. One price for
-// all layers spends the bytes where they save the most skew. Cutting off each
-// layer's plan where the bounds end was tried: it spent them on the finish of
-// some layers while others kept their stragglers.
-func (p *Planner) fitting(proposals []proposal, left int) float64 {
+// costWeightWithin returns the lowest cost weight, at least the policy's, at
+// which the layers together load no more than what is left of the bounds. One
+// cost weight for all layers spends the bytes where they reduce the skew most.
+// Truncating each layer's plan at the bounds was tried: it spent them on the
+// last small gains in some layers while others kept their stragglers.
+func (p *Planner) costWeightWithin(proposals []proposal, left int) float64 {
 	low := p.Policy.Cost
-	if p.wanted(proposals, low) <= left {
+	if p.loadsAtCost(proposals, low) <= left {
 		return low
 	}
-	high := max(low, firstPrice)
-	for i := 0; i < doublings && p.wanted(proposals, high) > left; i++ {
+	high := max(low, firstCostWeight)
+	for i := 0; i < doublings && p.loadsAtCost(proposals, high) > left; i++ {
 		low, high = high, 2*high
 	}
 	for range halvings {
-		if middle := (low + high) / 2; p.wanted(proposals, middle) > left {
+		if middle := (low + high) / 2; p.loadsAtCost(proposals, middle) > left {
 			low = middle
 		} else {
 			high = middle
@@ -53,8 +53,8 @@
 	return high
 }
 
-// wanted returns how many replicas the layers would load at a price.
-func (p *Planner) wanted(proposals []proposal, price float64) int {
+// loadsAtCost returns how many replicas the layers would load at a cost weight.
+func (p *Planner) loadsAtCost(proposals []proposal, costWeight float64) int {
 	total := 0
 	for _, pr := range proposals {
 		if pr.loads == 0 || len(pr.points) == 0 {
@@ -62,7 +62,7 @@
 		}
 		best, value := 0, 0.0
 		for i, pt := range pr.points {
-			v := p.Policy.Skew*pt.skew + price*float64(pt.loads)/float64(p.Group.size())
+			v := p.Policy.Skew*pt.skew + costWeight*float64(pt.loads)/float64(p.Group.size())
 			if i == 0 || v < value {
 				best, value = pt.loads, v
 			}
--- a/core/experts/expert/reason.go
+++ b/core/experts/expert/reason.go
@@ -5,32 +5,32 @@
 	"fmt"
 )
 
-// Reason says why a plan moves experts, or why it doesn't.
+// Reason is the reason why a plan moves experts or doesn't.
 type Reason int
 
-// The reasons. Moving and BoundReached come with moves, unless nothing is
-// left of the bounds.
+// The reasons. Plans with Moving or BoundReached have moves, unless the bounds
+// are used up.
 const (
-	// Balanced says that no change is known that lowers the skew enough.
+	// Balanced means that no known change reduces the skew enough.
 	Balanced Reason = iota
-	// Moving says that the moves are worth their cost.
+	// Moving means that the moves are worth their cost.
 	Moving
-	// GainBelowCost says that the expected gain over the horizon is less than
-	// the cost of the bytes, or than the hysteresis.
+	// GainBelowCost means that the expected gain over the horizon is less than
+	// the cost of the bytes or than the hysteresis.
 	GainBelowCost
-	// StaleLoads says that the load reports are too old, too few or too far
-	// off to plan with.
+	// StaleLoads means that the load reports are too old, too few or too
+	// inaccurate for planning.
 	StaleLoads
-	// ProtectedWork says that too much protected work is in progress.
+	// ProtectedWork means that too much protected work is in progress.
 	ProtectedWork
-	// SwitchInProgress says that an earlier plan hasn't come into force yet.
+	// SwitchInProgress means that an earlier plan isn't active yet.
 	SwitchInProgress
-	// BoundReached says that the confirmed bounds allow only a part of what
-	// the planner would load: the rest needs a new confirm.
+	// BoundReached means that the confirmed bounds allow only a part of what
+	// the planner would load: the rest needs a new confirmation.
 	BoundReached
-	// InvalidInput says that a map or the loads don't fit the group.
+	// InvalidInput means that a map or the loads don't match the group.
 	InvalidInput
-	reasons
+	reasonCount
 )
 
 var reasonNames = [...]string{
@@ -39,19 +39,19 @@
 	InvalidInput: "invalid-input",
 }
 
-// String returns the reason as a kebab-case word.
+// String returns the reason in kebab case.
 func (r Reason) String() string {
-	if r < 0 || r >= reasons {
+	if r < 0 || r >= reasonCount {
 		return fmt.Sprintf("reason(%d)", int(r))
 	}
 	return reasonNames[r]
 }
 
-// MarshalText writes the reason as a kebab-case word.
+// MarshalText encodes the reason in kebab case.
 func (r Reason) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText reads what MarshalText wrote; another word is a
-// *json.UnsupportedValueError.
+// UnmarshalText decodes the output of MarshalText. It returns a
+// *json.UnsupportedValueError for any other text.
 func (r *Reason) UnmarshalText(text []byte) error {
 	for i, name := range reasonNames {
 		if name == string(text) {
--- a/core/experts/expert/rebalance.go
+++ b/core/experts/expert/rebalance.go
@@ -1,30 +1,31 @@
 package expert
 
-// Limits bound what one change of a group's maps may load.
+// Limits bounds what one change to a group's maps may load.
 type Limits struct {
 	// PerLayer is how many experts of one layer may be new to a rank: engines
-	// keep that many places free beside the map in use. 0 means no limit.
+	// keep that many slots free beside the active map. 0 means no limit.
 	PerLayer int
-	// PerRank is the same over all layers. It bounds how long the copies of a
-	// change take. 0 means no limit.
+	// PerRank is how many experts of all layers together may be new to a rank.
+	// It bounds the copying time of a change. 0 means no limit.
 	PerRank int
-	// TargetSkew is the skew at which a layer is left alone: what lies below it is
-	// not worth the copies. 0 means as low as can be.
+	// TargetSkew is the skew at or below which a layer is not changed, because a
+	// further reduction is not worth the copies. 0 means the lowest possible.
 	TargetSkew float64
-	// MaxSteps bounds the work on one layer; 0 means defaultSteps.
+	// MaxSteps is the maximum number of search steps per layer; 0 means
+	// defaultSteps.
 	MaxSteps int
 }
 
-// defaultSteps is enough for a layer whose mix of work has changed altogether;
-// later steps gain less than a hundredth.
+// defaultSteps is enough for a layer whose mix of work has changed completely;
+// later steps gain less than 1%.
 const defaultSteps = 48
 
-// Rebalance returns better maps for all layers of a group within limits, with
-// the mean skew of the layers before and after.
+// Rebalance returns maps with a lower skew for all layers of a group, within
+// the limits, and the mean skew of the layers before and after.
 //
-// It always works on the layer with the highest skew, so that a limit that
-// layers share goes to where it gains most: a step of the group lasts as long
-// as the sum of its layers, each as long as its most loaded rank.
+// It always improves the layer with the highest skew, so that the limit that the
+// layers share is used where it gains most: the duration of a step of the group
+// is the sum over its layers, each determined by its most loaded rank.
 func Rebalance(g *Group, maps []Map, loads [][]float64, lim Limits) (next []Map, before, after float64) {
 	shared := &quota{perLayer: lim.PerLayer, perRank: lim.PerRank, rank: make([]int, len(g.Ranks))}
 	steps := lim.MaxSteps
@@ -35,9 +36,9 @@
 	for i, m := range maps {
 		s := newSearch(g)
 		s.quota = shared
-		s.fresh = make([]int, len(g.Ranks))
-		s.begin(m, loads[i])
-		s.aim()
+		s.newOnRank = make([]int, len(g.Ranks))
+		s.setMap(m, loads[i])
+		s.setTargets()
 		layers[i] = s
 		before += s.rank[s.worst()] / float64(len(maps))
 	}
@@ -66,28 +67,29 @@
 	return best
 }
 
-// quota counts the experts that are new to each rank.
+// quota limits and counts the experts that are new to each rank.
 type quota struct {
 	perLayer, perRank int
-	// rank counts over all layers.
+	// rank is the count by rank, over all layers.
 	rank []int
 }
 
-// mayLoad reports whether a rank may get an expert that it does not hold yet.
+// mayLoad reports whether the quota allows a rank to get an expert. Experts that
+// it held in the initial map are always allowed.
 func (s *search) mayLoad(e int32, r int) bool {
 	q := s.quota
-	if q == nil || s.extra(e, r) == 0 {
+	if q == nil || s.loadsNeeded(e, r) == 0 {
 		return true
 	}
-	return (q.perLayer == 0 || s.fresh[r] < q.perLayer) && (q.perRank == 0 || q.rank[r] < q.perRank)
+	return (q.perLayer == 0 || s.newOnRank[r] < q.perLayer) && (q.perRank == 0 || q.rank[r] < q.perRank)
 }
 
-// count keeps the number of new experts of a rank.
+// count updates the number of new experts of a rank.
 func (s *search) count(e int32, r, change int) {
 	if s.quota == nil {
 		return
 	}
-	n := change * s.extra(e, r)
-	s.fresh[r] += n
+	n := change * s.loadsNeeded(e, r)
+	s.newOnRank[r] += n
 	s.quota.rank[r] += n
 }
--- a/core/experts/expert/rebalance_test.go
+++ b/core/experts/expert/rebalance_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// skewed returns loads of a few popular topics.
+// skewed returns loads that follow a power law, in random order.
 func skewed(rng *rand.Rand, experts int) []float64 {
 	loads := make([]float64, experts)
 	for i, e := range rng.Perm(experts) {
@@ -17,7 +17,8 @@
 	return loads
 }
 
-func inTurn(g *Group) Map {
+// roundRobin returns a map that places the experts on the ranks in turn.
+func roundRobin(g *Group) Map {
 	m := NewMap(g)
 	used := make([]int, len(g.Ranks))
 	for e := range g.Experts {
@@ -32,8 +33,9 @@
 	return &Group{Ranks: make([]Rank, 16), Experts: 64, Slots: 5}
 }
 
-// A change may make only so many experts new to a rank. Repeated changes must
-// still come near the bound, and each must keep every expert placed.
+// The number of experts that one change may make new to a rank is limited.
+// Repeated changes must still come close to the lower bound, and each must keep
+// every expert placed.
 func TestRebalanceWithinLimits(t *testing.T) {
 	is := is.New(t)
 	g := group16()
@@ -41,7 +43,7 @@
 		g.Ranks[i].Server = string(rune('a' + i))
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
-	maps := []Map{inTurn(g), inTurn(g), inTurn(g), inTurn(g)}
+	maps := []Map{roundRobin(g), roundRobin(g), roundRobin(g), roundRobin(g)}
 	loads := [][]float64{skewed(rng, 64), skewed(rng, 64), skewed(rng, 64), skewed(rng, 64)}
 	lim := Limits{PerLayer: 2, PerRank: 4}
 	var skew float64
@@ -84,7 +86,7 @@
 			var maps []Map
 			var loads [][]float64
 			for range size.layers {
-				maps = append(maps, inTurn(g))
+				maps = append(maps, roundRobin(g))
 				loads = append(loads, skewed(rng, size.experts))
 			}
 			b.ReportAllocs()
@@ -97,8 +99,8 @@
 	}
 }
 
-// A rank that runs at a third of its speed holds back the whole group, though
-// its experts are no busier than others. It must get about a third of the work.
+// A rank that runs at a third of its speed delays the whole group, although its
+// experts have no more load than others. It must get about a third of the work.
 func TestRebalanceSlowRank(t *testing.T) {
 	is := is.New(t)
 	g := group16()
@@ -107,7 +109,7 @@
 	}
 	g.Ranks[3].Pace = 3
 	rng := rand.New(rand.NewPCG(3, 4))
-	maps, loads := []Map{inTurn(g)}, [][]float64{skewed(rng, 64)}
+	maps, loads := []Map{roundRobin(g)}, [][]float64{skewed(rng, 64)}
 	for range 6 {
 		maps, _, _ = Rebalance(g, maps, loads, Limits{PerLayer: 2, PerRank: 4})
 		is.NoErr(maps[0].Validate(g))
@@ -118,8 +120,8 @@
 }
 
 // A rank becomes seven times slower while the group is well balanced. One change
-// may load few experts onto it or anywhere; it has to take most of the work off
-// the slow rank all the same.
+// may load only few experts on any rank, but must still move most of the work
+// off the slow rank.
 func TestRebalanceRelievesSlowRankAtOnce(t *testing.T) {
 	is := is.New(t)
 	g := group16()
@@ -127,7 +129,7 @@
 		g.Ranks[i].Server = string(rune('a' + i))
 	}
 	rng := rand.New(rand.NewPCG(5, 6))
-	maps, loads := []Map{inTurn(g), inTurn(g)}, [][]float64{skewed(rng, 64), skewed(rng, 64)}
+	maps, loads := []Map{roundRobin(g), roundRobin(g)}, [][]float64{skewed(rng, 64), skewed(rng, 64)}
 	lim := Limits{PerLayer: 2, PerRank: 3}
 	for range 4 {
 		maps, _, _ = Rebalance(g, maps, loads, lim)
--- a/core/experts/expert/recent.go
+++ b/core/experts/expert/recent.go
@@ -5,68 +5,68 @@
 	"time"
 )
 
-// RecentLoads keeps how much each expert of a layer was chosen lately. It sums
-// counts that are read first-hand several times a second and forgets them with
-// a time constant, where an Estimator forecasts from late reports with gaps.
+// RecentLoads tracks how often each expert of a layer was chosen recently. It
+// sums counts that are read directly several times a second, with exponential
+// decay, whereas an Estimator forecasts from late reports with gaps.
 type RecentLoads struct {
-	// TimeConstant is the time constant of forgetting.
+	// TimeConstant is the time constant of the decay.
 	TimeConstant time.Duration
 
 	loads []float64
 	at    time.Time
-	// usual is how much the counts of one call differ from the loads on average:
-	// 0 for the same proportions, 1 for none in common.
-	usual float64
+	// baseline is the average difference between the counts of one call and the
+	// loads: 0 for the same proportions, 1 for no expert in common.
+	baseline float64
 }
 
 const (
-	// shiftFactor is how many times the usual difference shows that other experts
-	// are in demand, and shiftKeep the part of the loads that is kept then: what
-	// was counted before would hide the change for a memory's time. One call after
-	// a shift the loads differ by 0.10 from the new mix, without this by 0.38
-	// (TestLoadsFollowAShift).
+	// shiftFactor is the multiple of the baseline difference above which the
+	// demand is considered to have shifted to other experts, and shiftKeep the
+	// fraction of the loads that is retained then: older counts would hide the
+	// shift for about one time constant. One call after a shift the loads differ
+	// by 0.10 from the new mix, without this by 0.38 (TestLoadsFollowAShift).
 	shiftFactor = 1.3
 	shiftKeep   = 0.1
-	// usualGain is the weight of one call in the usual difference.
-	usualGain = 0.05
+	// baselineGain is the weight of one call in the baseline difference.
+	baselineGain = 0.05
 )
 
-// shifted reports whether the counts of a call show that other experts are in
-// demand, and learns what is usual.
+// shifted reports whether the counts of a call show a shift of the demand to
+// other experts. If not, it updates the baseline.
 func (r *RecentLoads) shifted(chosen []float64) bool {
 	a, b := sum(r.loads), sum(chosen)
 	if a <= 0 || len(r.loads) != len(chosen) {
 		return false
 	}
-	differ := 0.0
+	difference := 0.0
 	for e, n := range chosen {
-		differ += math.Abs(r.loads[e]/a - n/b)
+		difference += math.Abs(r.loads[e]/a - n/b)
 	}
-	differ /= 2
-	if r.usual == 0 {
-		r.usual = differ
+	difference /= 2
+	if r.baseline == 0 {
+		r.baseline = difference
 		return false
 	}
-	if differ > shiftFactor*r.usual {
+	if difference > shiftFactor*r.baseline {
 		return true
 	}
-	r.usual += usualGain * (differ - r.usual)
+	r.baseline += baselineGain * (difference - r.baseline)
 	return false
 }
 
-// SetPrior sets the loads before the first call of Observe, as far as they are
-// guessed. The total says for how much work the guess stands.
-func (r *RecentLoads) SetPrior(guess []float64, total float64) {
-	r.loads = append([]float64(nil), guess...)
-	if s := sum(guess); s > 0 {
+// SetPrior sets an estimate of the loads before the first call of Observe. The
+// total is the number of choices that the estimate counts as.
+func (r *RecentLoads) SetPrior(estimate []float64, total float64) {
+	r.loads = append([]float64(nil), estimate...)
+	if s := sum(estimate); s > 0 {
 		for e := range r.loads {
 			r.loads[e] *= total / s
 		}
 	}
 }
 
-// Observe adds what was chosen since the last call. A time without any work is
-// no time: what was chosen before it is still the best guess after it.
+// Observe adds the counts since the last call. The loads don't decay while there
+// is no work: the earlier counts are still the best estimate afterwards.
 func (r *RecentLoads) Observe(now time.Time, chosen []float64) {
 	if sum(chosen) <= 0 {
 		r.at = now
--- a/core/experts/expert/recent_test.go
+++ b/core/experts/expert/recent_test.go
@@ -9,7 +9,7 @@
 	"github.com/matryer/is"
 )
 
-// drawn returns counts of n choices by given proportions.
+// drawn returns the counts of n random choices with the given proportions.
 func drawn(rng *rand.Rand, loads []float64, n int) []float64 {
 	total, counts := sum(loads), make([]float64, len(loads))
 	for range n {
@@ -24,7 +24,7 @@
 	return counts
 }
 
-// distance is how much two loads differ, from 0 to 1.
+// distance returns the total variation distance of two loads, from 0 to 1.
 func distance(a, b []float64) float64 {
 	d := 0.0
 	for e := range a {
@@ -33,10 +33,10 @@
 	return d
 }
 
-// Other experts are in demand from one moment to the next. The first change of the
-// map is planned some tenths of a second later; with the loads of the mix before
-// still among them, it moves the wrong experts, and a second and third change
-// have to follow.
+// The demand shifts to other experts at once. The first change to the map is
+// planned some tenths of a second later; if the loads still included those of
+// the previous mix, it would move the wrong experts, and a second and a third
+// change would have to follow.
 func TestLoadsFollowAShift(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(7, 8))
@@ -51,11 +51,11 @@
 	observe(before)
 	for range 40 {
 		observe(before)
-		is.True(r.Total() > 1.5*choices) // a steady mix is not taken for a shift
+		is.True(r.Total() > 1.5*choices) // a steady mix is not detected as a shift
 	}
 	observe(after)
 	t.Logf("after one call the loads differ by %.2f from the new mix", distance(r.Loads(), after))
-	is.True(distance(r.Loads(), after) < 0.15) // 0.38 without
+	is.True(distance(r.Loads(), after) < 0.15) // 0.38 without the detection of shifts
 	observe(after)
 	is.True(distance(r.Loads(), after) < 0.1)
 }
--- a/core/experts/expert/restore.go
+++ b/core/experts/expert/restore.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// restore gives every expert its least number of replicas, loading at most so
-// many, and returns the steps it made. A group lacks an expert after the
-// ranks that held it were lost; its requests can't be served until then, so
-// that this goes before any weighing of cost.
+// restore gives every expert its minimum number of replicas, loading at most the
+// given number of replicas, and returns the number of steps made. A group lacks
+// an expert after the ranks that held it failed; the expert's requests can't be
+// served until it is loaded again, so this takes precedence over any cost.
 func (s *search) restore(most int) int {
-	for e := range s.n {
-		for s.n[e] < s.group.minReplicas() && s.loads < most {
-			slot := s.cheapest(int32(e), func(int32) bool { return true })
+	for e := range s.replicas {
+		for s.replicas[e] < s.group.minReplicas() && s.loads < most {
+			slot := s.cheapestSlot(int32(e), func(int32) bool { return true })
 			if slot < 0 {
 				break
 			}
@@ -21,18 +21,19 @@
 	return len(s.steps)
 }
 
-// cheapest returns the slot that costs the least penalty to give to an expert,
-// or -1 when no slot can be spared. Only experts that may give one do.
-func (s *search) cheapest(e int32, gives func(f int32) bool) int32 {
-	s.weigh()
+// cheapestSlot returns the slot that increases the penalty least when the expert
+// gets it, or -1 when there is none. Only experts for which the function
+// mayLose returns true lose a replica.
+func (s *search) cheapestSlot(e int32, mayLose func(f int32) bool) int32 {
+	s.updatePenaltyChanges()
 	best, least := int32(-1), math.Inf(1)
-	next := s.part(e, s.n[e]+1)
+	next := s.replicaLoad(e, s.replicas[e]+1)
 	for i, f := range s.m {
 		r := i / s.group.Slots
-		if (f != Empty && !gives(f)) || !s.mayDrop(f, r) || !s.mayAdd(e, r) {
+		if (f != Empty && !mayLose(f)) || !s.mayDrop(f, r) || !s.mayAdd(e, r) {
 			continue
 		}
-		if rise := steep(s.rank[r]+(next-s.share(f))*s.pace[r]) - s.penalty[r] + s.dropped(f, r); rise < least {
+		if rise := penaltyOf(s.rank[r]+(next-s.slotLoad(f))*s.pace[r]) - s.penalty[r] + s.dropPenalty(f, r); rise < least {
 			best, least = int32(i), rise
 		}
 	}
--- a/core/experts/expert/search.go
+++ b/core/experts/expert/search.go
@@ -1,48 +1,48 @@
 package expert
 
-// search improves the map of one layer by a few replicas at a time, always
-// at the most loaded rank. Loads are scaled so that the mean rank load is 1.
+// search improves the map of one layer by a few replicas at a time, always at
+// the most loaded rank. Loads are scaled so that the mean rank load is 1.
 type search struct {
-	group   *Group
-	m, orig Map
-	load    []float64 // of an expert
-	rank    []float64 // of a rank, times its pace
-	pace    []float64 // of a rank
-	penalty []float64 // of a rank: steep(rank)
-	each    []float64 // of a replica of an expert
-	n       []int     // replicas of an expert
-	ranksOf [][]int32 // of an expert
-	spread  *spread
-	target  []int   // replicas of an expert by Apportion
-	ideal   float64 // the largest part with these replicas
-	// fewer and more are the changes of the total penalty on an expert's
-	// ranks when it gets one replica less or more elsewhere.
-	fewer, more []float64
-	// partners are the ranks that the worst rank may give work to.
+	group           *Group
+	m, initial      Map
+	load            []float64 // by expert
+	rank            []float64 // load by rank, times the rank's pace
+	pace            []float64 // by rank: Rank.Pace
+	penalty         []float64 // by rank: penaltyOf(rank)
+	perReplica      []float64 // load of one replica, by expert
+	replicas        []int     // number of replicas, by expert
+	ranksOf         [][]int32 // ranks with a replica, by expert
+	spread          *spread
+	targetReplicas  []int   // number of replicas by Apportion, by expert
+	minLargestShare float64 // load of the largest replica with targetReplicas
+	// penaltyFewer and penaltyMore are, by expert, the changes of the total
+	// penalty on its ranks when it has one replica fewer or more elsewhere.
+	penaltyFewer, penaltyMore []float64
+	// partners are the ranks to which the worst rank may transfer load.
 	partners []int32
 	steps    []step
-	loads    int // replicas to load to get from orig to m
-	// quota, if there is one, bounds what may be loaded; fresh counts the
+	loads    int // replicas to load to get from initial to m
+	// quota bounds what may be loaded, if it isn't nil; newOnRank counts the
 	// experts of this layer that are new to each rank.
-	quota *quota
-	fresh []int
+	quota     *quota
+	newOnRank []int
 }
 
-// step is one change on the way: at most two slots.
+// step is a change of one or two slots.
 type step struct {
 	slots   [2]int32
 	experts [2]int32
 	count   int
-	// skew and loads hold after the step.
+	// skew and loads are the values after the step.
 	skew  float64
 	loads int
 }
 
 func newSearch(g *Group) *search {
 	s := &search{
-		group: g, load: make([]float64, g.Experts), each: make([]float64, g.Experts), rank: make([]float64, len(g.Ranks)),
-		penalty: make([]float64, len(g.Ranks)), n: make([]int, g.Experts), ranksOf: make([][]int32, g.Experts),
-		fewer: make([]float64, g.Experts), more: make([]float64, g.Experts), spread: newSpread(g),
+		group: g, load: make([]float64, g.Experts), perReplica: make([]float64, g.Experts), rank: make([]float64, len(g.Ranks)),
+		penalty: make([]float64, len(g.Ranks)), replicas: make([]int, g.Experts), ranksOf: make([][]int32, g.Experts),
+		penaltyFewer: make([]float64, g.Experts), penaltyMore: make([]float64, g.Experts), spread: newSpread(g),
 	}
 	s.pace = make([]float64, len(g.Ranks))
 	for r := range g.Ranks {
@@ -51,16 +51,16 @@
 	return s
 }
 
-// begin starts from a map with the given loads.
-func (s *search) begin(m Map, loads []float64) {
-	s.orig = append(s.orig[:0], m...)
+// setMap prepares a search that starts from a map with the given loads.
+func (s *search) setMap(m Map, loads []float64) {
+	s.initial = append(s.initial[:0], m...)
 	s.m = append(s.m[:0], m...)
 	s.steps, s.loads = s.steps[:0], 0
 	scale := 1.0
 	if total := sum(loads); total > 0 {
 		scale = float64(len(s.rank)) / total
 	}
-	clear(s.n)
+	clear(s.replicas)
 	s.spread.reset()
 	for e := range s.load {
 		s.load[e] = loads[e] * scale
@@ -68,22 +68,23 @@
 	}
 	for i, e := range m {
 		if e != Empty {
-			s.n[e]++
+			s.replicas[e]++
 			s.ranksOf[e] = append(s.ranksOf[e], int32(i/s.group.Slots))
 			s.spread.add(e, i/s.group.Slots)
 		}
 	}
-	for e := range s.each {
-		s.each[e] = s.part(int32(e), s.n[e])
+	for e := range s.perReplica {
+		s.perReplica[e] = s.replicaLoad(int32(e), s.replicas[e])
 	}
 	for r := range s.rank {
-		s.recount(r)
+		s.updateRank(r)
 	}
 }
 
-// steep is the penalty of a rank's load. The 32nd power makes the sum over
-// all ranks follow the maximum, yet still rewards fewer ranks near it.
-func steep(x float64) float64 {
+// penaltyOf returns the penalty of a rank's load, its 32nd power. This makes the
+// sum over all ranks follow the maximum, and still rewards fewer ranks near the
+// maximum.
+func penaltyOf(x float64) float64 {
 	x *= x
 	x *= x
 	x *= x
@@ -91,25 +92,26 @@
 	return x * x
 }
 
-// part returns the load of one of n replicas of an expert.
-func (s *search) part(e int32, n int) float64 {
+// replicaLoad returns the load of one of n replicas of an expert.
+func (s *search) replicaLoad(e int32, n int) float64 {
 	return s.load[e] / float64(max(n, 1))
 }
 
-func (s *search) share(e int32) float64 {
+// slotLoad returns the load of a slot that holds the given expert or Empty.
+func (s *search) slotLoad(e int32) float64 {
 	if e == Empty {
 		return 0
 	}
-	return s.each[e]
+	return s.perReplica[e]
 }
 
-func (s *search) recount(r int) {
+func (s *search) updateRank(r int) {
 	total := 0.0
 	for _, e := range s.m[r*s.group.Slots : (r+1)*s.group.Slots] {
-		total += s.share(e)
+		total += s.slotLoad(e)
 	}
 	s.rank[r] = total * s.pace[r]
-	s.penalty[r] = steep(s.rank[r])
+	s.penalty[r] = penaltyOf(s.rank[r])
 }
 
 func (s *search) worst() int {
@@ -122,24 +124,25 @@
 	return worst
 }
 
-func (s *search) total() float64 { return sum(s.penalty) }
+func (s *search) totalPenalty() float64 { return sum(s.penalty) }
 
-// improve makes the best step at the most loaded rank and reports whether
-// there was one.
+// improve makes the best step at the most loaded rank and reports whether there
+// was one.
 func (s *search) improve() bool {
-	s.weigh()
+	s.updatePenaltyChanges()
 	worst := s.worst()
-	s.pair(1 - (s.rank[worst]-1)/2)
+	s.selectPartners(1 - (s.rank[worst]-1)/2)
 	if s.improveAt(worst) {
 		return true
 	}
-	s.pair(s.rank[worst])
+	s.selectPartners(s.rank[worst])
 	return s.improveAt(worst)
 }
 
-// pair makes the ranks below a load the partners. The coldest ranks almost
-// always hold the best step, so that the others are only asked in need.
-func (s *search) pair(below float64) {
+// selectPartners makes the ranks below a load the partners. The least loaded
+// ranks almost always allow the best step, so the others are only tried when
+// those allow none.
+func (s *search) selectPartners(below float64) {
 	s.partners = s.partners[:0]
 	for r, load := range s.rank {
 		if load < below {
@@ -149,20 +152,20 @@
 }
 
 func (s *search) improveAt(worst int) bool {
-	var best [tries]candidate
+	var best [maxCandidates]candidate
 	s.swaps(worst, &best)
 	s.replaces(worst, &best)
 	s.replicates(worst, &best)
 	if s.pace[worst] > 1 {
 		s.drops(worst, &best)
 	}
-	before := s.total()
+	before := s.totalPenalty()
 	for _, c := range best {
-		if c.gain <= least {
+		if c.gain <= minGain {
 			return false
 		}
 		undo := s.apply(c)
-		if s.total() < before-least {
+		if s.totalPenalty() < before-minGain {
 			s.record(c)
 			return true
 		}
@@ -171,21 +174,21 @@
 	return false
 }
 
-// weigh works out fewer and more for every expert.
-func (s *search) weigh() {
+// updatePenaltyChanges computes penaltyFewer and penaltyMore for every expert.
+func (s *search) updatePenaltyChanges() {
 	for e := range s.load {
-		s.fewer[e], s.more[e] = 0, 0
-		share := s.each[e]
-		up := s.part(int32(e), s.n[e]-1) - share
-		down := share - s.part(int32(e), s.n[e]+1)
+		s.penaltyFewer[e], s.penaltyMore[e] = 0, 0
+		share := s.perReplica[e]
+		up := s.replicaLoad(int32(e), s.replicas[e]-1) - share
+		down := share - s.replicaLoad(int32(e), s.replicas[e]+1)
 		for _, r := range s.ranksOf[e] {
-			s.fewer[e] += steep(s.rank[r]+up*s.pace[r]) - s.penalty[r]
-			s.more[e] += steep(s.rank[r]-down*s.pace[r]) - s.penalty[r]
+			s.penaltyFewer[e] += penaltyOf(s.rank[r]+up*s.pace[r]) - s.penalty[r]
+			s.penaltyMore[e] += penaltyOf(s.rank[r]-down*s.pace[r]) - s.penalty[r]
 		}
 	}
 }
 
-// apply makes a step and returns the one that takes it back.
+// apply makes a step and returns the step that undoes it.
 func (s *search) apply(c candidate) candidate {
 	undo := candidate{a: c.a, b: c.b, ea: s.m[c.a]}
 	if c.b >= 0 {
@@ -199,46 +202,47 @@
 	return undo
 }
 
-// set gives a slot to an expert and keeps all sums.
+// set assigns a slot to an expert and updates all sums.
 func (s *search) set(slot, e int32) {
 	r := int(slot) / s.group.Slots
 	was := s.m[slot]
 	s.m[slot] = e
 	if was != Empty {
-		s.n[was]--
+		s.replicas[was]--
 		s.spread.remove(was, r)
-		s.ranksOf[was] = cut(s.ranksOf[was], int32(r))
-		s.loads -= s.extra(was, r)
+		s.ranksOf[was] = removeRank(s.ranksOf[was], int32(r))
+		s.loads -= s.loadsNeeded(was, r)
 		s.count(was, r, -1)
-		s.refresh(was)
+		s.updateReplicas(was)
 	}
 	if e != Empty {
-		s.n[e]++
+		s.replicas[e]++
 		s.spread.add(e, r)
 		s.ranksOf[e] = append(s.ranksOf[e], int32(r))
-		s.loads += s.extra(e, r)
+		s.loads += s.loadsNeeded(e, r)
 		s.count(e, r, 1)
-		s.refresh(e)
+		s.updateReplicas(e)
 	}
-	s.recount(r)
+	s.updateRank(r)
 }
 
-// extra is 1 when the expert on that rank has to be loaded.
-func (s *search) extra(e int32, r int) int {
-	if holds(s.orig[r*s.group.Slots:(r+1)*s.group.Slots], e) {
+// loadsNeeded returns 1 when the expert must be loaded on the rank, and 0 when
+// the rank holds it in the initial map.
+func (s *search) loadsNeeded(e int32, r int) int {
+	if holds(s.initial[r*s.group.Slots:(r+1)*s.group.Slots], e) {
 		return 0
 	}
 	return 1
 }
 
-func (s *search) refresh(e int32) {
-	s.each[e] = s.part(e, s.n[e])
+func (s *search) updateReplicas(e int32) {
+	s.perReplica[e] = s.replicaLoad(e, s.replicas[e])
 	for _, r := range s.ranksOf[e] {
-		s.recount(int(r))
+		s.updateRank(int(r))
 	}
 }
 
-func cut(ranks []int32, r int32) []int32 {
+func removeRank(ranks []int32, r int32) []int32 {
 	for i, x := range ranks {
 		if x == r {
 			ranks[i] = ranks[len(ranks)-1]
@@ -248,7 +252,7 @@
 	return ranks
 }
 
-// record notes a step that was made.
+// record appends a step that was made.
 func (s *search) record(c candidate) {
 	st := step{slots: [2]int32{c.a, c.b}, experts: [2]int32{c.ea, c.eb}, count: 1, loads: s.loads}
 	if c.b >= 0 {
@@ -258,9 +262,9 @@
 	s.steps = append(s.steps, st)
 }
 
-// mapAfter returns the map after the first steps.
+// mapAfter returns the map after the given number of steps.
 func (s *search) mapAfter(steps int) Map {
-	m := append(Map(nil), s.orig...)
+	m := append(Map(nil), s.initial...)
 	for _, st := range s.steps[:steps] {
 		for i := range st.count {
 			m[st.slots[i]] = st.experts[i]
--- a/core/experts/expert/split.go
+++ b/core/experts/expert/split.go
@@ -1,27 +1,28 @@
 package expert
 
-// A search makes at most so many splits, of experts whose replicas are by
-// this factor larger than the slots require.
+// A search makes at most splits splits, of experts whose replicas exceed the size
+// that the slots require by more than the factor tooLarge.
 const (
 	splits   = 16
 	tooLarge = 1.5
 )
 
-// split gives one more replica to the expert with the largest replicas when
-// they are far larger than the slots require, although the rank that gets the
-// new one becomes overloaded for now. It reports whether it did.
+// split adds a replica of the expert with the largest replicas when they are far
+// larger than the slots require, although the rank that gets the new one becomes
+// overloaded temporarily. It reports whether it did.
 //
-// It guards against a trap of the step-by-step search, seen when the mix of
-// work changes over half an hour: experts that cool down keep a hundred
-// replicas each, experts that warm up have a few with a whole rank's load,
-// and no rank has room for another replica of that size, so that no single
-// step helps any more. Kept small in time, replicas can always be exchanged.
+// It avoids a local minimum of the step-by-step search that was seen when the
+// mix of work changes over half an hour: experts whose load falls keep a hundred
+// replicas each, experts whose load rises have a few with a whole rank's load,
+// and no rank has capacity for another replica of that size, so that no single
+// step helps any more. Replicas that are kept small early can always be
+// exchanged.
 func (s *search) split() bool {
-	e := s.largest()
-	if s.each[e] <= tooLarge*s.ideal || s.n[e] >= s.target[e] {
+	e := s.largestReplicas()
+	if s.perReplica[e] <= tooLarge*s.minLargestShare || s.replicas[e] >= s.targetReplicas[e] {
 		return false
 	}
-	slot := s.cheapest(e, func(f int32) bool { return s.n[f] > s.target[f] })
+	slot := s.cheapestSlot(e, func(f int32) bool { return s.replicas[f] > s.targetReplicas[f] })
 	if slot < 0 {
 		return false
 	}
@@ -31,23 +32,23 @@
 	return true
 }
 
-// largest returns the expert with the largest replicas.
-func (s *search) largest() int32 {
+// largestReplicas returns the expert with the largest replicas.
+func (s *search) largestReplicas() int32 {
 	best := 0
-	for e, part := range s.each {
-		if part > s.each[best] {
+	for e, part := range s.perReplica {
+		if part > s.perReplica[best] {
 			best = e
 		}
 	}
 	return int32(best)
 }
 
-// aim sets how many replicas the slots allow each expert, and the largest
-// part that a replica then has.
-func (s *search) aim() {
-	s.target = Apportion(s.group, s.load)
-	s.ideal = 0
-	for e, n := range s.target {
-		s.ideal = max(s.ideal, s.load[e]/float64(n))
+// setTargets computes the number of replicas of each expert by Apportion, and the
+// load of the largest replica with these numbers.
+func (s *search) setTargets() {
+	s.targetReplicas = Apportion(s.group, s.load)
+	s.minLargestShare = 0
+	for e, n := range s.targetReplicas {
+		s.minLargestShare = max(s.minLargestShare, s.load[e]/float64(n))
 	}
 }
--- a/core/experts/expert/spread.go
+++ b/core/experts/expert/spread.go
@@ -1,9 +1,9 @@
 package expert
 
-// apartAim is on how many servers and availability zones the replicas of an
-// expert should be, when it has that many replicas: the loss of one server or
-// one zone then leaves a replica of each expert that has two.
-const apartAim = 2
+// minDomains is the number of servers and of availability zones over which the
+// replicas of an expert should be spread, if it has that many: the failure of
+// one server or zone then leaves a replica of each expert that has two.
+const minDomains = 2
 
 // spread counts the replicas of each expert per server and per availability
 // zone.
@@ -75,14 +75,15 @@
 	}
 }
 
-// deficit returns how many servers and zones the expert is short of.
+// deficit returns how many more servers and zones the replicas of the expert
+// should be on.
 func (s *spread) deficit(e int32) int {
 	n := s.replicas[e]
 	return s.servers.short(n, int(s.servers.distinct[e])) + s.zones.short(n, int(s.zones.distinct[e]))
 }
 
-// deficitWith returns the deficit after a replica was added on one rank and
-// removed from another; -1 stands for none.
+// deficitWith returns the deficit after a replica is added on one rank and
+// removed from another; -1 means no rank.
 func (s *spread) deficitWith(e int32, add, remove int) int {
 	n := s.replicas[e]
 	if add >= 0 {
@@ -94,10 +95,13 @@
 	return s.servers.short(n, s.servers.after(e, add, remove)) + s.zones.short(n, s.zones.after(e, add, remove))
 }
 
+// short returns how many domains are missing for the number of replicas.
 func (d *domains) short(replicas, distinct int) int {
-	return max(0, min(apartAim, replicas, d.n)-distinct)
+	return max(0, min(minDomains, replicas, d.n)-distinct)
 }
 
+// after returns the number of distinct domains after a replica is added on one
+// rank and removed from another; -1 means no rank.
 func (d *domains) after(e int32, add, remove int) int {
 	distinct := int(d.distinct[e])
 	if add >= 0 && remove >= 0 && d.of[add] == d.of[remove] {
