--- a/core/experts/load/plan_test.go
+++ b/core/experts/load/plan_test.go
@@ -11,9 +11,9 @@
 	"verbenashift/core/experts/expert"
 )
 
-// A plan needs more memory than the ranks have to spare, so that it comes into
-// force in several waves. Every map on the way must be one that serves all
-// experts, and the last one must be the planned one.
+// A plan needs more memory than the ranks have free, so that it is applied in
+// several waves. Every intermediate map must serve all experts, and the last
+// one must be the planned one.
 func TestPlanInWaves(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(5, 0))
@@ -27,7 +27,7 @@
 	moves := expert.Diff(g, 0, m, goal)
 	p := Plan{Group: "g", Replicas: [][]int{m.Replicas(16)}, Tasks: Tasks(g, moves)}
 	for range g.Ranks {
-		p.Room = append(p.Room, size)
+		p.FreeMemory = append(p.FreeMemory, size)
 	}
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, p))
@@ -42,7 +42,7 @@
 			waves++
 			m = m.Apply(g, 0, Moves(arm.Moves))
 			is.NoErr(m.Validate(g))
-			q.Settled("g", true)
+			q.SwitchEnded("g", true)
 		}
 		is.Equal(len(a.Releases), 0)
 	}
--- a/sidecar/planner.go
+++ b/sidecar/planner.go
@@ -48,7 +48,7 @@
 	ranks []string
 	// places are the last known placements, by target.
 	places map[string]*engine.Placement
-	recent []expert.Recent
+	recent []expert.RecentLoads
 	// guess are the loads that an earlier coordinator has saved, until they are used.
 	guess *savedLoads
 	// placed says that places belong to the map in force.
@@ -72,9 +72,9 @@
 	}
 	p.engine = e
 	p.places = map[string]*engine.Placement{}
-	p.recent = make([]expert.Recent, e.Sets)
+	p.recent = make([]expert.RecentLoads, e.Sets)
 	for i := range p.recent {
-		p.recent[i].Memory = countMemory
+		p.recent[i].TimeConstant = countMemory
 	}
 	p.applyGuess()
 }
@@ -92,7 +92,7 @@
 		for e, x := range loads {
 			guess[e] = float64(x)
 		}
-		p.recent[l].Begin(guess, guessCounts*float64(p.engine.Experts))
+		p.recent[l].SetPrior(guess, guessCounts*float64(p.engine.Experts))
 	}
 	p.guess = nil
 }
@@ -155,7 +155,7 @@
 	for l := range p.recent {
 		loads[l] = p.recent[l].Loads()
 	}
-	next, before, after := expert.Rebalance(&p.group, maps, loads, expert.Limits{PerLayer: p.engine.Spare, PerRank: p.perRank(), Enough: stop})
+	next, before, after := expert.Rebalance(&p.group, maps, loads, expert.Limits{PerLayer: p.engine.Spare, PerRank: p.perRank(), TargetSkew: stop})
 	if before-after < gain {
 		return proposal{}, false
 	}
