--- a/core/configuration/config/bootstrap.go
+++ b/core/configuration/config/bootstrap.go
@@ -92,7 +92,7 @@
 // not answer for itself until it has heard a majority of its own, so that the
 // old revision can never gather one.
 func Bootstrap(s Startup, answers []PeerAnswer, now time.Time) Decision {
-	counted := countAnswers(s, answers, now)
+	counted := validAnswers(s, answers, now)
 	d := Decision{Answers: len(counted), Quorum: len(s.Electorate)/2 + 1}
 	best := PeerAnswer{}
 	for _, a := range counted {
@@ -114,11 +114,11 @@
 	return d
 }
 
-// countAnswers returns the answers that count, one for each peer.
-func countAnswers(s Startup, answers []PeerAnswer, now time.Time) []PeerAnswer {
+// validAnswers returns the answers that count, one for each peer.
+func validAnswers(s Startup, answers []PeerAnswer, now time.Time) []PeerAnswer {
 	var counted []PeerAnswer
 	for _, a := range answers {
-		if !counts(s, a, now) {
+		if !isValid(s, a, now) {
 			continue
 		}
 		i := slices.IndexFunc(counted, func(c PeerAnswer) bool { return c.From == a.From })
@@ -133,7 +133,7 @@
 	return counted
 }
 
-func counts(s Startup, a PeerAnswer, now time.Time) bool {
+func isValid(s Startup, a PeerAnswer, now time.Time) bool {
 	if !a.Bootstrapped || a.From == s.Self || !slices.Contains(s.Electorate, a.From) {
 		return false
 	}
--- a/core/configuration/config/edit.go
+++ b/core/configuration/config/edit.go
@@ -114,7 +114,7 @@
 			return Config{}, errors.Wrapf(err, "edit %d", i+1)
 		}
 	}
-	rememberTargets(cur, &next, change.UnixMillis)
+	recordPastTargets(cur, &next, change.UnixMillis)
 	next.Revision = cur.Revision + 1
 	next.ChangeID = change.ID
 	next.Changes = appendBounded(cur.Changes, MaxChanges,
--- a/core/configuration/config/homes.go
+++ b/core/configuration/config/homes.go
@@ -8,8 +8,8 @@
 // The bounds of the target lists that a configuration remembers. The time
 // covers what agents remember of keys, with room for clocks that differ.
 const (
-	maxPastTargets  = 16
-	pastTargetsLife = 2 * time.Hour
+	maxPastTargets = 16
+	pastTargetsTTL = 2 * time.Hour
 )
 
 // TargetNames returns the names of all targets.
@@ -42,13 +42,13 @@
 	return names
 }
 
-// rememberTargets keeps the replaced target list of old in next.
-func rememberTargets(old Config, next *Config, unixMillis int64) {
+// recordPastTargets keeps the replaced target list of old in next.
+func recordPastTargets(old Config, next *Config, unixMillis int64) {
 	homes, names := HomeNames(old), TargetNames(old)
 	if len(names) == 0 || slices.Equal(homes, HomeNames(*next)) && slices.Equal(names, TargetNames(*next)) {
 		return
 	}
-	oldest := unixMillis - pastTargetsLife.Milliseconds()
+	oldest := unixMillis - pastTargetsTTL.Milliseconds()
 	past := slices.DeleteFunc(slices.Clone(old.PastTargets), func(p PastTargets) bool { return p.ReplacedUnixMillis < oldest })
 	next.PastTargets = appendBounded(past, maxPastTargets, PastTargets{
 		Revision: old.Revision, Homes: homes, Names: names, ReplacedUnixMillis: unixMillis,
--- a/core/configuration/config/homes_test.go
+++ b/core/configuration/config/homes_test.go
@@ -47,6 +47,6 @@
 	is.Equal(c.PastTargets[1].Revision, uint64(2))
 	is.Equal(c.PastTargets[2].Names, []string{"d1", "d2", "d3"})
 	is.Equal(c.PastTargets[2].Revision, uint64(4))
-	step("much later", 1500+pastTargetsLife.Milliseconds(), Edit{PutTarget: &extra})
+	step("much later", 1500+pastTargetsTTL.Milliseconds(), Edit{PutTarget: &extra})
 	is.Equal(len(c.PastTargets), 2) // the one replaced at 2000 is within its life, older ones are not
 }
--- a/core/configuration/config/index.go
+++ b/core/configuration/config/index.go
@@ -33,34 +33,34 @@
 // Index answers the lookups of the request path for one configuration. It is
 // immutable and safe for concurrent use; its results must not be changed.
 type Index struct {
-	cfg        Config
-	workspaces map[Digest]int
-	operators  map[Digest]int
-	byName     map[string]int
-	models     map[string]int
-	services   map[string]int
-	groups     map[string]int
-	spaces     map[string]int
-	ofModel    map[string][]*Target
-	ofService  map[string][]*Target
-	ofGroup    map[string][]*Target
+	cfg               Config
+	workspaceByDigest map[Digest]int
+	operatorByDigest  map[Digest]int
+	targetByName      map[string]int
+	modelByName       map[string]int
+	serviceByName     map[string]int
+	groupByName       map[string]int
+	workspaceByName   map[string]int
+	ofModel           map[string][]*Target
+	ofService         map[string][]*Target
+	ofGroup           map[string][]*Target
 }
 
 // NewIndex returns the index of c, which must be valid.
 func NewIndex(c Config) *Index {
 	x := &Index{
-		cfg: c, workspaces: map[Digest]int{}, operators: map[Digest]int{},
-		byName: positions(c.Targets), models: positions(c.Models), services: positions(c.Services),
-		groups: positions(c.Groups), spaces: positions(c.Workspaces),
+		cfg: c, workspaceByDigest: map[Digest]int{}, operatorByDigest: map[Digest]int{},
+		targetByName: positions(c.Targets), modelByName: positions(c.Models), serviceByName: positions(c.Services),
+		groupByName: positions(c.Groups), workspaceByName: positions(c.Workspaces),
 		ofModel: map[string][]*Target{}, ofService: map[string][]*Target{}, ofGroup: map[string][]*Target{},
 	}
 	for i, w := range c.Workspaces {
 		for _, h := range w.TokenHashes {
-			addDigest(x.workspaces, h, i)
+			addDigest(x.workspaceByDigest, h, i)
 		}
 	}
 	for i, o := range c.Operators {
-		addDigest(x.operators, o.TokenHash, i)
+		addDigest(x.operatorByDigest, o.TokenHash, i)
 	}
 	for i := range c.Targets {
 		t := &c.Targets[i]
@@ -101,7 +101,7 @@
 
 // WorkspaceByToken returns the workspace that a caller's token names.
 func (x *Index) WorkspaceByToken(token string) (*Workspace, bool) {
-	i, ok := lookup(x.workspaces, token)
+	i, ok := lookup(x.workspaceByDigest, token)
 	if !ok {
 		return nil, false
 	}
@@ -110,7 +110,7 @@
 
 // OperatorByToken returns the operator that a token names.
 func (x *Index) OperatorByToken(token string) (*Operator, bool) {
-	i, ok := lookup(x.operators, token)
+	i, ok := lookup(x.operatorByDigest, token)
 	if !ok {
 		return nil, false
 	}
@@ -135,20 +135,22 @@
 
 // Workspace returns a workspace by its name.
 func (x *Index) Workspace(name string) (*Workspace, bool) {
-	return at(x.spaces, x.cfg.Workspaces, name)
+	return at(x.workspaceByName, x.cfg.Workspaces, name)
 }
 
 // Target returns a target by its name.
-func (x *Index) Target(name string) (*Target, bool) { return at(x.byName, x.cfg.Targets, name) }
+func (x *Index) Target(name string) (*Target, bool) { return at(x.targetByName, x.cfg.Targets, name) }
 
 // Model returns a model by its name.
-func (x *Index) Model(name string) (*Model, bool) { return at(x.models, x.cfg.Models, name) }
+func (x *Index) Model(name string) (*Model, bool) { return at(x.modelByName, x.cfg.Models, name) }
 
 // Service returns a plain service by its name.
-func (x *Index) Service(name string) (*Service, bool) { return at(x.services, x.cfg.Services, name) }
+func (x *Index) Service(name string) (*Service, bool) {
+	return at(x.serviceByName, x.cfg.Services, name)
+}
 
 // Group returns a group by its name.
-func (x *Index) Group(name string) (*Group, bool) { return at(x.groups, x.cfg.Groups, name) }
+func (x *Index) Group(name string) (*Group, bool) { return at(x.groupByName, x.cfg.Groups, name) }
 
 func at[T any](m map[string]int, list []T, name string) (*T, bool) {
 	i, ok := m[name]
--- a/core/configuration/follow/follow.go
+++ b/core/configuration/follow/follow.go
@@ -66,12 +66,12 @@
 	cfg   Config
 	index atomic.Pointer[config.Index]
 
-	mu      sync.Mutex
-	tracker config.Tracker
-	startup config.Startup
-	answers []config.PeerAnswer
-	settled bool
-	reason  string
+	mu           sync.Mutex
+	tracker      config.Tracker
+	startup      config.Startup
+	answers      []config.PeerAnswer
+	bootstrapped bool
+	reason       string
 	// inForce are the last revisions that were in force here.
 	inForce  []config.InForce
 	onChange []func(*config.Index)
@@ -79,8 +79,8 @@
 	encoded   []byte
 	encodedOf uint64
 
-	// heard is when the store or a peer last confirmed the revision.
-	heard atomic.Int64
+	// lastConfirmed is when the store or a peer last confirmed the revision.
+	lastConfirmed atomic.Int64
 }
 
 // New returns a follower without a configuration.
@@ -144,12 +144,12 @@
 
 // MarkConfirmed tells that a source has confirmed the present revision.
 func (f *Follower) MarkConfirmed() {
-	f.heard.Store(time.Now().UnixNano())
+	f.lastConfirmed.Store(time.Now().UnixNano())
 }
 
 // SinceConfirmed returns how long no source has been heard.
 func (f *Follower) SinceConfirmed() time.Duration {
-	return time.Duration(time.Now().UnixNano() - f.heard.Load())
+	return time.Duration(time.Now().UnixNano() - f.lastConfirmed.Load())
 }
 
 // FetchedRevision returns the highest revision fetched, in force or not.
@@ -166,7 +166,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.settled {
+	if f.bootstrapped {
 		return "no configuration yet"
 	}
 	return f.reason
@@ -176,17 +176,17 @@
 func (f *Follower) AddAnswer(a config.PeerAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.settled || a.Revision == 0 {
+	if f.bootstrapped || a.Revision == 0 {
 		return
 	}
 	a.Bootstrapped = true
 	f.answers = append(f.answers, a)
-	f.settle()
+	f.tryBootstrap()
 }
 
-// settle ends the start if what was heard suffices. The caller holds mu.
-func (f *Follower) settle() {
-	if f.settled {
+// tryBootstrap ends the start if what was heard suffices. The caller holds mu.
+func (f *Follower) tryBootstrap() {
+	if f.bootstrapped {
 		return
 	}
 	f.startup.FetchedRevision = f.tracker.Revision()
@@ -195,7 +195,7 @@
 	if d.Step != config.StepServe {
 		return
 	}
-	f.settled, f.answers = true, nil
+	f.bootstrapped, f.answers = true, nil
 	f.publish()
 }
 
@@ -227,12 +227,12 @@
 	if !f.tracker.Offer(c, time.Now()) {
 		return false
 	}
-	if f.settled {
+	if f.bootstrapped {
 		f.publish()
 		return true
 	}
-	f.settle()
-	return f.settled
+	f.tryBootstrap()
+	return f.bootstrapped
 }
 
 // OfferEncoded takes a configuration in its gzip form.
--- a/core/configuration/follow/members.go
+++ b/core/configuration/follow/members.go
@@ -29,7 +29,7 @@
 	defer m.mu.Unlock()
 	m.targets = x.Config().Targets
 	m.view.SetRevision(x.Revision())
-	m.list()
+	m.updateInstances()
 }
 
 // SetLeaving takes the names that the platform's instance list calls leaving.
@@ -37,11 +37,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.leaving = leaving
-	m.list()
+	m.updateInstances()
 }
 
-// list tells the view who there is. The caller holds mu.
-func (m *Members) list() {
+// updateInstances tells the view who there is. The caller holds mu.
+func (m *Members) updateInstances() {
 	list := make([]member.Instance, 0, len(m.targets))
 	for _, t := range m.targets {
 		list = append(list, member.Instance{Name: t.Name, Zone: t.Zone, Leaving: m.leaving[t.Name]})
--- a/core/configuration/follow/run.go
+++ b/core/configuration/follow/run.go
@@ -21,7 +21,7 @@
 			f.wait(ctx, version)
 			continue
 		}
-		pause.For(ctx, spread(next))
+		pause.For(ctx, jitter(next))
 		next = min(2*next, maxPause)
 	}
 }
@@ -32,17 +32,17 @@
 		return 0, err
 	}
 	f.MarkConfirmed()
-	revision := f.take(kv)
+	revision := f.offerStored(kv)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.startup.StoreAnswered = true
 	f.startup.StoreRevision = max(f.startup.StoreRevision, revision)
-	f.settle()
+	f.tryBootstrap()
 	return kv.Version, nil
 }
 
-// take offers what the store holds and returns its revision.
-func (f *Follower) take(kv store.KV) uint64 {
+// offerStored offers what the store holds and returns its revision.
+func (f *Follower) offerStored(kv store.KV) uint64 {
 	if len(kv.Value) == 0 {
 		return 0
 	}
@@ -58,19 +58,19 @@
 // wait watches the head until the next refresh is due, if this process
 // watches, and otherwise just waits.
 func (f *Follower) wait(ctx context.Context, version int64) {
-	ctx, cancel := context.WithTimeout(ctx, spread(f.cfg.Refresh))
+	ctx, cancel := context.WithTimeout(ctx, jitter(f.cfg.Refresh))
 	defer cancel()
 	if f.cfg.Watch != nil && !f.cfg.Watch() {
 		<-ctx.Done()
 		return
 	}
-	err := f.cfg.Store.Watch(ctx, intent.HeadKey, version, func(kv store.KV) { f.take(kv) })
+	err := f.cfg.Store.Watch(ctx, intent.HeadKey, version, func(kv store.KV) { f.offerStored(kv) })
 	if ctx.Err() == nil {
 		f.cfg.Log.Info("watch of the configuration ended", "error", err)
 	}
 }
 
-// spread returns d lengthened or shortened by up to a quarter at random.
-func spread(d time.Duration) time.Duration {
+// jitter returns d lengthened or shortened by up to a quarter at random.
+func jitter(d time.Duration) time.Duration {
 	return d*3/4 + time.Duration(rand.Int64N(int64(d)/2+1))
 }
--- a/core/configuration/follow/spread.go
+++ b/core/configuration/follow/spread.go
@@ -44,7 +44,7 @@
 	tick := time.NewTicker(s.Period)
 	defer tick.Stop()
 	for {
-		for _, t := range s.choose() {
+		for _, t := range s.pickPeers() {
 			go s.exchange(ctx, t)
 		}
 		select {
@@ -55,9 +55,9 @@
 	}
 }
 
-// choose picks the agents of one round; the seeds until there is a
+// pickPeers picks the agents of one round; the seeds until there is a
 // configuration.
-func (s *Gossip) choose() []config.Target {
+func (s *Gossip) pickPeers() []config.Target {
 	x := s.Follower.Index()
 	if x == nil {
 		return s.seeds()
--- a/core/configuration/intent/forecast.go
+++ b/core/configuration/intent/forecast.go
@@ -74,7 +74,7 @@
 
 func (e Estimator) add(f *Forecast, g config.Group) {
 	loads := assumedLoads(g.Experts)
-	before, after := evenReplicas(g), loadedReplicas(g, loads)
+	before, after := uniformReplicas(g), replicasByLoad(g, loads)
 	skewBefore, skewAfter := placeSkew(g, loads, before), placeSkew(g, loads, after)
 	part := 1.0
 	if g.SkewWeight+g.CostWeight > 0 {
@@ -97,7 +97,7 @@
 	return loads
 }
 
-func evenReplicas(g config.Group) []int {
+func uniformReplicas(g config.Group) []int {
 	n := make([]int, g.Experts)
 	for slot := range g.Ranks * g.SlotsPerRank {
 		n[slot%g.Experts]++
@@ -105,9 +105,9 @@
 	return n
 }
 
-// loadedReplicas gives each free slot to the expert with the most load for a
+// replicasByLoad gives each free slot to the expert with the most load for a
 // replica.
-func loadedReplicas(g config.Group, loads []float64) []int {
+func replicasByLoad(g config.Group, loads []float64) []int {
 	n := make([]int, g.Experts)
 	for i := range n {
 		n[i] = 1
--- a/core/configuration/intent/head.go
+++ b/core/configuration/intent/head.go
@@ -95,7 +95,7 @@
 	for range maxAttempts {
 		cur, version, err := h.Read(ctx)
 		if err != nil {
-			return config.AppliedChange{}, preferLost(lost, err)
+			return config.AppliedChange{}, preferUnknown(lost, err)
 		}
 		if applied, ok := done(cur); ok {
 			return applied, nil
@@ -103,7 +103,7 @@
 		if version != lostVersion {
 			lost = nil // the lost write expected a version that has passed
 		}
-		applied, err := h.try(ctx, cur, version, build)
+		applied, err := h.attempt(ctx, cur, version, build)
 		var conflict *store.ConflictError
 		switch {
 		case err == nil:
@@ -112,10 +112,10 @@
 			lostVersion = version
 		case errors.As(err, &conflict):
 		default:
-			return config.AppliedChange{}, preferLost(lost, err)
+			return config.AppliedChange{}, preferUnknown(lost, err)
 		}
 	}
-	return config.AppliedChange{}, preferLost(lost, &BusyError{Attempts: maxAttempts})
+	return config.AppliedChange{}, preferUnknown(lost, &BusyError{Attempts: maxAttempts})
 }
 
 // Restore puts the configuration in force back into a store that holds an
@@ -140,8 +140,8 @@
 	return nil
 }
 
-// editMark begins the identifiers of changes that no plan stands behind.
-const editMark = "edit/"
+// editPrefix begins the identifiers of changes that no plan stands behind.
+const editPrefix = "edit/"
 
 // Edit makes edits without a plan. With a base other than nil it is a
 // *ConflictError if the head is at another revision. A second call with the
@@ -151,7 +151,7 @@
 		return config.AppliedChange{}, err
 	}
 	change := config.Change{
-		ID: editMark + req.ID, Operator: req.Operator, Action: action,
+		ID: editPrefix + req.ID, Operator: req.Operator, Action: action,
 		UnixMillis: req.Now.UnixMilli(), Edits: edits,
 	}
 	done := func(cur config.Config) (config.AppliedChange, bool) { return cur.Applied(change.ID) }
@@ -166,7 +166,7 @@
 	})
 }
 
-func (h Head) try(ctx context.Context, cur config.Config, version int64,
+func (h Head) attempt(ctx context.Context, cur config.Config, version int64,
 	build func(config.Config) (config.Change, error),
 ) (config.AppliedChange, error) {
 	change, err := build(cur)
@@ -187,9 +187,9 @@
 	return config.AppliedChange{ID: change.ID, Revision: next.Revision, Operator: change.Operator}, nil
 }
 
-// preferLost returns the lost write if there was one: after it, no later
+// preferUnknown returns the lost write if there was one: after it, no later
 // failure may claim that nothing was changed.
-func preferLost(lost *store.UnknownError, err error) error {
+func preferUnknown(lost *store.UnknownError, err error) error {
 	if lost != nil {
 		return errors.Wrap(lost, "change head")
 	}
--- a/core/configuration/intent/plan.go
+++ b/core/configuration/intent/plan.go
@@ -68,31 +68,31 @@
 
 // The identifiers of changes that close a plan begin with the plan's own.
 const (
-	confirmMark = "/confirm/"
-	abandonMark = "/abandon/"
+	confirmInfix = "/confirm/"
+	abandonInfix = "/abandon/"
 )
 
 // PlanOf returns the plan whose confirmation made a change, or "".
 func PlanOf(changeID string) string {
-	plan, _, ok := strings.Cut(changeID, confirmMark)
+	plan, _, ok := strings.Cut(changeID, confirmInfix)
 	if !ok {
 		return ""
 	}
 	return plan
 }
 
-// settled returns the plan as the configuration's head shows it. The head is
+// resolved returns the plan as the configuration's head shows it. The head is
 // the only word on whether a plan was confirmed: the plan's own record is
 // written after it and may be missing.
-func (p Plan) settled(head config.Config) Plan {
+func (p Plan) resolved(head config.Config) Plan {
 	if p.State == StateConfirmed || p.State == StateAbandoned {
 		return p
 	}
-	if a, ok := head.AppliedPrefix(p.ID + confirmMark); ok {
+	if a, ok := head.AppliedPrefix(p.ID + confirmInfix); ok {
 		p.State, p.Reason, p.ClosedBy, p.Revision = StateConfirmed, "", a.Operator, a.Revision
 		return p
 	}
-	if a, ok := head.AppliedPrefix(p.ID + abandonMark); ok {
+	if a, ok := head.AppliedPrefix(p.ID + abandonInfix); ok {
 		p.State, p.Reason, p.ClosedBy, p.Revision = StateAbandoned, "", a.Operator, a.Revision
 		return p
 	}
@@ -118,7 +118,7 @@
 // without a word.
 func (p Plan) change(cur config.Config, req Request) (config.Change, error) {
 	change := config.Change{
-		ID: p.ID + confirmMark + req.ID, Operator: req.Operator,
+		ID: p.ID + confirmInfix + req.ID, Operator: req.Operator,
 		Action: "confirm plan " + p.ID, UnixMillis: req.Now.UnixMilli(), Edits: p.Edits,
 	}
 	if cur.Revision == p.BaseRevision {
--- a/core/configuration/intent/planner.go
+++ b/core/configuration/intent/planner.go
@@ -81,7 +81,7 @@
 // again if the plan was confirmed before: by a try whose answer was lost, or
 // by another operator.
 func (p *Planner) Confirm(ctx context.Context, id string, req Request) (Plan, error) {
-	return p.close(ctx, id, req, confirmMark, func(plan Plan, cur config.Config) (config.Change, error) {
+	return p.close(ctx, id, req, confirmInfix, func(plan Plan, cur config.Config) (config.Change, error) {
 		if plan.State != StatePlanned {
 			return config.Change{}, &StateError{Plan: id, State: plan.State, Reason: plan.Reason}
 		}
@@ -95,12 +95,12 @@
 // Abandon refuses the plan. It makes a revision without edits, so that one
 // line of changes decides between a confirmation and an abandonment that race.
 func (p *Planner) Abandon(ctx context.Context, id string, req Request) (Plan, error) {
-	return p.close(ctx, id, req, abandonMark, func(plan Plan, _ config.Config) (config.Change, error) {
+	return p.close(ctx, id, req, abandonInfix, func(plan Plan, _ config.Config) (config.Change, error) {
 		if plan.State != StatePlanned && plan.State != StateDeclared {
 			return config.Change{}, &StateError{Plan: id, State: plan.State, Reason: plan.Reason}
 		}
 		return config.Change{
-			ID: id + abandonMark + req.ID, Operator: req.Operator,
+			ID: id + abandonInfix + req.ID, Operator: req.Operator,
 			Action: "abandon plan " + id, UnixMillis: req.Now.UnixMilli(),
 		}, nil
 	})
@@ -116,7 +116,7 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	want := map[string]State{confirmMark: StateConfirmed, abandonMark: StateAbandoned}[mark]
+	want := map[string]State{confirmInfix: StateConfirmed, abandonInfix: StateAbandoned}[mark]
 	if stored.State == want {
 		return stored, nil
 	}
@@ -125,19 +125,19 @@
 		if err := req.allowed(cur); err != nil {
 			return config.Change{}, err
 		}
-		return build(stored.settled(cur), cur)
+		return build(stored.resolved(cur), cur)
 	})
 	if err != nil {
 		return Plan{}, err
 	}
 	stored.State, stored.Reason, stored.ClosedBy, stored.Revision = want, "", applied.Operator, applied.Revision
-	p.remember(ctx, stored)
+	p.recordOutcome(ctx, stored)
 	return stored, nil
 }
 
-// remember writes the plan's final state into its record. A failure is passed
+// recordOutcome writes the plan's final state into its record. A failure is passed
 // over: the head already decides, and the next reader sees it there.
-func (p *Planner) remember(ctx context.Context, plan Plan) {
+func (p *Planner) recordOutcome(ctx context.Context, plan Plan) {
 	_, _ = p.update(ctx, plan.Intent.Name, func(rec Record) (Record, bool) {
 		if rec.Plan.ID == plan.ID {
 			rec.Plan = plan
@@ -164,7 +164,7 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	return plan.settled(head), nil
+	return plan.resolved(head), nil
 }
 
 func (p *Planner) stored(ctx context.Context, id string) (Plan, error) {
@@ -192,7 +192,7 @@
 	if err != nil {
 		return Record{}, err
 	}
-	rec.Plan = rec.Plan.settled(head)
+	rec.Plan = rec.Plan.resolved(head)
 	return rec, nil
 }
 
@@ -212,7 +212,7 @@
 		if err != nil {
 			return nil, err
 		}
-		plans = append(plans, rec.Plan.settled(head))
+		plans = append(plans, rec.Plan.resolved(head))
 	}
 	slices.SortFunc(plans, func(a, b Plan) int { return cmp.Compare(a.Intent.Name, b.Intent.Name) })
 	return plans, nil
--- a/core/configuration/intent/record.go
+++ b/core/configuration/intent/record.go
@@ -23,7 +23,7 @@
 // next returns the record with one more plan.
 func (rec Record) next(plan Plan, head config.Config) Record {
 	if rec.Declarations > 0 {
-		old := rec.Plan.settled(head)
+		old := rec.Plan.resolved(head)
 		if old.State == StatePlanned || old.State == StateDeclared {
 			old.State, old.Reason = StateSuperseded, "declared anew"
 		}
@@ -35,7 +35,7 @@
 	// A store restored from a copy has forgotten some declarations, but a head
 	// put back from the nodes has not. A plan with the identifier of an earlier
 	// one would be reported as confirmed though nothing changed.
-	for used(plan.ID, head) {
+	for idUsed(plan.ID, head) {
 		rec.Declarations++
 		plan.ID = planID(plan.Intent.Name, rec.Declarations)
 	}
@@ -43,7 +43,7 @@
 	return rec
 }
 
-func used(id string, head config.Config) bool {
+func idUsed(id string, head config.Config) bool {
 	_, ok := head.AppliedPrefix(id + "/")
 	return ok
 }
@@ -95,7 +95,7 @@
 	for range maxAttempts {
 		rec, version, err := p.read(ctx, name)
 		if err != nil {
-			return Record{}, preferLost(lost, err)
+			return Record{}, preferUnknown(lost, err)
 		}
 		next, changed := edit(rec)
 		if !changed {
@@ -113,8 +113,8 @@
 		case errors.As(err, &lost), errors.As(err, &conflict):
 			continue
 		default:
-			return Record{}, preferLost(lost, errors.Wrap(err, "write intent"))
+			return Record{}, preferUnknown(lost, errors.Wrap(err, "write intent"))
 		}
 	}
-	return Record{}, preferLost(lost, &BusyError{Attempts: maxAttempts})
+	return Record{}, preferUnknown(lost, &BusyError{Attempts: maxAttempts})
 }
--- a/core/configuration/mirror/follower.go
+++ b/core/configuration/mirror/follower.go
@@ -21,50 +21,50 @@
 	// connection that has gone silent hides a change, since a leaving target
 	// must be known within its drain bound.
 	watchWait = 2 * time.Second
-	// answerWait is how long the store may take beyond that, or for a read.
-	answerWait = 900 * time.Millisecond
+	// responseTimeout is how long the store may take beyond that, or for a read.
+	responseTimeout = 900 * time.Millisecond
 	// firstPause and maxPause bound the pause after a failed call. The pause is
 	// spread by half of itself, so that a fleet does not come back at once.
 	firstPause = 60 * time.Millisecond
 	maxPause   = 600 * time.Millisecond
-	// gather is the pause after changes, in which more of them come together: a
+	// batchDelay is the pause after changes, in which more of them come together: a
 	// call for each would be dear. It is a small part of the bounds within which
 	// a configuration or a drain must be known.
-	gather = 150 * time.Millisecond
-	// gatherMost is how long the pause grows while changes keep coming, as they do when
+	batchDelay = 150 * time.Millisecond
+	// maxBatchDelay is how long the pause grows while changes keep coming, as they do when
 	// 200 servers start, and calmAfter how long nothing must have changed for it to be
 	// short again: each call is made by every process that watches.
-	gatherMost = 600 * time.Millisecond
-	calmAfter  = time.Second
+	maxBatchDelay   = 600 * time.Millisecond
+	batchResetAfter = time.Second
 	// outageAfter is how long the store must have been out of reach for
 	// entries to have lapsed meanwhile.
 	outageAfter = 1500 * time.Millisecond
 )
 
-// source is the part of the store that a Follower needs.
-type source interface {
+// storeReader is the part of the store that a Follower needs.
+type storeReader interface {
 	Range(ctx context.Context, prefix, after string) (kv.Page, error)
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Page, error)
 }
 
 // Follower keeps a Mirror at what the store says.
 type Follower struct {
-	store source
+	store storeReader
 	// prefixes are read; watched is the one that is watched, which covers them.
-	prefixes []string
-	watched  string
-	log      *slog.Logger
-	mirror   *Mirror
-	view     atomic.Pointer[Snapshot]
-	heard    atomic.Int64
-	onChange []func(*Snapshot)
-	onLost   []func()
+	prefixes      []string
+	watchPrefix   string
+	log           *slog.Logger
+	mirror        *Mirror
+	snapshot      atomic.Pointer[Snapshot]
+	lastAnswer    atomic.Int64
+	onChange      []func(*Snapshot)
+	onUnreachable []func()
 	// listeners get the items under prefixes that are no part of the view.
 	listeners []listener
 	started   time.Time
-	// lost is when the store was last heard before it was lost; zero while it
+	// unreachableSince is when the store was last heard before it was unreachableSince; zero while it
 	// answers.
-	lost time.Time
+	unreachableSince time.Time
 	// hints are what others tell of the store; event is the revision of the newest change
 	// that was seen.
 	hints hints
@@ -74,16 +74,16 @@
 }
 
 // NewFollower returns a Follower that does nothing before Run.
-func NewFollower(store source, formats deployment.Formats, log *slog.Logger) *Follower {
+func NewFollower(store storeReader, formats deployment.Formats, log *slog.Logger) *Follower {
 	prefixes := []string{formats.ConfigKey, formats.TargetPrefix, rankpeer.ClaimPrefix}
 	return &Follower{store: store, prefixes: prefixes, log: log, mirror: New(formats, log), started: time.Now()}
 }
 
 // NewTargetFollower returns a Follower of the targets alone, whose views have an empty
 // configuration. It does nothing before Run.
-func NewTargetFollower(store source, formats deployment.Formats, log *slog.Logger) *Follower {
+func NewTargetFollower(store storeReader, formats deployment.Formats, log *slog.Logger) *Follower {
 	return &Follower{
-		store: store, prefixes: []string{formats.TargetPrefix}, watched: formats.TargetPrefix,
+		store: store, prefixes: []string{formats.TargetPrefix}, watchPrefix: formats.TargetPrefix,
 		log: log, mirror: NewTargets(formats, log), started: time.Now(),
 	}
 }
@@ -94,7 +94,7 @@
 
 // OnStoreUnreachable adds a function that is called when the store stops answering, from Run's
 // goroutine. It must be called before Run.
-func (f *Follower) OnStoreUnreachable(fn func()) { f.onLost = append(f.onLost, fn) }
+func (f *Follower) OnStoreUnreachable(fn func()) { f.onUnreachable = append(f.onUnreachable, fn) }
 
 // The metrics of all Followers of this process: how long ago the store last
 // answered, what became of the calls, and the configuration in force with the
@@ -121,11 +121,11 @@
 }
 
 // Snapshot returns the newest view, or nil before the first configuration.
-func (f *Follower) Snapshot() *Snapshot { return f.view.Load() }
+func (f *Follower) Snapshot() *Snapshot { return f.snapshot.Load() }
 
 // Age is how long ago the store last answered.
 func (f *Follower) Age() time.Duration {
-	return time.Since(f.started) - time.Duration(f.heard.Load())
+	return time.Since(f.started) - time.Duration(f.lastAnswer.Load())
 }
 
 // Run follows the store until the context ends.
@@ -145,15 +145,15 @@
 			f.publish()
 		}
 		if err == nil {
-			f.regained()
+			f.storeAnswered()
 			next = firstPause
 			continue
 		}
-		var stopped *givenUpError
-		if errors.As(err, &stopped) && stopped.Reason == unhinted {
+		var stopped *watchAbandonedError
+		if errors.As(err, &stopped) && stopped.Reason == hintsExpired {
 			continue // It says nothing of the store.
 		}
-		f.failed(err)
+		f.storeFailed(err)
 		pause.For(ctx, next/2+rand.N(next))
 		next = min(2*next, maxPause)
 	}
@@ -167,14 +167,14 @@
 		// A target that has left while the store was away must not wait for a long watch.
 		wait = min(wait, due+time.Millisecond)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+answerWait)
+	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
-	gaveUp := f.guard(ctx, cancel, began)
-	page, err := f.store.Watch(ctx, f.watched, f.mirror.Revision(), wait)
+	gaveUp := f.superviseWatch(ctx, cancel, began)
+	page, err := f.store.Watch(ctx, f.watchPrefix, f.mirror.Revision(), wait)
 	count(err)
 	if reason := gaveUp.Load(); err != nil && reason != nil {
 		f.log.Info("watch given up", "reason", string(*reason), "after-ms", time.Since(began).Milliseconds(), "revision", f.mirror.Revision())
-		return !f.outage(), &givenUpError{*reason}
+		return !f.outage(), &watchAbandonedError{*reason}
 	}
 	var status *kv.StatusError
 	if errors.As(err, &status) && status.Compacted() {
@@ -189,15 +189,15 @@
 	if f.mirror.Apply(page.Items, page.Revision) {
 		f.publish()
 	}
-	f.pass(page.Items, false)
-	f.note(page.Items)
+	f.notify(page.Items, false)
+	f.recordSeen(page.Items)
 	if len(page.Items) > 0 {
 		// Servers that start or leave together are heard of in one call.
-		if time.Since(began) >= calmAfter || f.pause == 0 {
-			f.pause = gather
+		if time.Since(began) >= batchResetAfter || f.pause == 0 {
+			f.pause = batchDelay
 		}
 		pause.For(ctx, f.pause)
-		f.pause = min(2*f.pause, gatherMost)
+		f.pause = min(2*f.pause, maxBatchDelay)
 	}
 	return true, nil
 }
@@ -220,8 +220,8 @@
 	if f.mirror.Replace(all, from, f.outage(), time.Now()) {
 		f.publish()
 	}
-	f.pass(all, true)
-	f.note(all)
+	f.notify(all, true)
+	f.recordSeen(all)
 	return nil
 }
 
@@ -245,7 +245,7 @@
 }
 
 func (f *Follower) page(ctx context.Context, prefix, after string) (kv.Page, error) {
-	ctx, cancel := context.WithTimeout(ctx, answerWait)
+	ctx, cancel := context.WithTimeout(ctx, responseTimeout)
 	defer cancel()
 	page, err := f.store.Range(ctx, prefix, after)
 	count(err)
@@ -257,7 +257,7 @@
 	if v == nil {
 		return
 	}
-	f.view.Store(v)
+	f.snapshot.Store(v)
 	metricVersion.Set(v.Config.Version)
 	metricRevision.Set(v.Revision)
 	metricTargets.Set(int64(len(v.Targets)))
@@ -266,19 +266,19 @@
 	}
 }
 
-func (f *Follower) regained() {
-	f.heard.Store(int64(time.Since(f.started)))
-	if !f.lost.IsZero() {
-		f.log.Info("store answers again", "after-ms", time.Since(f.lost).Milliseconds())
-		f.lost = time.Time{}
+func (f *Follower) storeAnswered() {
+	f.lastAnswer.Store(int64(time.Since(f.started)))
+	if !f.unreachableSince.IsZero() {
+		f.log.Info("store answers again", "after-ms", time.Since(f.unreachableSince).Milliseconds())
+		f.unreachableSince = time.Time{}
 	}
 }
 
-func (f *Follower) failed(err error) {
-	if f.lost.IsZero() {
-		f.lost = f.started.Add(time.Duration(f.heard.Load()))
+func (f *Follower) storeFailed(err error) {
+	if f.unreachableSince.IsZero() {
+		f.unreachableSince = f.started.Add(time.Duration(f.lastAnswer.Load()))
 		f.log.Warn("store does not answer", "error", err.Error())
-		for _, fn := range f.onLost {
+		for _, fn := range f.onUnreachable {
 			fn()
 		}
 	}
@@ -287,5 +287,5 @@
 // outage reports whether the store has been out of reach for so long that
 // entries may have lapsed.
 func (f *Follower) outage() bool {
-	return !f.lost.IsZero() && time.Since(f.lost) > outageAfter
+	return !f.unreachableSince.IsZero() && time.Since(f.unreachableSince) > outageAfter
 }
--- a/core/configuration/mirror/follower_test.go
+++ b/core/configuration/mirror/follower_test.go
@@ -175,14 +175,14 @@
 			revision.Add(1)
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(calls.Load() <= int64(4*time.Second/gatherMost)+4)
-		time.Sleep(2 * calmAfter)
+		is.True(calls.Load() <= int64(4*time.Second/maxBatchDelay)+4)
+		time.Sleep(2 * batchResetAfter)
 		seen := f.LastEventRevision()
 		revision.Add(1)
 		time.Sleep(20 * time.Millisecond)
 		is.Equal(f.LastEventRevision(), seen+1)
 		revision.Add(1)
-		time.Sleep(gather + 20*time.Millisecond)
+		time.Sleep(batchDelay + 20*time.Millisecond)
 		is.Equal(f.LastEventRevision(), seen+2) // the next one is gathered briefly
 		cancel()
 		synctest.Wait()
--- a/core/configuration/mirror/hints.go
+++ b/core/configuration/mirror/hints.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// calmWait is how long a watch waits while others tell how far the store has come, so
+	// hintedWatchWait is how long a watch waits while others tell how far the store has come, so
 	// that one that hides a change is noticed without it.
-	calmWait = 12 * time.Second
-	// hintValid is for how long a word on that counts: several changes of stewards.
-	hintValid = 3 * time.Second
+	hintedWatchWait = 12 * time.Second
+	// hintTTL is for how long a word on that counts: several changes of stewards.
+	hintTTL = 3 * time.Second
 	// hintGrace is how long a change that others know may take to come over the own
 	// watch, in which changes are gathered.
 	hintGrace = 600 * time.Millisecond
@@ -35,26 +35,26 @@
 	mu sync.Mutex
 	// known is the revision up to which this process has seen the store.
 	known int64
-	// toldAt is when others told last how far they have; behindSince since when that is
+	// receivedAt is when others told last how far they have; behindSince since when that is
 	// further than known, or zero.
-	toldAt, behindSince time.Time
+	receivedAt, behindSince time.Time
 	// short says that others rely on this process to see changes soon.
 	short bool
 }
 
-// saw records up to which revision the store was seen.
-func (h *hints) saw(revision int64) {
+// observe records up to which revision the store was seen.
+func (h *hints) observe(revision int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.known, h.behindSince = max(h.known, revision), time.Time{}
 }
 
-// told records that another process has seen a change of a revision, and whether others
+// receive records that another process has seen a change of a revision, and whether others
 // rely on this one.
-func (h *hints) told(revision int64, short bool, now time.Time) {
+func (h *hints) receive(revision int64, short bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.toldAt, h.short = now, short
+	h.receivedAt, h.short = now, short
 	if revision > h.known && h.behindSince.IsZero() {
 		h.behindSince = now
 	}
@@ -64,8 +64,8 @@
 func (h *hints) wait(now time.Time) time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if now.Sub(h.toldAt) < hintValid && !h.short {
-		return calmWait
+	if now.Sub(h.receivedAt) < hintTTL && !h.short {
+		return hintedWatchWait
 	}
 	return watchWait
 }
@@ -74,52 +74,52 @@
 // hides a change, or it waits for longer than it would without hints, and there are none
 // any more. A watch that has just begun is left time to answer, so that a store that is
 // slow, or that turns this process away, is not asked ever more often.
-func (h *hints) overdue(began, now time.Time) givenUp {
+func (h *hints) overdue(began, now time.Time) abandonReason {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch {
-	case !h.behindSince.IsZero() && now.Sub(h.behindSince) >= hintGrace && now.Sub(began) >= answerWait:
-		return behind
-	case (h.short || now.Sub(h.toldAt) >= hintValid) && now.Sub(began) >= watchWait+answerWait:
-		return unhinted
+	case !h.behindSince.IsZero() && now.Sub(h.behindSince) >= hintGrace && now.Sub(began) >= responseTimeout:
+		return missedChange
+	case (h.short || now.Sub(h.receivedAt) >= hintTTL) && now.Sub(began) >= watchWait+responseTimeout:
+		return hintsExpired
 	}
-	return waiting
+	return notAbandoned
 }
 
-// givenUp says why a watch was ended before its time.
-type givenUp string
+// abandonReason says why a watch was ended before its time.
+type abandonReason string
 
 const (
-	// waiting is for one that was not.
-	waiting givenUp = ""
-	// behind says that others know a change that has not come over it.
-	behind givenUp = "others know a change that it hides"
-	// unhinted says that nobody tells any more whether it hides one.
-	unhinted givenUp = "nobody tells how far the store has come"
+	// notAbandoned is for one that was not.
+	notAbandoned abandonReason = ""
+	// missedChange says that others know a change that has not come over it.
+	missedChange abandonReason = "others know a change that it hides"
+	// hintsExpired says that nobody tells any more whether it hides one.
+	hintsExpired abandonReason = "nobody tells how far the store has come"
 )
 
-// givenUpError is a watch that was ended before its time.
-type givenUpError struct {
-	Reason givenUp
+// watchAbandonedError is a watch that was ended before its time.
+type watchAbandonedError struct {
+	Reason abandonReason
 }
 
 // Error says why.
-func (e *givenUpError) Error() string { return "watch given up: " + string(e.Reason) }
+func (e *watchAbandonedError) Error() string { return "watch given up: " + string(e.Reason) }
 
-// note records how far the store is known, and its newest change.
-func (f *Follower) note(seen []kv.Item) {
-	f.hints.saw(f.mirror.Revision())
+// recordSeen records how far the store is known, and its newest change.
+func (f *Follower) recordSeen(seen []kv.Item) {
+	f.hints.observe(f.mirror.Revision())
 	for i := range seen {
 		f.event.Store(max(f.event.Load(), seen[i].Revision))
 	}
 }
 
-// guard ends a watch that is overdue before its wait is over. The result says why, or nil.
-func (f *Follower) guard(ctx context.Context, end context.CancelFunc, began time.Time) *atomic.Pointer[givenUp] {
-	var gaveUp atomic.Pointer[givenUp]
+// superviseWatch ends a watch that is overdue before its wait is over. The result says why, or nil.
+func (f *Follower) superviseWatch(ctx context.Context, end context.CancelFunc, began time.Time) *atomic.Pointer[abandonReason] {
+	var gaveUp atomic.Pointer[abandonReason]
 	go func() {
 		for pause.For(ctx, hintCheck) {
-			if reason := f.hints.overdue(began, time.Now()); reason != waiting {
+			if reason := f.hints.overdue(began, time.Now()); reason != notAbandoned {
 				gaveUp.Store(&reason)
 				end()
 			}
@@ -130,7 +130,7 @@
 
 // storeFresh is how recently the store must have answered for its newest change to be
 // worth telling.
-const storeFresh = watchWait + answerWait + hintGrace
+const storeFresh = watchWait + responseTimeout + hintGrace
 
 // LastEventRevision returns the revision of the newest change that was seen, or 0 if the store has not
 // answered for a while: whoever is told relies on it to notice what it misses itself.
@@ -146,6 +146,6 @@
 // word the hints come from.
 func (f *Follower) Hint(event int64, short bool) {
 	if event > 0 {
-		f.hints.told(event, short, time.Now())
+		f.hints.receive(event, short, time.Now())
 	}
 }
--- a/core/configuration/mirror/hints_test.go
+++ b/core/configuration/mirror/hints_test.go
@@ -19,25 +19,25 @@
 	var h hints
 	now := time.Unix(1000, 0)
 	is.Equal(h.wait(now), watchWait) // nobody has told anything
-	h.saw(7)
-	h.told(7, false, now)
-	is.Equal(h.wait(now), calmWait)
-	is.Equal(h.overdue(now, now.Add(hintValid-1)), waiting)
-	h.told(9, false, now) // a change that has not come yet
-	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace-1)), waiting)
-	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), behind)
-	is.Equal(h.overdue(now.Add(hintGrace), now.Add(2*hintGrace)), waiting) // it has just begun
-	h.told(9, false, now.Add(hintGrace))
-	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), behind) // since the first word
-	h.saw(9)
-	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), waiting)
-	later := now.Add(hintGrace + hintValid)
+	h.observe(7)
+	h.receive(7, false, now)
+	is.Equal(h.wait(now), hintedWatchWait)
+	is.Equal(h.overdue(now, now.Add(hintTTL-1)), notAbandoned)
+	h.receive(9, false, now) // a change that has not come yet
+	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace-1)), notAbandoned)
+	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), missedChange)
+	is.Equal(h.overdue(now.Add(hintGrace), now.Add(2*hintGrace)), notAbandoned) // it has just begun
+	h.receive(9, false, now.Add(hintGrace))
+	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), missedChange) // since the first word
+	h.observe(9)
+	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), notAbandoned)
+	later := now.Add(hintGrace + hintTTL)
 	is.Equal(h.wait(later), watchWait)
-	is.Equal(h.overdue(now, later), unhinted)
-	is.Equal(h.overdue(later.Add(-watchWait), later), waiting) // it ends soon in any case
-	h.told(9, true, later)                                     // others rely on this process
+	is.Equal(h.overdue(now, later), hintsExpired)
+	is.Equal(h.overdue(later.Add(-watchWait), later), notAbandoned) // it ends soon in any case
+	h.receive(9, true, later)                                       // others rely on this process
 	is.Equal(h.wait(later), watchWait)
-	is.Equal(h.overdue(later.Add(-watchWait-answerWait), later), unhinted)
+	is.Equal(h.overdue(later.Add(-watchWait-responseTimeout), later), hintsExpired)
 }
 
 // silentStore answers the first watches; from a moment on its connections are silent, as
@@ -85,7 +85,7 @@
 			}
 		}()
 		time.Sleep(time.Minute)
-		is.True(s.watches.Load() <= int64(time.Minute/calmWait)+2)
+		is.True(s.watches.Load() <= int64(time.Minute/hintedWatchWait)+2)
 		s.silent.Store(true)
 		s.targets.Store(11)
 		time.Sleep(100 * time.Millisecond)
@@ -114,7 +114,7 @@
 		// A silent connection hides a change for no longer than one wait.
 		s.silent.Store(true)
 		s.targets.Store(11)
-		time.Sleep(watchWait + answerWait + time.Second)
+		time.Sleep(watchWait + responseTimeout + time.Second)
 		is.Equal(f.LastEventRevision(), int64(11))
 		cancel()
 		synctest.Wait()
@@ -162,9 +162,9 @@
 		time.Sleep(20 * time.Second) // the watch under way ends
 		left = true
 		down.Store(false)
-		time.Sleep(maxPause + maxPause/2 + returnGrace/2)
+		time.Sleep(maxPause + maxPause/2 + reregisterGrace/2)
 		is.Equal(len(f.Snapshot().Targets), 1) // it may still come back
-		time.Sleep(returnGrace)
+		time.Sleep(reregisterGrace)
 		is.Equal(len(f.Snapshot().Targets), 0)
 		cancel()
 		synctest.Wait()
--- a/core/configuration/mirror/listen.go
+++ b/core/configuration/mirror/listen.go
@@ -12,8 +12,8 @@
 type listener struct {
 	prefix string
 	fn     func(items []kv.Item, whole bool)
-	// changes says that it gets nothing but changes.
-	changes bool
+	// changesOnly says that it gets nothing but changesOnly.
+	changesOnly bool
 }
 
 // Listen adds a function that gets what the store says under a prefix, in the order of the
@@ -30,13 +30,13 @@
 // called from Run's goroutine. It must be called before Run.
 func (f *Follower) ListenChanges(prefix string, fn func(items []kv.Item)) {
 	changed := func(items []kv.Item, _ bool) { fn(items) }
-	f.listeners = append(f.listeners, listener{prefix: prefix, fn: changed, changes: true})
+	f.listeners = append(f.listeners, listener{prefix: prefix, fn: changed, changesOnly: true})
 }
 
-// pass hands items to the listeners.
-func (f *Follower) pass(items []kv.Item, whole bool) {
+// notify hands items to the listeners.
+func (f *Follower) notify(items []kv.Item, whole bool) {
 	for _, l := range f.listeners {
-		if whole && l.changes {
+		if whole && l.changesOnly {
 			continue
 		}
 		var of []kv.Item
@@ -46,15 +46,15 @@
 			}
 		}
 		if whole || len(of) > 0 {
-			slices.SortStableFunc(of, inOrder)
+			slices.SortStableFunc(of, compareRevisions)
 			l.fn(of, whole)
 		}
 	}
 }
 
-// inOrder compares items by their revisions; of those that were changed together, what was
+// compareRevisions compares items by their revisions; of those that were changed together, what was
 // written comes before what was removed.
-func inOrder(a, b kv.Item) int {
+func compareRevisions(a, b kv.Item) int {
 	switch {
 	case a.Revision != b.Revision:
 		return cmp.Compare(a.Revision, b.Revision)
--- a/core/configuration/mirror/mirror.go
+++ b/core/configuration/mirror/mirror.go
@@ -29,10 +29,10 @@
 	"verbenashift/core/experts/rankpeer"
 )
 
-// returnGrace is how long targets that were known before an outage of the
+// reregisterGrace is how long targets that were known before an outage of the
 // store, and are missing after it, count as present: entries that lapsed in
 // the outage are back within about two seconds if their server lives.
-const returnGrace = 2200 * time.Millisecond
+const reregisterGrace = 2200 * time.Millisecond
 
 // Snapshot is one consistent state of what the store says. It is not changed after
 // it was published.
@@ -46,8 +46,8 @@
 	Revision int64
 }
 
-// usualGap stands in where no route says how long a pause may be.
-const usualGap = 120 * time.Millisecond
+// defaultEventGap stands in where no route says how long a pause may be.
+const defaultEventGap = 120 * time.Millisecond
 
 // ShortestGap returns the shortest pause between events that a route to a
 // service allows.
@@ -62,7 +62,7 @@
 		}
 	}
 	if shortest == 0 {
-		return usualGap
+		return defaultEventGap
 	}
 	return shortest
 }
@@ -73,8 +73,8 @@
 	formats deployment.Formats
 	config  *deployment.Config
 	targets map[string]deployment.Target
-	// stewards are the claims by what follows the prefix of their keys.
-	stewards map[string]rankpeer.Claim
+	// claims are the claims by what follows the prefix of their keys.
+	claims   map[string]rankpeer.Claim
 	revision int64
 	// missing are targets that an outage of the store may have hidden, with
 	// the time until which they are kept.
@@ -85,7 +85,7 @@
 
 // New returns an empty Mirror.
 func New(formats deployment.Formats, log *slog.Logger) *Mirror {
-	return &Mirror{log: log, formats: formats, targets: map[string]deployment.Target{}, stewards: map[string]rankpeer.Claim{}, missing: map[string]time.Time{}}
+	return &Mirror{log: log, formats: formats, targets: map[string]deployment.Target{}, claims: map[string]rankpeer.Claim{}, missing: map[string]time.Time{}}
 }
 
 // NewTargets returns an empty Mirror of the targets alone. A configuration may have hundreds
@@ -101,21 +101,21 @@
 	if m.config == nil {
 		return nil
 	}
-	stewards := make(map[string]rankpeer.Claim, len(m.stewards))
-	for _, c := range m.stewards {
+	stewards := make(map[string]rankpeer.Claim, len(m.claims))
+	for _, c := range m.claims {
 		stewards[c.Group] = c
 	}
-	return &Snapshot{Config: m.config, Targets: m.current(), Coordinators: stewards, Revision: m.revision}
+	return &Snapshot{Config: m.config, Targets: m.usableTargets(), Coordinators: stewards, Revision: m.revision}
 }
 
-// current returns the targets of services that the configuration names, without
+// usableTargets returns the targets of services that the configuration names, without
 // those whose address another one has registered later. A server that was started
 // again may be a new target; the entry of its earlier life stays until its
 // heartbeats are missed, and what is sent there in the meantime is refused.
 //
 // An entry of another writer may name a service that does not exist, at the address
 // of a server that does. It must not hide that one.
-func (m *Mirror) current() map[string]deployment.Target {
+func (m *Mirror) usableTargets() map[string]deployment.Target {
 	named := make(map[string]bool, len(m.config.Services))
 	for i := range m.config.Services {
 		named[m.config.Services[i].Name] = true
@@ -159,18 +159,18 @@
 	case strings.HasPrefix(it.Key, m.formats.TargetPrefix):
 		return m.applyTarget(it)
 	case strings.HasPrefix(it.Key, rankpeer.ClaimPrefix):
-		return m.applySteward(it)
+		return m.applyClaim(it)
 	}
 	return false
 }
 
-// applySteward takes a claim. One that is under another group's key, or can't be
+// applyClaim takes a claim. One that is under another group's key, or can't be
 // read, says nothing of this group's steward.
-func (m *Mirror) applySteward(it kv.Item) bool {
+func (m *Mirror) applyClaim(it kv.Item) bool {
 	key := strings.TrimPrefix(it.Key, rankpeer.ClaimPrefix)
 	if it.Deleted {
-		_, known := m.stewards[key]
-		delete(m.stewards, key)
+		_, known := m.claims[key]
+		delete(m.claims, key)
 		return known
 	}
 	claim, err := rankpeer.ParseClaim(it.Key, it.Value)
@@ -178,8 +178,8 @@
 		m.log.Warn("claim not understood", "key", it.Key, "revision", it.Revision, "error", err.Error())
 		return false
 	}
-	changed := m.stewards[key] != claim
-	m.stewards[key] = claim
+	changed := m.claims[key] != claim
+	m.claims[key] = claim
 	return changed
 }
 
@@ -255,7 +255,7 @@
 		case seen[id]:
 		case outage:
 			if _, waiting := m.missing[id]; !waiting {
-				m.missing[id] = now.Add(returnGrace)
+				m.missing[id] = now.Add(reregisterGrace)
 				m.log.Info("target missing after an outage of the store", "target", id)
 			}
 		default:
--- a/core/configuration/store/call.go
+++ b/core/configuration/store/call.go
@@ -42,8 +42,8 @@
 // errNoAddress is the cause when the client was given no address.
 var errNoAddress = errors.New("no address is configured")
 
-// errShortAnswer says that an answer lacked a part that the protocol promises.
-var errShortAnswer = errors.New("answer lacks a part")
+// errIncompleteResponse says that an answer lacked a part that the protocol promises.
+var errIncompleteResponse = errors.New("answer lacks a part")
 
 // unavailable returns and counts an *UnavailableError.
 func unavailable(op string, err error) error {
@@ -51,8 +51,8 @@
 	return &UnavailableError{Op: op, Err: err}
 }
 
-// lost returns and counts an *UnknownError.
-func lost(op string, err error) error {
+// unknownOutcome returns and counts an *UnknownError.
+func unknownOutcome(op string, err error) error {
 	errorCount.Add("unknown", 1)
 	return &UnknownError{Op: op, Err: err}
 }
@@ -68,7 +68,7 @@
 		index := (first + i) % len(c.bases)
 		_, err := c.attempt(ctx, index, cl, body, resp)
 		var large *TooLargeError
-		if err == nil || decided(err) || errors.As(err, &large) {
+		if err == nil || isDecision(err) || errors.As(err, &large) {
 			return err
 		}
 		last = err
@@ -95,11 +95,11 @@
 	for i := range c.bases {
 		index := (first + i) % len(c.bases)
 		sent, err := c.attempt(ctx, index, cl, body, resp)
-		if err == nil || decided(err) {
+		if err == nil || isDecision(err) {
 			return err
 		}
 		if sent {
-			return lost(cl.op, err)
+			return unknownOutcome(cl.op, err)
 		}
 		last = err
 		if ctx.Err() != nil {
@@ -109,8 +109,8 @@
 	return unavailable(cl.op, last)
 }
 
-// decided reports whether err is the store's own decision against the call.
-func decided(err error) bool {
+// isDecision reports whether err is the store's own decision against the call.
+func isDecision(err error) bool {
 	var gone *LeaseNotFoundError
 	var refused *RefusedError
 	return errors.As(err, &gone) || errors.As(err, &refused)
@@ -124,22 +124,22 @@
 	defer cancel()
 	res, sent, err := c.post(ctx, c.bases[index]+cl.path, body)
 	if err != nil {
-		c.passOver(index)
+		c.preferNext(index)
 		return sent, err
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
 		return refusal(cl, res)
 	}
-	if err := json.NewDecoder(&boundedReader{r: res.Body, n: maxAnswer, key: cl.key}).Decode(resp); err != nil {
+	if err := json.NewDecoder(&boundedReader{r: res.Body, n: maxResponse, key: cl.key}).Decode(resp); err != nil {
 		return true, errors.Wrap(err, "read answer")
 	}
 	return true, nil
 }
 
-// passOver makes the address after index the preferred one, unless another
+// preferNext makes the address after index the preferred one, unless another
 // goroutine has moved on already.
-func (c *Client) passOver(index int) {
+func (c *Client) preferNext(index int) {
 	c.preferred.CompareAndSwap(int32(index), int32((index+1)%len(c.bases)))
 }
 
@@ -194,7 +194,7 @@
 
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.n <= 0 {
-		return 0, &TooLargeError{Key: b.key, Limit: maxAnswer}
+		return 0, &TooLargeError{Key: b.key, Limit: maxResponse}
 	}
 	n, err := b.r.Read(p[:min(len(p), b.n)])
 	b.n -= n
--- a/core/configuration/store/store.go
+++ b/core/configuration/store/store.go
@@ -53,9 +53,9 @@
 	DefaultTimeout = 2 * time.Second
 	// MaxValue is the largest value that can be written, in bytes.
 	MaxValue = wire.MaxValue
-	// maxAnswer bounds what is read of one answer, in bytes. It leaves room
+	// maxResponse bounds what is read of one answer, in bytes. It leaves room
 	// for about twenty values of the largest size in base64.
-	maxAnswer = 32 << 20
+	maxResponse = 32 << 20
 )
 
 // KV is a key with its value.
@@ -173,7 +173,7 @@
 	// An answer without a revision is no store's: taking it for an absent key
 	// would make a node forget its configuration.
 	if resp.Header.Revision <= 0 {
-		return nil, unavailable(op, errShortAnswer)
+		return nil, unavailable(op, errIncompleteResponse)
 	}
 	return resp.KVs, nil
 }
--- a/core/configuration/store/watch.go
+++ b/core/configuration/store/watch.go
@@ -39,10 +39,10 @@
 	switch {
 	case ctx.Err() != nil:
 		return ctx.Err()
-	case errors.As(err, &compacted) || decided(err):
+	case errors.As(err, &compacted) || isDecision(err):
 		return err
 	default:
-		c.passOver(index)
+		c.preferNext(index)
 		return unavailable(opWatch, err)
 	}
 }
@@ -72,7 +72,7 @@
 	bounded := &boundedReader{r: r, key: key}
 	dec := json.NewDecoder(bounded)
 	for {
-		bounded.n = maxAnswer // each line has the whole bound
+		bounded.n = maxResponse // each line has the whole bound
 		var line wire.WatchLine
 		if err := dec.Decode(&line); err != nil {
 			return err
--- a/core/configuration/store/write.go
+++ b/core/configuration/store/write.go
@@ -45,13 +45,13 @@
 		return 0, err
 	}
 	if resp.Header.Revision <= 0 {
-		return 0, lost(cl.op, errShortAnswer)
+		return 0, unknownOutcome(cl.op, errIncompleteResponse)
 	}
 	if resp.Succeeded {
 		return int64(resp.Header.Revision), nil
 	}
 	if len(resp.Responses) != 1 || resp.Responses[0].Range == nil {
-		return 0, lost(cl.op, errShortAnswer)
+		return 0, unknownOutcome(cl.op, errIncompleteResponse)
 	}
 	current := KV{Key: cl.key}
 	if kvs := resp.Responses[0].Range.KVs; len(kvs) > 0 {
@@ -83,7 +83,7 @@
 		return Lease{}, err
 	}
 	if resp.Error != nil || resp.Result.ID != wire.Int64(id) {
-		return Lease{}, lost(opKeepAlive, errShortAnswer)
+		return Lease{}, unknownOutcome(opKeepAlive, errIncompleteResponse)
 	}
 	if resp.Result.TTL <= 0 {
 		return Lease{}, &LeaseNotFoundError{ID: id}
