--- a/core/configuration/config/bench_test.go
+++ b/core/configuration/config/bench_test.go
@@ -9,7 +9,7 @@
 	"verbenashift/core/configuration/config"
 )
 
-// BenchmarkTakeInForce is what a node spends on one new revision at 930
+// BenchmarkTakeInForce measures the cost of one new revision with 930
 // workspaces and 670 targets: decompress, decode, validate and index it.
 func BenchmarkTakeInForce(b *testing.B) {
 	packed, err := config.EncodeGzip(sized(930, 670))
--- a/core/configuration/config/bootstrap.go
+++ b/core/configuration/config/bootstrap.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// MaxAnswerAge is how long an answer counts after its question was sent.
+// MaxAnswerAge is how long an answer is valid after its query was sent.
 const MaxAnswerAge = 3 * time.Second
 
 // Startup is what a node that has just started knows.
 //
-// Electorate names the peers whose word counts while the store is down, by
+// Electorate names the peers whose answers count while the store is down, by
 // name or by address. It comes from the settings and must be the same on all
 // nodes; it is changed by one name at a time, so that majorities of the old and
 // the new one overlap.
 type Startup struct {
 	Self       string
 	Electorate []string
-	// Started is when this process began; answers to earlier questions do not
+	// Started is when this process began; answers to earlier queries do not
 	// count.
 	Started time.Time
 	// FetchedRevision is the highest revision that the node has fetched; 0 for none.
 	FetchedRevision uint64
-	// StoreRevision is the revision that the store gave this process, if HasStored;
+	// StoreRevision is the revision that the store returned to this process, if StoreAnswered;
 	// 0 if it holds no configuration yet.
 	StoreRevision uint64
 	StoreAnswered bool
 }
 
-// PeerAnswer is a peer's word on its own revision.
+// PeerAnswer is the revision that a peer has reported.
 type PeerAnswer struct {
 	From string
 	// Bootstrapped says that the peer has itself finished its start. A peer that
-	// cannot say so counts as settled once it answers with a revision, provided
-	// that it answers with 0 until then.
+	// does not report this counts as bootstrapped once it answers with a revision,
+	// provided that it answers with 0 until then.
 	Bootstrapped bool
 	Revision     uint64
-	// RequestedAt is when this node sent the question, by its own clock.
+	// RequestedAt is when this node sent the query, by its own clock.
 	RequestedAt time.Time
 }
 
@@ -46,7 +46,7 @@
 
 // The steps of a start.
 const (
-	// StepQuery asks the peers named in the decision, and the store again.
+	// StepQuery queries the peers named in the decision, and the store again.
 	StepQuery Step = iota
 	// StepFetch fetches the revision named in the decision.
 	StepFetch
@@ -63,11 +63,11 @@
 	From string
 	// Revision is the least revision to serve with.
 	Revision uint64
-	// Answers of Quorum answers count so far.
+	// Answers is the number of valid answers so far, and Quorum the number needed.
 	Answers, Quorum int
 }
 
-// Reason says in a few words why the node does not serve; it is what the
+// Reason returns a short text on why the node does not serve, which the load
 // balancer's health check shows.
 func (d Decision) Reason() string {
 	switch d.Step {
@@ -82,15 +82,15 @@
 
 // Bootstrap decides when a node that starts with empty memory may serve.
 //
-// The guard is for a node that restarts while the store is down, and takes its
-// configuration from a peer that was cut off before the last change: a drained
-// target would get work again, and a revoked token would be let in. The store's
-// word suffices, as its reads are linearizable. Without it a majority of the
-// electorate must answer, and the highest revision among them counts. A
-// revision that was in force on all nodes was held by a majority, which shares
-// a member with any other majority; and a member that has lost its memory does
-// not answer for itself until it has heard a majority of its own, so that the
-// old revision can never gather one.
+// It prevents a node that restarts while the store is down from taking the
+// configuration of a peer that was partitioned before the last change: a drained
+// target would get work again, and a revoked token would be accepted. An answer
+// of the store suffices, as its reads are linearizable. Without one a majority
+// of the electorate must answer, and the highest revision among the answers is
+// taken. A revision that was in force on all nodes was held by a majority, which
+// shares a member with any other majority; and a member that has lost its memory
+// reports no revision until it has answers from a majority itself, so that an
+// old revision can never reach a majority.
 func Bootstrap(s Startup, answers []PeerAnswer, now time.Time) Decision {
 	counted := validAnswers(s, answers, now)
 	d := Decision{Answers: len(counted), Quorum: len(s.Electorate)/2 + 1}
@@ -114,7 +114,7 @@
 	return d
 }
 
-// validAnswers returns the answers that count, one for each peer.
+// validAnswers returns the valid answers, one for each peer.
 func validAnswers(s Startup, answers []PeerAnswer, now time.Time) []PeerAnswer {
 	var counted []PeerAnswer
 	for _, a := range answers {
@@ -143,8 +143,8 @@
 func missing(s Startup, counted []PeerAnswer) []string {
 	var names []string
 	for _, name := range s.Electorate {
-		heard := slices.ContainsFunc(counted, func(a PeerAnswer) bool { return a.From == name })
-		if name != s.Self && !heard {
+		answered := slices.ContainsFunc(counted, func(a PeerAnswer) bool { return a.From == name })
+		if name != s.Self && !answered {
 			names = append(names, name)
 		}
 	}
--- a/core/configuration/config/bootstrap_test.go
+++ b/core/configuration/config/bootstrap_test.go
@@ -38,9 +38,9 @@
 	}{
 		{"alone", base, nil, config.StepQuery, 0, ""},
 		{"two of five", base, three[:2], config.StepQuery, 0, ""},
-		{"strangers do not count", base, append(three[:2:2], answersFrom(now, map[string]uint64{"x": 9, "a": 9})...), config.StepQuery, 0, ""},
+		{"peers outside the electorate do not count", base, append(three[:2:2], answersFrom(now, map[string]uint64{"x": 9, "a": 9})...), config.StepQuery, 0, ""},
 		{"the same peer twice", base, append(three[:2:2], three[0]), config.StepQuery, 0, ""},
-		{"unsettled peers do not count", base, append(three[:2:2], config.PeerAnswer{From: "e", Revision: 9, RequestedAt: now}), config.StepQuery, 0, ""},
+		{"peers that are still starting do not count", base, append(three[:2:2], config.PeerAnswer{From: "e", Revision: 9, RequestedAt: now}), config.StepQuery, 0, ""},
 		{"answers to an earlier process", base, answersFrom(now.Add(-time.Second), map[string]uint64{"b": 4, "c": 4, "d": 4}), config.StepQuery, 0, ""},
 		{"majority", base, three, config.StepFetch, 5, "d"},
 		{"majority, behind", with(func(s *config.Startup) { s.FetchedRevision = 4 }), three, config.StepFetch, 5, "d"},
@@ -65,45 +65,45 @@
 
 // member is one process of the electorate in the model below.
 type member struct {
-	settled bool
-	held    uint64
-	// floor is the revision that was kept when the process began.
+	bootstrapped bool
+	held         uint64
+	// floor is the revision that a majority held when the process started.
 	floor   uint64
 	started time.Time
 	answers []config.PeerAnswer
 }
 
-// electorate is five members that hear revisions from each other while the
-// store is down. kept is the oracle: the highest revision that a majority of
-// settled members ever held at once.
+// electorate is five members that exchange revisions while the store is down.
+// majorityHeld is the oracle: the highest revision that a majority of
+// bootstrapped members ever held at once.
 type electorate struct {
-	now     time.Time
-	newest  uint64
-	kept    uint64
-	members map[string]*member
+	now          time.Time
+	newest       uint64
+	majorityHeld uint64
+	members      map[string]*member
 }
 
 var memberNames = []string{"a", "b", "c", "d", "e"}
 
 func (e *electorate) restart(name string) {
-	e.members[name] = &member{started: e.now, floor: e.kept}
+	e.members[name] = &member{started: e.now, floor: e.majorityHeld}
 }
 
-// spread brings what one settled member holds to another.
+// spread copies the revision of one bootstrapped member to another.
 func (e *electorate) spread(from, to string) {
-	if a, b := e.members[from], e.members[to]; a.settled && b.settled {
+	if a, b := e.members[from], e.members[to]; a.bootstrapped && b.bootstrapped {
 		b.held = max(b.held, a.held)
 	}
 }
 
-// ask gives a starting member the answer of a peer, and lets it settle if it
-// may.
+// ask gives a starting member the answer of a peer, and lets it finish its
+// start if that suffices.
 func (e *electorate) ask(name, peer string) {
 	m, p := e.members[name], e.members[peer]
-	if m.settled {
+	if m.bootstrapped {
 		return
 	}
-	m.answers = append(m.answers, config.PeerAnswer{From: peer, Bootstrapped: p.settled, Revision: p.held, RequestedAt: e.now})
+	m.answers = append(m.answers, config.PeerAnswer{From: peer, Bootstrapped: p.bootstrapped, Revision: p.held, RequestedAt: e.now})
 	startup := config.Startup{Self: name, Electorate: memberNames, Started: m.started, FetchedRevision: m.held}
 	d := config.Bootstrap(startup, m.answers, e.now)
 	if d.Step == config.StepFetch {
@@ -111,42 +111,42 @@
 		startup.FetchedRevision = m.held
 		d = config.Bootstrap(startup, m.answers, e.now)
 	}
-	m.settled = d.Step == config.StepServe
+	m.bootstrapped = d.Step == config.StepServe
 }
 
-// check compares what each process serves with the revision that was kept when
-// it began, and then looks for a newer one that is kept now.
+// check compares what each process serves with the revision that a majority
+// held when it started, and then updates that revision.
 func (e *electorate) check(t *rapid.T) {
 	var held []uint64
 	for name, m := range e.members {
-		if !m.settled {
+		if !m.bootstrapped {
 			continue
 		}
 		if m.held < m.floor {
-			t.Fatalf("%s serves with revision %d although %d was kept", name, m.held, m.floor)
+			t.Fatalf("%s serves revision %d although a majority held %d", name, m.held, m.floor)
 		}
 		held = append(held, m.held)
 	}
 	slices.Sort(held)
 	if n := len(held); n >= 3 {
-		e.kept = max(e.kept, held[n-3])
+		e.majorityHeld = max(e.majorityHeld, held[n-3])
 	}
 }
 
-// All members restart one after another while the store is down, and fetch
-// their configuration from each other. Afterwards a revision that had been in
-// force everywhere is gone: the ones that held it lost their memory, and each
-// new process believed a peer that had missed it.
+// Guards against the loss of a revision that was in force on all members when
+// all of them restart one after another while the store is down: the ones that
+// held it lose their memory, and each new process takes the configuration of a
+// peer that had missed it.
 func TestBootstrapKeepsWhatAMajorityHeld(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		e := &electorate{now: time.Unix(1000, 0), members: map[string]*member{}}
 		for _, name := range memberNames {
-			e.members[name] = &member{settled: true}
+			e.members[name] = &member{bootstrapped: true}
 		}
 		name := rapid.SampledFrom(memberNames)
 		t.Repeat(map[string]func(*rapid.T){
 			"accept": func(t *rapid.T) {
-				if m := e.members[name.Draw(t, "at")]; m.settled {
+				if m := e.members[name.Draw(t, "at")]; m.bootstrapped {
 					e.newest++
 					m.held = e.newest
 				}
@@ -154,7 +154,7 @@
 			"keep": func(t *rapid.T) {
 				e.newest++
 				for _, n := range rapid.Permutation(memberNames).Draw(t, "majority")[:3] {
-					if m := e.members[n]; m.settled {
+					if m := e.members[n]; m.bootstrapped {
 						m.held = e.newest
 					}
 				}
--- a/core/configuration/config/config.go
+++ b/core/configuration/config/config.go
@@ -3,16 +3,16 @@
 // A Config is one document with one revision number. It is changed only by
 // compare-and-swap on the head key of the platform's store, so that revisions
 // form a single line; every node keeps the highest revision it has seen and
-// never goes back. The package is pure: Apply makes the next revision, Diff
-// shows what moves, Index answers the lookups of the request path, Tracker
-// holds the revision in force, and Bootstrap decides when a node that starts
-// while the store is down may serve.
+// never goes back. The package does no I/O: Apply returns the next revision, Diff
+// lists the changes between two, Index answers the lookups of the request path,
+// Tracker holds the revision in force, and Bootstrap decides when a node that
+// starts while the store is down may serve.
 //
 // # Usage
 //
 //	next, err := config.Apply(cur, change)
 //	if err != nil {
-//		return err // a *config.InvalidError names the field at fault
+//		return err // a *config.InvalidError names the invalid field
 //	}
 //	if tracker.Offer(next, now) {
 //		index.Store(config.NewIndex(next))
@@ -23,8 +23,8 @@
 type Config struct {
 	// Revision numbers the accepted configurations, from 1 without gaps.
 	Revision uint64 `json:"revision"`
-	// ChangeID identifies the change that made this revision; a lost answer
-	// from the store is settled by reading it back.
+	// ChangeID identifies the change that made this revision. After a lost
+	// answer from the store it is read back to find the outcome of the write.
 	ChangeID string `json:"change-id"`
 	// Changes are the identifiers of recent changes, newest last.
 	Changes    []AppliedChange `json:"changes,omitempty"`
@@ -34,8 +34,8 @@
 	Targets    []Target        `json:"targets,omitempty"`
 	Groups     []Group         `json:"groups,omitempty"`
 	Operators  []Operator      `json:"operators,omitempty"`
-	// PastTargets are the target lists before the present one, oldest first:
-	// keys of idempotent requests may still be known at the homes of an older
+	// PastTargets are the target lists before the current one, oldest first:
+	// keys of idempotent requests may still be stored at the homes of an older
 	// list.
 	PastTargets []PastTargets `json:"past-targets,omitempty"`
 	// Audit holds the last confirmed changes, newest last.
@@ -64,7 +64,8 @@
 	MaxStreams int `json:"max-streams,omitempty"`
 	// SharedPrefix lets the workspace use the prefix cache without a salt.
 	SharedPrefix bool `json:"shared-prefix,omitempty"`
-	// Region is where the homes of the workspace's keys live; empty means any.
+	// Region is the region of the agents that own the workspace's keys; empty
+	// means any.
 	Region string `json:"region,omitempty"`
 }
 
@@ -75,13 +76,13 @@
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// Service is a plain service beside the model engines.
+// Service is an HTTP service that is not a model engine.
 type Service struct {
 	Name   string  `json:"name"`
 	Routes []Route `json:"routes,omitempty"`
 }
 
-// Route marks calls of a service by method and path prefix.
+// Route matches calls of a service by method and path prefix.
 type Route struct {
 	// Method is an HTTP method; empty means any.
 	Method string `json:"method,omitempty"`
@@ -90,7 +91,7 @@
 	MayNotRepeat bool `json:"may-not-repeat,omitempty"`
 }
 
-// Target is one back end with its agent.
+// Target is one server with its agent.
 type Target struct {
 	Name   string `json:"name"`
 	Region string `json:"region,omitempty"`
@@ -105,11 +106,11 @@
 	Group string `json:"group,omitempty"`
 	// Role is "prefill", "decode" or empty for both.
 	Role string `json:"role,omitempty"`
-	// ChecksOrders says that the target checks who gives it an order.
+	// ChecksOrders says that the target authenticates the sender of an order.
 	ChecksOrders bool `json:"checks-orders,omitempty"`
-	// HonoursFencing says that the target refuses an old fencing number.
+	// HonoursFencing says that the target rejects a stale fencing token.
 	HonoursFencing bool `json:"honours-fencing,omitempty"`
-	// Drained says that the operator wants no new work on the target.
+	// Drained says that the target gets no new work.
 	Drained bool `json:"drained,omitempty"`
 }
 
@@ -147,11 +148,11 @@
 	ReplacedUnixMillis int64 `json:"replaced-unix-millis"`
 }
 
-// AuditRecord says who confirmed what.
+// AuditRecord records who made which change.
 type AuditRecord struct {
 	Revision uint64 `json:"revision"`
 	Operator string `json:"operator"`
 	Action   string `json:"action"`
-	// UnixMillis is the wall time at the entry that confirmed.
+	// UnixMillis is the wall time at the entry that accepted the change.
 	UnixMillis int64 `json:"unix-millis"`
 }
--- a/core/configuration/config/config_test.go
+++ b/core/configuration/config/config_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// The last administrator removes herself by mistake. From then on nobody could
-// change who may do what, short of the bootstrap token.
+// Guards against the removal of the last administrator, after which permissions
+// could be changed only with the bootstrap token.
 func TestLastAdminStays(t *testing.T) {
 	is := is.New(t)
 	cur := sized(1, 1)
@@ -132,8 +132,8 @@
 	}
 }
 
-// TestSize prints the sizes at 930 workspaces and 670 targets with a full
-// history, and holds them to half of what the store takes.
+// TestSize prints the sizes with 930 workspaces, 670 targets and a full
+// history, and checks that they stay below half of the store's limit.
 func TestSize(t *testing.T) {
 	is := is.New(t)
 	c := sized(0, 0)
@@ -167,8 +167,8 @@
 	return buf.Bytes()
 }
 
-// A peer sends some kilobytes that expand without end. The node's memory would
-// run out; what is read is bounded instead.
+// Guards against a peer whose few kilobytes expand without limit and exhaust
+// the node's memory: the decompressed size is bounded.
 func TestDecodeIsBounded(t *testing.T) {
 	is := is.New(t)
 	c := sized(1, 1)
@@ -220,7 +220,7 @@
 	}{
 		{"POST", "/bookings", true},
 		{"POST", "/bookings/12", true},
-		{"POST", "/x/../bookings", true}, // the same place by another name
+		{"POST", "/x/../bookings", true}, // the same path in another form
 		{"POST", "//bookings", true},
 		{"POST", "/bookings/drafts/1", false},
 		{"POST", "/bookings/drafts/../12", true},
@@ -233,8 +233,8 @@
 	}
 }
 
-// A drained target gets work again: the node had revision 5 in force, and then
-// an old message with revision 4 arrived from a peer that had been cut off.
+// Guards against work on a drained target after an old message: revision 5 is
+// in force when revision 4 arrives from a peer that was partitioned.
 func TestTrackerNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	var tr config.Tracker
@@ -267,9 +267,9 @@
 	is.True(!config.IsWatcher("stranger", zone, 2))
 }
 
-// Two changes are tried on one revision, as when two operators race. If the two
-// results shared a list, the second would rewrite the first's record of itself,
-// and a lost answer would be settled by the wrong change.
+// Guards against two revisions that share a list, made by two changes of the
+// same revision as when two operators race. The second would overwrite the
+// record of the first, and a lost answer would be resolved with the wrong change.
 func TestRevisionsShareNoList(t *testing.T) {
 	is := is.New(t)
 	cur := sized(1, 1)
--- a/core/configuration/config/diff.go
+++ b/core/configuration/config/diff.go
@@ -11,8 +11,8 @@
 
 // DiffLine is one line of a difference between two configurations.
 type DiffLine struct {
-	// Op is "+" for something new, "-" for something gone and "~" for a field
-	// that moves.
+	// Op is "+" for an added item, "-" for a removed one and "~" for a changed
+	// field.
 	Op   string `json:"op"`
 	Kind string `json:"kind"`
 	Name string `json:"name"`
@@ -34,7 +34,7 @@
 	return head
 }
 
-// Diff lists what moves between two configurations, in the order of the
+// Diff lists the changes between two configurations, in the order of the
 // document. Digests of tokens are shortened. Revisions, changes and audit
 // records are left out.
 func Diff(from, to Config) []DiffLine {
@@ -87,8 +87,8 @@
 	return lines
 }
 
-// isEmptyList treats an absent list like an empty one: the two read alike
-// once they have been through JSON.
+// isEmptyList treats a nil slice like an empty one: the two are the same after
+// a round trip through JSON.
 func isEmptyList(v reflect.Value) bool {
 	return v.Kind() == reflect.Slice && v.Len() == 0
 }
@@ -150,8 +150,8 @@
 	return "[" + strings.Join(parts, ", ") + "]"
 }
 
-// mask shortens what looks like a digest, so that neither a diff nor an error
-// hands out the whole digest of a token.
+// mask truncates a text that is as long as a digest, so that neither a diff nor
+// an error reveals the complete digest of a token.
 func mask(s string) string {
 	if len(s) < DigestSize {
 		return s
--- a/core/configuration/config/edit.go
+++ b/core/configuration/config/edit.go
@@ -9,33 +9,33 @@
 )
 
 // MaxChanges and MaxAudit bound the changes and audit records that a
-// configuration remembers; the oldest are dropped first. At 420 changes a day
-// the 256 remembered cover more than half a day, far longer than any retry of
+// configuration retains; the oldest are dropped first. At 420 changes a day
+// the 256 retained cover more than half a day, far longer than any retry of
 // a change whose answer was lost.
 const (
 	MaxChanges = 256
 	MaxAudit   = 256
 )
 
-// Change is a set of edits that is accepted or refused as a whole.
+// Change is a set of edits that is accepted or rejected atomically.
 type Change struct {
-	// ID identifies the change over retries; it must not be empty.
+	// ID identifies the change across retries; it must not be empty.
 	ID string `json:"id"`
 	// Operator is the name of the operator who asked for the change.
 	Operator string `json:"operator"`
 	// Action describes the change in the audit record.
 	Action string `json:"action"`
-	// UnixMillis is the wall time at the entry that took the change.
+	// UnixMillis is the wall time at the entry that received the change.
 	UnixMillis int64 `json:"unix-millis"`
-	// Edits are applied in order; none is allowed, and makes a revision that
-	// differs by its audit record only.
+	// Edits are applied in order. The list may be empty, which makes a revision
+	// that differs by its audit record only.
 	Edits []Edit `json:"edits,omitempty"`
 }
 
 // Edit is one typed edit; exactly one of its fields is set.
 type Edit struct {
-	// Replace puts a whole document in place, except for its revision, its
-	// changes and its audit records.
+	// Replace replaces the whole document, except for its revision, its changes,
+	// its past targets and its audit records.
 	Replace         *Config       `json:"replace,omitempty"`
 	PutWorkspace    *Workspace    `json:"put-workspace,omitempty"`
 	RemoveWorkspace string        `json:"remove-workspace,omitempty"`
@@ -54,7 +54,7 @@
 	GroupWeights    *GroupWeights `json:"group-weights,omitempty"`
 }
 
-// Drain sets or clears the mark that a target gets no new work.
+// Drain sets or clears the flag that a target gets no new work.
 type Drain struct {
 	Target  string `json:"target"`
 	Drained bool   `json:"drained"`
@@ -73,20 +73,20 @@
 	CostWeight float64 `json:"cost-weight"`
 }
 
-// NeedsAdmin reports whether the edit may change whose tokens are known, and
-// for what.
+// NeedsAdmin reports whether the edit may change which tokens are valid, or
+// what they permit.
 func (e Edit) NeedsAdmin() bool {
 	return e.Replace != nil || e.PutOperator != nil || e.RemoveOperator != "" ||
 		e.PutWorkspace != nil || e.RemoveWorkspace != ""
 }
 
-// Applied returns the record of the change with the given identifier, if cur
-// remembers it.
+// Applied returns the record of the change with the given identifier, if c
+// retains it.
 func (c Config) Applied(id string) (AppliedChange, bool) {
 	return c.findChange(func(a AppliedChange) bool { return a.ID == id })
 }
 
-// AppliedPrefix returns the newest remembered change whose identifier begins
+// AppliedPrefix returns the newest retained change whose identifier begins
 // with prefix.
 func (c Config) AppliedPrefix(prefix string) (AppliedChange, bool) {
 	return c.findChange(func(a AppliedChange) bool { return strings.HasPrefix(a.ID, prefix) })
@@ -102,7 +102,7 @@
 }
 
 // Apply returns the revision that follows cur when change is accepted. It
-// leaves cur as it is. A faulty edit or result is an *InvalidError, and a
+// does not modify cur. An invalid edit or result is an *InvalidError, and a
 // name that an edit refers to but cur lacks is a *NotFoundError.
 func Apply(cur Config, change Change) (Config, error) {
 	if change.ID == "" {
@@ -128,9 +128,9 @@
 	return next, checkAdmins(cur, next)
 }
 
-// checkAdmins refuses a change that takes away the last administrator: after
-// it nobody could put one back but by the bootstrap token, which by then may
-// be lost or in the wrong hands.
+// checkAdmins rejects a change that removes the last administrator: afterwards
+// one could be added only with the bootstrap token, which may be lost or
+// compromised by then.
 func checkAdmins(cur, next Config) error {
 	isAdmin := func(o Operator) bool { return o.Role == RoleAdmin }
 	if slices.ContainsFunc(cur.Operators, isAdmin) && !slices.ContainsFunc(next.Operators, isAdmin) {
@@ -156,7 +156,7 @@
 	return ops[0](c)
 }
 
-// operations lists what the set fields of the edit do.
+// operations returns one function for each field of the edit that is set.
 func (e Edit) operations() []func(*Config) error {
 	var ops []func(*Config) error
 	add := func(set bool, op func(*Config) error) {
@@ -204,7 +204,7 @@
 	})
 }
 
-// named is what the lists of a configuration hold.
+// named is an element of the lists of a configuration.
 type named interface{ name() string }
 
 func (w Workspace) name() string { return w.Name }
--- a/core/configuration/config/encode.go
+++ b/core/configuration/config/encode.go
@@ -9,9 +9,9 @@
 	"github.com/go-faster/errors"
 )
 
-// MaxBytes is the largest encoded configuration: what one value of the
-// platform's store holds, in bytes. It bounds the JSON text, so that whether a
-// change fits never depends on how well it compresses.
+// MaxBytes is the largest encoded configuration: the size limit of one value in
+// the platform's store, in bytes. It applies to the uncompressed JSON text, so
+// that whether a change fits does not depend on how well it compresses.
 const MaxBytes = 1 << 20
 
 // Encode returns the JSON text of c, or a *TooLargeError.
@@ -44,8 +44,8 @@
 }
 
 // Decode reads what Encode or EncodeGzip wrote and validates it. Unknown
-// fields are passed over, so that a node of an earlier version still reads a
-// later one's document.
+// fields are ignored, so that a node of an earlier version can still read the
+// document of a later one.
 func Decode(data []byte) (Config, error) {
 	text, err := inflate(data)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return c, Validate(c)
 }
 
-// DecodeStrict reads a document that an operator wrote: an unknown field is an
-// error, for a misspelt one would silently change nothing.
+// DecodeStrict reads a document that an operator wrote. An unknown field is an
+// error, since a misspelt one would silently have no effect.
 func DecodeStrict(data []byte) (Config, error) {
 	if len(data) > MaxBytes {
 		return Config{}, &TooLargeError{Bytes: len(data), Limit: MaxBytes}
@@ -77,8 +77,8 @@
 }
 
 // inflate decompresses data that begins with the gzip magic number. The
-// limit guards against a few corrupt or hostile bytes of a peer that would
-// expand until the node's 32 MB are gone.
+// limit guards against a small corrupt or malicious message of a peer that
+// would expand until the node's 32 MB of memory are exhausted.
 func inflate(data []byte) ([]byte, error) {
 	if len(data) > MaxBytes {
 		return nil, &TooLargeError{Bytes: len(data), Limit: MaxBytes}
--- a/core/configuration/config/errors.go
+++ b/core/configuration/config/errors.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// InvalidError says which field of a document is at fault.
+// InvalidError reports an invalid field of a document.
 type InvalidError struct {
 	// Field is the path of the field, such as "workspaces[bole].share".
 	Field string
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("invalid configuration: %s is %q: want %s", e.Field, e.Value, e.Want)
 }
 
-// NotFoundError names something that the configuration does not hold.
+// NotFoundError reports a name that the configuration does not contain.
 type NotFoundError struct {
 	// Kind is "workspace", "target" and so on.
 	Kind string
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s %q not found", e.Kind, e.Name)
 }
 
-// TooLargeError says that an encoded configuration does not fit the store.
+// TooLargeError reports an encoded configuration that exceeds the store's limit.
 type TooLargeError struct {
 	Bytes int
 	Limit int
--- a/core/configuration/config/homes.go
+++ b/core/configuration/config/homes.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The bounds of the target lists that a configuration remembers. The time
-// covers what agents remember of keys, with room for clocks that differ.
+// The bounds of the past target lists that a configuration retains. The time
+// exceeds how long agents retain keys, with a margin for clock differences.
 const (
 	maxPastTargets = 16
 	pastTargetsTTL = 2 * time.Hour
@@ -22,9 +22,9 @@
 }
 
 // HomeNames returns the names of the targets whose agents are homes of keys.
-// The only target of a model or service is none, as long as there are others:
-// home and executor of a key are different agents, so that a key whose home
-// were the one target that can run it could never run.
+// The only target of a model or service is excluded as long as there are others:
+// home and executor of a key are different agents, so a key whose home is the
+// only target that can run it could never run.
 func HomeNames(c Config) []string {
 	pools := make(map[string]int, len(c.Targets))
 	for _, t := range c.Targets {
@@ -42,7 +42,7 @@
 	return names
 }
 
-// recordPastTargets keeps the replaced target list of old in next.
+// recordPastTargets adds the replaced target list of old to next.
 func recordPastTargets(old Config, next *Config, unixMillis int64) {
 	homes, names := HomeNames(old), TargetNames(old)
 	if len(names) == 0 || slices.Equal(homes, HomeNames(*next)) && slices.Equal(names, TargetNames(*next)) {
--- a/core/configuration/config/homes_test.go
+++ b/core/configuration/config/homes_test.go
@@ -14,9 +14,9 @@
 	return targets
 }
 
-// A booking service has one target. A family's booking whose key had its home
-// there could never run, since home and executor are different agents: every
-// try would hear that there is no target.
+// Guards against a key whose home is the only target of its service. Home and
+// executor are different agents, so every attempt would fail for lack of a
+// target.
 func TestOnlyTargetIsNoHome(t *testing.T) {
 	is := is.New(t)
 	c := Config{Targets: append(pool("booking", "b1"), pool("desk", "d1", "d2")...)}
@@ -24,9 +24,9 @@
 	is.Equal(HomeNames(Config{Targets: pool("booking", "b1")}), []string{"b1"}) // there is no other
 }
 
-// An operator adds a target and takes it out again. An agent that starts
-// afterwards must learn of both earlier lists, in order: keys may have been
-// claimed at the homes of either.
+// Guards against losing earlier target lists when an operator adds a target and
+// removes it again. An agent that starts afterwards needs both earlier lists, in
+// order: keys may have been claimed at the homes of either.
 func TestPastTargetsAreRemembered(t *testing.T) {
 	is := is.New(t)
 	c := Config{Services: []Service{{Name: "desk"}}}
--- a/core/configuration/config/index.go
+++ b/core/configuration/config/index.go
@@ -99,7 +99,7 @@
 // Revision returns the configuration's revision.
 func (x *Index) Revision() uint64 { return x.cfg.Revision }
 
-// WorkspaceByToken returns the workspace that a caller's token names.
+// WorkspaceByToken returns the workspace that a caller's token belongs to.
 func (x *Index) WorkspaceByToken(token string) (*Workspace, bool) {
 	i, ok := lookup(x.workspaceByDigest, token)
 	if !ok {
@@ -108,7 +108,7 @@
 	return &x.cfg.Workspaces[i], true
 }
 
-// OperatorByToken returns the operator that a token names.
+// OperatorByToken returns the operator that a token belongs to.
 func (x *Index) OperatorByToken(token string) (*Operator, bool) {
 	i, ok := lookup(x.operatorByDigest, token)
 	if !ok {
@@ -118,8 +118,8 @@
 }
 
 // lookup finds a token by its digest. The time of a map lookup depends on the
-// digest only, which nobody can steer towards a known one without inverting
-// SHA-256, so that the time tells nothing about how near a guess is; the last
+// digest only, which nobody can choose close to a known one without inverting
+// SHA-256, so the time reveals nothing about how near a guess is. The final
 // comparison is in constant time and is also made when nothing was found, so
 // that a known and an unknown token take the same steps.
 func lookup(m map[Digest]int, token string) (int, bool) {
@@ -170,16 +170,16 @@
 func (x *Index) TargetsOfGroup(group string) []*Target { return x.ofGroup[group] }
 
 // MayNotRepeat reports whether a call of a plain service runs at most once.
-// The route with the longest matching prefix decides; of two, the one that
-// names the method. Where no route matches, a call may be repeated only if its
+// The route with the longest matching prefix decides; of two with equal
+// prefixes, the one that names the method. Where no route matches, a call may be repeated only if its
 // method is idempotent by RFC 9110, section 9.2.2.
 func (x *Index) MayNotRepeat(service, method, urlPath string) bool {
 	s, ok := x.Service(service)
 	if !ok {
 		return true
 	}
-	// A caller could otherwise slip past a mark on /bookings by asking for
-	// /x/../bookings or //bookings, which many services take for the same.
+	// Without cleaning, a caller could bypass a route for /bookings by requesting
+	// /x/../bookings or //bookings, which many services treat as the same path.
 	if !strings.HasPrefix(urlPath, "/") {
 		urlPath = "/" + urlPath
 	}
--- a/core/configuration/config/spread.go
+++ b/core/configuration/config/spread.go
@@ -8,11 +8,11 @@
 )
 
 // IsWatcher reports whether self is one of the k nodes of its zone that watch
-// the store. The nodes are ranked by the hash of their names, so that all come
-// to the same choice without a message, and the loss of a watcher moves one
-// place only. Two nodes with different lists may both watch, or both not: the
-// first costs one watch, the second is mended as revisions also come from
-// peers of other zones.
+// the store. The nodes are ranked by the hash of their names, so that all of
+// them make the same choice without communication, and the loss of a watcher
+// changes one choice only. Two nodes with different lists may both watch, or
+// neither: the first costs one watch; in the second case revisions still come
+// from peers in other zones.
 func IsWatcher(self string, zone []string, k int) bool {
 	ranked := slices.Clone(zone)
 	slices.SortFunc(ranked, func(a, b string) int {
--- a/core/configuration/config/tracker.go
+++ b/core/configuration/config/tracker.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// MaxHistory bounds the revisions that a Tracker remembers.
+// MaxHistory bounds the number of revisions that a Tracker retains.
 const MaxHistory = 64
 
-// InForce records that a revision came in force on this node.
+// InForce records when a revision came into force on this node.
 type InForce struct {
 	Revision   uint64 `json:"revision"`
 	ChangeID   string `json:"change-id"`
@@ -18,22 +18,21 @@
 	cur     Config
 	seen    bool
 	history []InForce
-	// Forks counts offers of the present revision with another change. The
-	// store's compare-and-swap rules them out, so that any count means that
-	// the store was restored from a copy or its key was written by hand.
+	// Forks counts offers of the current revision with a different change. The
+	// store's compare-and-swap rules them out, so a count above 0 means that
+	// the store was restored from a backup or its key was written by hand.
 	Forks uint64
 	// Older counts offers of an earlier revision.
 	Older uint64
 }
 
-// Offer takes c in force if its revision is higher than any before, and
+// Offer puts c in force if its revision is higher than any before, and
 // reports whether it did.
 //
-// The guard is for a node that hears an old revision late: from a peer that
-// was cut off, from a watch that was replayed, or from a store restored from a
-// copy. It would show as a drained target that gets work again. Revisions are
-// numbered by one compare-and-swap chain, so that a lower number is older
-// whoever sends it.
+// An old revision may arrive late: from a peer that was partitioned, from a
+// watch that was replayed, or from a store restored from a backup. If it were
+// taken, a drained target would get work again. Revisions are numbered by one
+// compare-and-swap chain, so a lower number is older whoever sends it.
 func (t *Tracker) Offer(c Config, now time.Time) (advanced bool) {
 	if t.seen && c.Revision <= t.cur.Revision {
 		t.countRefused(c)
@@ -61,6 +60,6 @@
 // Revision returns the revision in force; 0 if there is none.
 func (t *Tracker) Revision() uint64 { return t.cur.Revision }
 
-// History returns the revisions that came in force on this node, oldest
+// History returns the revisions that came into force on this node, oldest
 // first. The result must not be changed.
 func (t *Tracker) History() []InForce { return t.history }
--- a/core/configuration/config/validate.go
+++ b/core/configuration/config/validate.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// The roles of operators, each allowed all that the ones before it are.
+// The roles of operators; each includes the permissions of the ones before it.
 const (
 	RoleViewer   = "viewer"
 	RoleOperator = "operator"
@@ -38,12 +38,12 @@
 
 const wantName = "1 to 63 letters, digits, '.', '_' or '-', the first a letter or digit"
 
-// ValidName reports whether name may name a part of the configuration, or an
-// intent.
+// ValidName reports whether name is a valid name of a workspace, model, service,
+// target, group, operator or intent.
 func ValidName(name string) bool { return namePattern.MatchString(name) }
 
 // Validate checks every field of c and the references between them. Its error
-// is an *InvalidError for the first field at fault.
+// is an *InvalidError for the first invalid field.
 func Validate(c Config) error {
 	v := &validator{
 		workspaces: names(c.Workspaces), models: names(c.Models),
@@ -74,7 +74,7 @@
 	return set
 }
 
-// validator collects the first fault.
+// validator records the first invalid field.
 type validator struct {
 	err                                  *InvalidError
 	workspaces, models, services, groups map[string]bool
@@ -90,7 +90,7 @@
 	v.err = &InvalidError{Field: field, Value: fmt.Sprint(value), Want: want}
 }
 
-// each checks the names of a list and then every item by itself.
+// each checks the names of a list, and calls item for each element.
 func each[T named](v *validator, list string, items []T, item func(at string, t T)) {
 	seen := make(map[string]bool, len(items))
 	for i, t := range items {
@@ -129,8 +129,8 @@
 		v.check(r.Method == "" || knownMethod(r.Method), field+".method", r.Method, "an HTTP method in capitals, or none for any")
 		v.check(strings.HasPrefix(r.Prefix, "/") && path.Clean(r.Prefix) == r.Prefix, field+".prefix", r.Prefix,
 			"a clean path that begins with a slash")
-		twin := slices.IndexFunc(s.Routes, func(o Route) bool { return o.Method == r.Method && o.Prefix == r.Prefix })
-		v.check(twin == i, field+".prefix", r.Prefix, "one route for a method and prefix")
+		first := slices.IndexFunc(s.Routes, func(o Route) bool { return o.Method == r.Method && o.Prefix == r.Prefix })
+		v.check(first == i, field+".prefix", r.Prefix, "one route for a method and prefix")
 	}
 }
 
@@ -167,8 +167,8 @@
 	v.hash(at+".token-hash", o.TokenHash)
 }
 
-// hash checks a digest. A digest used twice would let one token stand for two
-// workspaces, so that one could read the other's answers.
+// hash checks a digest. A digest used twice would make one token valid for two
+// workspaces, so that one could read the other's responses.
 func (v *validator) hash(field, h string) {
 	raw, err := hex.DecodeString(h)
 	v.check(err == nil && len(raw) == DigestSize && strings.ToLower(h) == h, field, mask(h), "a SHA-256 digest in lower-case hex")
@@ -199,8 +199,8 @@
 	return slices.Index([]string{"", RoleViewer, RoleOperator, RoleAdmin}, role)
 }
 
-// Allows reports whether an operator with the role have may do what needs the
-// role need. An unknown or empty role is allowed nothing.
+// Allows reports whether an operator with the role have may do what requires
+// the role need. An unknown or empty role has no permissions.
 func Allows(have, need string) bool {
 	return roleRank(have) > 0 && roleRank(need) > 0 && roleRank(have) >= roleRank(need)
 }
