--- a/core/configuration/follow/follow.go
+++ b/core/configuration/follow/follow.go
@@ -1,14 +1,14 @@
-// Package follow keeps one process at the latest configuration in force.
+// Package follow keeps one process up to date with the configuration in force.
 //
-// A Follower hears of revisions in three ways: it reads and watches the head
-// key of the platform's store, it is offered configurations by peers, and it
-// is told by heartbeats that a peer is ahead. Whatever the way, a revision
-// lower than the one in force is never taken, and the process acts on one
-// *config.Index at a time.
+// A Follower learns of revisions in three ways: it reads and watches the head
+// key of the platform's store, peers send it configurations, and heartbeats
+// report that a peer has a higher revision. From any source, a revision lower
+// than the one in force is rejected, and the process uses one *config.Index at
+// a time.
 //
-// A process that has just started acts on nothing until config.Bootstrap says
-// that it may: the store's word suffices, and while the store is down the word
-// of a majority of the agents named in the settings does.
+// A process that has just started uses no configuration until config.Bootstrap
+// permits it: an answer of the store suffices, and while the store is down the
+// answers of a majority of the agents named in the settings do.
 //
 // # Usage
 //
@@ -31,9 +31,9 @@
 	"verbenashift/core/configuration/store"
 )
 
-// The pauses after a failed call to the store: the first, and the bound to
-// which it doubles. Each is spread by half of itself, so that a fleet does not
-// come back to a recovered store in one instant.
+// The bounds of the exponential backoff after a failed call to the store. Each
+// pause is jittered by a quarter of itself in both directions, so that the
+// processes do not all call a recovered store at once.
 const (
 	firstPause = 250 * time.Millisecond
 	maxPause   = 8 * time.Second
@@ -48,10 +48,10 @@
 // Config says how a Follower works.
 type Config struct {
 	Store Store
-	// Refresh is how often the head is read beside the watch.
+	// Refresh is how often the head is read in addition to the watch.
 	Refresh time.Duration
 	// Self is this process's address among Electorate, "" for an entry, and
-	// Electorate the agents whose word counts at a start while the store is
+	// Electorate the agents whose answers count at a start while the store is
 	// down; see config.Startup.
 	Self       string
 	Electorate []string
@@ -72,14 +72,15 @@
 	answers      []config.PeerAnswer
 	bootstrapped bool
 	reason       string
-	// inForce are the last revisions that were in force here.
+	// inForce are the last revisions that were in force in this process.
 	inForce  []config.InForce
 	onChange []func(*config.Index)
-	// encoded is the gzip form of revision encodedOf.
+	// encoded is the gzip encoding of revision encodedOf.
 	encoded   []byte
 	encodedOf uint64
 
-	// lastConfirmed is when the store or a peer last confirmed the revision.
+	// lastConfirmed is when the store or a peer last confirmed the revision, in Unix
+	// nanoseconds.
 	lastConfirmed atomic.Int64
 }
 
@@ -92,8 +93,8 @@
 	}
 }
 
-// OnChange has f called after each change, in order, one call at a time. It
-// must be called before Run.
+// OnChange adds a function that is called after each change, in order, one call
+// at a time. It must be called before Run.
 func (f *Follower) OnChange(fn func(*config.Index)) {
 	f.onChange = append(f.onChange, fn)
 }
@@ -104,9 +105,9 @@
 	return f.index.Load()
 }
 
-// Revision returns the revision in force, 0 if there is none yet. Peers take 0
-// as the word of a process that knows nothing: it is what one says that has not
-// finished its start, so that it never vouches for an old revision.
+// Revision returns the revision in force, 0 if there is none yet. Peers
+// ignore an answer of 0, which a process gives until it has finished its start,
+// so that it never confirms an old revision.
 func (f *Follower) Revision() uint64 {
 	if x := f.index.Load(); x != nil {
 		return x.Revision()
@@ -114,15 +115,16 @@
 	return 0
 }
 
-// History returns the revisions that were in force here, oldest first.
+// History returns the revisions that were in force in this process, oldest
+// first.
 func (f *Follower) History() []config.InForce {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]config.InForce(nil), f.inForce...)
 }
 
-// Encoded returns the configuration in force in its gzip form, which is made
-// once per revision, and its revision.
+// Encoded returns the configuration in force with gzip compression, which is
+// made once per revision, and its revision.
 func (f *Follower) Encoded() (uint64, []byte) {
 	x := f.index.Load()
 	if x == nil {
@@ -142,12 +144,13 @@
 	return f.encodedOf, f.encoded
 }
 
-// MarkConfirmed tells that a source has confirmed the present revision.
+// MarkConfirmed records that the store or a peer has confirmed the current revision.
 func (f *Follower) MarkConfirmed() {
 	f.lastConfirmed.Store(time.Now().UnixNano())
 }
 
-// SinceConfirmed returns how long no source has been heard.
+// SinceConfirmed returns the time since the store or a peer last confirmed the
+// revision.
 func (f *Follower) SinceConfirmed() time.Duration {
 	return time.Duration(time.Now().UnixNano() - f.lastConfirmed.Load())
 }
@@ -172,7 +175,8 @@
 	return f.reason
 }
 
-// AddAnswer takes a peer's word on its revision, for a start without the store.
+// AddAnswer records the revision that a peer has reported, for a start without the
+// store.
 func (f *Follower) AddAnswer(a config.PeerAnswer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +188,7 @@
 	f.tryBootstrap()
 }
 
-// tryBootstrap ends the start if what was heard suffices. The caller holds mu.
+// tryBootstrap ends the start if the answers so far suffice. The caller holds mu.
 func (f *Follower) tryBootstrap() {
 	if f.bootstrapped {
 		return
@@ -207,8 +211,8 @@
 	}
 	x := config.NewIndex(c)
 	f.index.Store(x)
-	// What was only fetched before the start was over was never in force: to
-	// tell it would look like a node that acted on an old revision.
+	// What was only fetched before the end of the start was never in force:
+	// reporting it would look like a node that used an old revision.
 	f.inForce = append(f.inForce, config.InForce{Revision: c.Revision, ChangeID: c.ChangeID, UnixMillis: time.Now().UnixMilli()})
 	if n := len(f.inForce) - config.MaxHistory; n > 0 {
 		f.inForce = append(f.inForce[:0:0], f.inForce[n:]...)
@@ -218,8 +222,8 @@
 	}
 }
 
-// Offer takes a configuration from any source and reports whether it became
-// the one in force. An older revision never does.
+// Offer offers a configuration from any source and reports whether it is now
+// in force. An older revision never is.
 func (f *Follower) Offer(c config.Config) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,7 +239,7 @@
 	return f.bootstrapped
 }
 
-// OfferEncoded takes a configuration in its gzip form.
+// OfferEncoded offers a configuration that was encoded with EncodeGzip.
 func (f *Follower) OfferEncoded(data []byte) (bool, error) {
 	c, err := config.Decode(data)
 	if err != nil {
--- a/core/configuration/follow/follow_test.go
+++ b/core/configuration/follow/follow_test.go
@@ -17,7 +17,7 @@
 	"verbenashift/core/configuration/store"
 )
 
-// fakeStore holds the head of the configuration. Down, it answers nothing.
+// fakeStore holds the head of the configuration. While it is down, each call fails.
 type fakeStore struct {
 	watch chan config.Config
 
@@ -34,8 +34,8 @@
 	s.head, s.down = head, down
 }
 
-// asked returns how often the store was read.
-func (s *fakeStore) asked() int {
+// reads returns how often the store was read.
+func (s *fakeStore) reads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.gets
@@ -78,9 +78,9 @@
 	})
 }
 
-// A node restarts while the store is down. The first peer that answers was cut
-// off before the last change. If the node acted on that peer's word, a revoked
-// token would be let in again: it must hear a majority first.
+// Guards against a node that restarts while the store is down and takes the
+// configuration of a peer that was partitioned before the last change: a revoked
+// token would be accepted again. It needs answers from a majority first.
 func TestStartInAnOutageNeedsAMajority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,7 +89,7 @@
 		f.Offer(revision(4))
 		f.AddAnswer(config.PeerAnswer{From: "a", Revision: 4, RequestedAt: now})
 		is.True(f.Index() == nil)
-		is.Equal(f.Revision(), uint64(0)) // it vouches for nothing
+		is.Equal(f.Revision(), uint64(0)) // it reports no revision
 		is.True(f.Reason() != "")
 		f.AddAnswer(config.PeerAnswer{From: "b", Revision: 5, RequestedAt: now})
 		is.True(f.Index() == nil) // revision 5 is still to be fetched
@@ -99,8 +99,8 @@
 	})
 }
 
-// A late answer brings an older revision after a newer one is in force. It must
-// change nothing, whatever the way it comes.
+// Guards against an older revision that arrives after a newer one is in force,
+// from any source.
 func TestNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -128,9 +128,9 @@
 	})
 }
 
-// The store is down for long. Nodes that ask again at once would come back to
-// it all together; the pauses grow, and the store's word is taken when it is
-// back.
+// Guards against retries without backoff during a long outage of the store, after
+// which all nodes would call it at once. The pauses grow, and the store's
+// configuration is taken once it answers.
 func TestStoreIsAskedSeldomInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -139,7 +139,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go f.Run(ctx)
 		time.Sleep(2 * time.Minute)
-		is.True(s.asked() > 5 && s.asked() < 40)
+		is.True(s.reads() > 5 && s.reads() < 40)
 		s.set(revision(3), false)
 		time.Sleep(time.Minute)
 		is.Equal(f.Revision(), uint64(3))
--- a/core/configuration/follow/members.go
+++ b/core/configuration/follow/members.go
@@ -9,8 +9,8 @@
 	"verbenashift/core/membership/member"
 )
 
-// Members is this process's view of the agents, fed by the digests that
-// heartbeats carry. It is safe for use by several goroutines.
+// Members is this process's membership view of the agents, updated from the
+// digests that heartbeats carry. It is safe for use by several goroutines.
 type Members struct {
 	mu      sync.Mutex
 	view    *member.View
@@ -23,7 +23,7 @@
 	return &Members{view: member.New(self, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))}
 }
 
-// Update takes the targets of a new configuration: each has an agent.
+// Update sets the targets of a new configuration: each has an agent.
 func (m *Members) Update(x *config.Index) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -32,7 +32,7 @@
 	m.updateInstances()
 }
 
-// SetLeaving takes the names that the platform's instance list calls leaving.
+// SetLeaving sets the names that the platform's instance list marks as leaving.
 func (m *Members) SetLeaving(leaving map[string]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,7 +40,7 @@
 	m.updateInstances()
 }
 
-// updateInstances tells the view who there is. The caller holds mu.
+// updateInstances passes the list of agents to the view. The caller holds mu.
 func (m *Members) updateInstances() {
 	list := make([]member.Instance, 0, len(m.targets))
 	for _, t := range m.targets {
@@ -56,14 +56,14 @@
 	return append([]string(nil), m.view.Round(time.Now())...)
 }
 
-// Digest returns what to tell a peer.
+// Digest returns the encoded digest for a peer.
 func (m *Members) Digest(peer string) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Digest(nil, peer, nil, time.Now())
 }
 
-// Merge takes in a peer's digest; an empty one is none.
+// Merge applies a peer's digest; an empty one is ignored.
 func (m *Members) Merge(digest []byte) error {
 	if len(digest) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	return err
 }
 
-// RecordFailure tells that an exchange with an agent failed.
+// RecordFailure records that an exchange with an agent failed.
 func (m *Members) RecordFailure(name string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -95,8 +95,8 @@
 	m.view.SetWait(d)
 }
 
-// Ineligible returns the agents that may get no new work: they leave, drain or
-// are gone.
+// Ineligible returns the agents that may get no new work, because they are
+// leaving, draining or unreachable.
 func (m *Members) Ineligible() map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +109,7 @@
 	return out
 }
 
-// VisibleFraction returns the part of the agents in zones that can be heard of; it
+// VisibleFraction returns the fraction of the agents that are in reachable zones; it
 // falls below 1 in a partition and not when single agents fail.
 func (m *Members) VisibleFraction() float64 {
 	m.mu.Lock()
@@ -117,16 +117,17 @@
 	return m.view.VisibleFraction(time.Now())
 }
 
-// Isolated reports whether this process has heard nobody for some seconds. It
-// must then tell the platform's balancer that it is not ready.
+// Isolated reports whether this process has received nothing from any agent for
+// some seconds. It must then report to the platform's load balancer that it is
+// not ready.
 func (m *Members) Isolated() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.view.Isolated(time.Now())
 }
 
-// Superseded reports whether a later process has this agent's name: this one
-// is an old copy that was paused and replaced, and must stop.
+// Superseded reports whether a later process has this agent's name: this process
+// was paused and replaced meanwhile, and must stop.
 func (m *Members) Superseded() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/core/configuration/follow/memory.go
+++ b/core/configuration/follow/memory.go
@@ -7,13 +7,13 @@
 	"verbenashift/core/configuration/config"
 )
 
-// releaseDelay lets the old configuration fall out of use first.
+// releaseDelay leaves time for the last uses of the old configuration to end.
 const releaseDelay = 2 * time.Second
 
-// ReleaseMemory gives back to the system what reading a configuration took and
-// no longer needs, which the runtime would else keep for minutes. It is for
-// OnChange in a program: one collection for each of a few hundred changes a
-// day costs nothing that shows.
+// ReleaseMemory returns the memory that decoding a configuration needed to the
+// operating system, which the runtime would otherwise retain for minutes. It is
+// for OnChange in a program: one garbage collection for each of a few hundred
+// changes a day has no noticeable cost.
 func ReleaseMemory(*config.Index) {
 	time.AfterFunc(releaseDelay, debug.FreeOSMemory)
 }
--- a/core/configuration/follow/run.go
+++ b/core/configuration/follow/run.go
@@ -41,7 +41,7 @@
 	return kv.Version, nil
 }
 
-// offerStored offers what the store holds and returns its revision.
+// offerStored offers the configuration that the store holds and returns its revision.
 func (f *Follower) offerStored(kv store.KV) uint64 {
 	if len(kv.Value) == 0 {
 		return 0
@@ -56,7 +56,7 @@
 }
 
 // wait watches the head until the next refresh is due, if this process
-// watches, and otherwise just waits.
+// watches, and otherwise only waits.
 func (f *Follower) wait(ctx context.Context, version int64) {
 	ctx, cancel := context.WithTimeout(ctx, jitter(f.cfg.Refresh))
 	defer cancel()
--- a/core/configuration/follow/spread.go
+++ b/core/configuration/follow/spread.go
@@ -12,30 +12,30 @@
 	"verbenashift/core/peer/wire"
 )
 
-// exchangeGrace is how long beyond a period one exchange may take.
+// exchangeGrace is how much longer than a period one exchange may take.
 const exchangeGrace = 2 * time.Second
 
-// Gossip passes configurations on between processes. In each period it asks a
-// few agents which revision they act on; the side that is behind gets the
+// Gossip distributes configurations between processes. In each period it
+// exchanges revisions with a few agents; the side with the lower one gets the
 // newer configuration at once, so that a revision reaches n processes in about
 // log n periods without a call to the store.
 type Gossip struct {
-	// Name is this process; it never asks itself.
+	// Name is the name of this process; it never exchanges with itself.
 	Name     string
 	Follower *Follower
 	Dialer   *peer.Dialer
 	Log      *slog.Logger
-	// Members chooses whom a round asks and learns from the answers.
+	// Members chooses the agents of a round and is updated from their answers.
 	Members *Members
 	// Period is the time between rounds.
 	Period time.Duration
-	// Seeds are agents to ask while there is no configuration.
+	// Seeds are the agents of a round while there is no configuration.
 	Seeds []string
-	// Describe, if set, adds what this process says of itself.
+	// Describe, if set, adds this process's own state to the request.
 	Describe func(m *wire.ExchangeRequest)
-	// OnResponse, if set, is told of each answer.
+	// OnResponse, if set, is called with each answer.
 	OnResponse func(agent string, m *wire.ExchangeResponse)
-	// OnFailure, if set, is told of each agent that did not answer.
+	// OnFailure, if set, is called for each agent that did not answer.
 	OnFailure func(agent string)
 }
 
@@ -55,7 +55,7 @@
 	}
 }
 
-// pickPeers picks the agents of one round; the seeds until there is a
+// pickPeers picks the agents of one round: the seeds until there is a
 // configuration.
 func (s *Gossip) pickPeers() []config.Target {
 	x := s.Follower.Index()
@@ -82,8 +82,8 @@
 func (s *Gossip) exchange(ctx context.Context, t config.Target) {
 	ctx, cancel := context.WithTimeout(ctx, s.Period+exchangeGrace)
 	defer cancel()
-	asked := time.Now()
-	mine := s.Follower.FetchedRevision()
+	requestedAt := time.Now()
+	fetched := s.Follower.FetchedRevision()
 	req := &wire.ExchangeRequest{From: s.Name, Revision: s.Follower.Revision(), Digest: s.Members.Digest(t.Name)}
 	if s.Describe != nil {
 		s.Describe(req)
@@ -101,9 +101,9 @@
 	}
 	if resp.Msg.Revision > 0 {
 		s.Follower.MarkConfirmed()
-		s.Follower.AddAnswer(config.PeerAnswer{From: t.Agent, Revision: resp.Msg.Revision, RequestedAt: asked})
+		s.Follower.AddAnswer(config.PeerAnswer{From: t.Agent, Revision: resp.Msg.Revision, RequestedAt: requestedAt})
 	}
-	if resp.Msg.Revision > mine {
+	if resp.Msg.Revision > fetched {
 		s.fetch(ctx, t)
 	}
 	if resp.Msg.Revision < s.Follower.Revision() {
@@ -118,7 +118,7 @@
 	}
 }
 
-// fetch takes the configuration of an agent that is ahead.
+// fetch gets the configuration of an agent that has a higher revision.
 func (s *Gossip) fetch(ctx context.Context, t config.Target) {
 	resp, err := s.Dialer.Agent(t.Agent).FetchConfig(ctx, connect.NewRequest(&wire.FetchConfigRequest{HaveRevision: s.Follower.FetchedRevision()}))
 	if err != nil || len(resp.Msg.Config) == 0 {
@@ -129,7 +129,7 @@
 	}
 }
 
-// push gives the configuration to an agent that is behind.
+// push sends the configuration to an agent that has a lower revision.
 func (s *Gossip) push(ctx context.Context, t config.Target) {
 	revision, data := s.Follower.Encoded()
 	if len(data) == 0 {
--- a/core/configuration/mirror/follower.go
+++ b/core/configuration/mirror/follower.go
@@ -18,26 +18,27 @@
 
 const (
 	// watchWait is how long a watch waits for changes. It bounds how long a
-	// connection that has gone silent hides a change, since a leaving target
-	// must be known within its drain bound.
+	// connection that silently fails delays a change, since a draining target must
+	// be known within its drain bound.
 	watchWait = 2 * time.Second
-	// responseTimeout is how long the store may take beyond that, or for a read.
+	// responseTimeout is how long the store may take beyond watchWait, or for a read.
 	responseTimeout = 900 * time.Millisecond
-	// firstPause and maxPause bound the pause after a failed call. The pause is
-	// spread by half of itself, so that a fleet does not come back at once.
+	// firstPause and maxPause bound the exponential backoff after a failed call.
+	// It is jittered by half of itself, so that the processes do not all reconnect
+	// at once.
 	firstPause = 60 * time.Millisecond
 	maxPause   = 600 * time.Millisecond
-	// batchDelay is the pause after changes, in which more of them come together: a
-	// call for each would be dear. It is a small part of the bounds within which
-	// a configuration or a drain must be known.
+	// batchDelay is the pause after changes, in which further ones accumulate: a call
+	// for each would be expensive. It is a small part of the bounds within which a
+	// configuration or a drain must be known.
 	batchDelay = 150 * time.Millisecond
-	// maxBatchDelay is how long the pause grows while changes keep coming, as they do when
-	// 200 servers start, and calmAfter how long nothing must have changed for it to be
-	// short again: each call is made by every process that watches.
+	// maxBatchDelay is the limit to which the delay grows while changes keep coming, as
+	// they do when 200 servers start, and batchResetAfter how long nothing must have
+	// changed for it to be short again: every process that watches makes each call.
 	maxBatchDelay   = 600 * time.Millisecond
 	batchResetAfter = time.Second
-	// outageAfter is how long the store must have been out of reach for
-	// entries to have lapsed meanwhile.
+	// outageAfter is how long the store must have been unreachable for leases of
+	// entries to have expired meanwhile.
 	outageAfter = 1500 * time.Millisecond
 )
 
@@ -47,10 +48,10 @@
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (kv.Page, error)
 }
 
-// Follower keeps a Mirror at what the store says.
+// Follower keeps a Mirror up to date with the store.
 type Follower struct {
 	store storeReader
-	// prefixes are read; watched is the one that is watched, which covers them.
+	// prefixes are read; watchPrefix is watched and covers all of them.
 	prefixes      []string
 	watchPrefix   string
 	log           *slog.Logger
@@ -59,17 +60,17 @@
 	lastAnswer    atomic.Int64
 	onChange      []func(*Snapshot)
 	onUnreachable []func()
-	// listeners get the items under prefixes that are no part of the view.
+	// listeners get the items under prefixes that are not part of the snapshot.
 	listeners []listener
 	started   time.Time
-	// unreachableSince is when the store was last heard before it was unreachableSince; zero while it
-	// answers.
+	// unreachableSince is when the store last answered before it became
+	// unreachable; zero while it answers.
 	unreachableSince time.Time
-	// hints are what others tell of the store; event is the revision of the newest change
-	// that was seen.
+	// hints are what other processes report about the store's revision; event is the
+	// revision of the newest change that was seen.
 	hints hints
 	event atomic.Int64
-	// pause is how long changes are gathered after the next ones.
+	// pause is the batch delay after the next changes.
 	pause time.Duration
 }
 
@@ -79,8 +80,8 @@
 	return &Follower{store: store, prefixes: prefixes, log: log, mirror: New(formats, log), started: time.Now()}
 }
 
-// NewTargetFollower returns a Follower of the targets alone, whose views have an empty
-// configuration. It does nothing before Run.
+// NewTargetFollower returns a Follower of the targets alone, whose snapshots have an
+// empty configuration. It does nothing before Run.
 func NewTargetFollower(store storeReader, formats deployment.Formats, log *slog.Logger) *Follower {
 	return &Follower{
 		store: store, prefixes: []string{formats.TargetPrefix}, watchPrefix: formats.TargetPrefix,
@@ -88,7 +89,7 @@
 	}
 }
 
-// OnChange adds a function that is called with each new view, from Run's
+// OnChange adds a function that is called with each new snapshot, from Run's
 // goroutine. It must be called before Run.
 func (f *Follower) OnChange(fn func(*Snapshot)) { f.onChange = append(f.onChange, fn) }
 
@@ -97,8 +98,8 @@
 func (f *Follower) OnStoreUnreachable(fn func()) { f.onUnreachable = append(f.onUnreachable, fn) }
 
 // The metrics of all Followers of this process: how long ago the store last
-// answered, what became of the calls, and the configuration in force with the
-// revision up to which the view is complete.
+// answered, the calls by outcome, and the configuration in force with the
+// revision up to which the snapshot is complete.
 var (
 	metricAge      = expvar.NewInt("store-age-ms")
 	metricCalls    = expvar.NewMap("store-calls-by-outcome")
@@ -120,7 +121,7 @@
 	}
 }
 
-// Snapshot returns the newest view, or nil before the first configuration.
+// Snapshot returns the newest snapshot, or nil before the first configuration.
 func (f *Follower) Snapshot() *Snapshot { return f.snapshot.Load() }
 
 // Age is how long ago the store last answered.
@@ -131,14 +132,14 @@
 // Run follows the store until the context ends.
 func (f *Follower) Run(ctx context.Context) {
 	next := firstPause
-	whole := false
+	complete := false
 	for ctx.Err() == nil {
 		var err error
-		if !whole {
+		if !complete {
 			err = f.readAll(ctx)
-			whole = err == nil
+			complete = err == nil
 		} else {
-			whole, err = f.watch(ctx)
+			complete, err = f.watch(ctx)
 		}
 		metricAge.Set(f.Age().Milliseconds())
 		if f.mirror.ExpireMissing(time.Now()) {
@@ -149,9 +150,9 @@
 			next = firstPause
 			continue
 		}
-		var stopped *watchAbandonedError
-		if errors.As(err, &stopped) && stopped.Reason == hintsExpired {
-			continue // It says nothing of the store.
+		var abandoned *watchAbandonedError
+		if errors.As(err, &abandoned) && abandoned.Reason == hintsExpired {
+			continue // The watch was not ended by the store.
 		}
 		f.storeFailed(err)
 		pause.For(ctx, next/2+rand.N(next))
@@ -159,31 +160,32 @@
 	}
 }
 
-// watch waits for changes once. It reports false if the history has gone.
+// watch waits for changes once. It reports false if everything must be read
+// again.
 func (f *Follower) watch(ctx context.Context) (bool, error) {
 	began := time.Now()
 	wait := f.hints.wait(began)
 	if due, ok := f.mirror.NextExpiry(began); ok {
-		// A target that has left while the store was away must not wait for a long watch.
+		// Removing a target that left during an outage must not wait for a long watch.
 		wait = min(wait, due+time.Millisecond)
 	}
 	ctx, cancel := context.WithTimeout(ctx, wait+responseTimeout)
 	defer cancel()
-	gaveUp := f.superviseWatch(ctx, cancel, began)
+	abandoned := f.superviseWatch(ctx, cancel, began)
 	page, err := f.store.Watch(ctx, f.watchPrefix, f.mirror.Revision(), wait)
 	count(err)
-	if reason := gaveUp.Load(); err != nil && reason != nil {
+	if reason := abandoned.Load(); err != nil && reason != nil {
 		f.log.Info("watch given up", "reason", string(*reason), "after-ms", time.Since(began).Milliseconds(), "revision", f.mirror.Revision())
 		return !f.outage(), &watchAbandonedError{*reason}
 	}
 	var status *kv.StatusError
 	if errors.As(err, &status) && status.Compacted() {
-		f.log.Info("history of the store is gone, reading all", "revision", f.mirror.Revision())
+		f.log.Info("history of the store is compacted; reading all keys", "revision", f.mirror.Revision())
 		return false, nil
 	}
 	if err != nil {
-		// After an outage, entries may have lapsed and come back: the events
-		// tell it, unless the outage was long.
+		// In an outage, entries may have expired and been registered again: the
+		// events show it, unless the outage was long.
 		return !f.outage(), err
 	}
 	if f.mirror.Apply(page.Items, page.Revision) {
@@ -192,7 +194,7 @@
 	f.notify(page.Items, false)
 	f.recordSeen(page.Items)
 	if len(page.Items) > 0 {
-		// Servers that start or leave together are heard of in one call.
+		// Servers that start or leave together are reported in one call.
 		if time.Since(began) >= batchResetAfter || f.pause == 0 {
 			f.pause = batchDelay
 		}
@@ -202,8 +204,8 @@
 	return true, nil
 }
 
-// readAll reads everything. The watch goes on from the revision before the
-// first page, because pages are no snapshot.
+// readAll reads all prefixes. The watch continues from the revision of the first
+// page, because the pages are not a consistent snapshot.
 func (f *Follower) readAll(ctx context.Context) error {
 	var all []kv.Item
 	from := int64(-1)
@@ -284,8 +286,8 @@
 	}
 }
 
-// outage reports whether the store has been out of reach for so long that
-// entries may have lapsed.
+// outage reports whether the store has been unreachable for so long that
+// leases of entries may have expired.
 func (f *Follower) outage() bool {
 	return !f.unreachableSince.IsZero() && time.Since(f.unreachableSince) > outageAfter
 }
--- a/core/configuration/mirror/follower_test.go
+++ b/core/configuration/mirror/follower_test.go
@@ -14,7 +14,7 @@
 	"verbenashift/core/plumbing/pause"
 )
 
-// script is a store that plays what a test wants.
+// script is a store whose answers a test defines.
 type script struct {
 	rangeOf func(prefix string) (kv.Page, error)
 	watch   func(after int64) (kv.Page, error)
@@ -46,7 +46,7 @@
 	return len(f.Snapshot().Targets)
 }
 
-// Guards against missing a server that registers between two pages.
+// Guards against missing a server that registers between two pages of a read.
 func TestWatchGoesOnFromTheFirstPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -70,7 +70,7 @@
 	})
 }
 
-// Guards against keeping what has left while the history was dropped.
+// Guards against retaining entries that were removed while the history was compacted.
 func TestCompactedHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -98,7 +98,7 @@
 	})
 }
 
-// Guards against forgetting what is known during an outage, or hiding how old it is.
+// Guards against losing known entries during an outage, or reporting a wrong age.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -141,8 +141,8 @@
 	})
 }
 
-// Guards against a call to the store for each of many changes, and a single one that is known
-// late.
+// Guards against a call to the store for each of many changes, and against a delay of a single
+// change.
 func TestChangesThatKeepComingAreGathered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,7 +183,7 @@
 		is.Equal(f.LastEventRevision(), seen+1)
 		revision.Add(1)
 		time.Sleep(batchDelay + 20*time.Millisecond)
-		is.Equal(f.LastEventRevision(), seen+2) // the next one is gathered briefly
+		is.Equal(f.LastEventRevision(), seen+2) // the batch delay is short for the next change
 		cancel()
 		synctest.Wait()
 	})
--- a/core/configuration/mirror/formats_test.go
+++ b/core/configuration/mirror/formats_test.go
@@ -18,7 +18,7 @@
 	testTargetPrefix = "test/targets/"
 )
 
-// testFormats reads what the tests write.
+// testFormats decodes the entries that the tests write.
 func testFormats() deployment.Formats {
 	return deployment.Formats{ConfigKey: testConfigKey, TargetPrefix: testTargetPrefix, Config: testConfig, Target: testTarget}
 }
--- a/core/configuration/mirror/hints.go
+++ b/core/configuration/mirror/hints.go
@@ -11,32 +11,33 @@
 )
 
 const (
-	// hintedWatchWait is how long a watch waits while others tell how far the store has come, so
-	// that one that hides a change is noticed without it.
+	// hintedWatchWait is how long a watch waits while other processes report the store's
+	// revision, so that a watch that misses a change is noticed without its end.
 	hintedWatchWait = 12 * time.Second
-	// hintTTL is for how long a word on that counts: several changes of stewards.
+	// hintTTL is how long such a report is valid: several changes of coordinators.
 	hintTTL = 3 * time.Second
-	// hintGrace is how long a change that others know may take to come over the own
-	// watch, in which changes are gathered.
+	// hintGrace is how long a change that others know may take to arrive over this
+	// process's own watch, which batches changes.
 	hintGrace = 600 * time.Millisecond
-	// hintCheck is how often a watch of calmWait is looked at.
+	// hintCheck is how often a watch of hintedWatchWait is checked.
 	hintCheck = 300 * time.Millisecond
 )
 
-// hints decides how long a watch may wait, and when one under way is given up, by what
-// other processes tell of the store's revision.
+// hints decides how long a watch may wait, and when one in progress is abandoned, from
+// the store revisions that other processes report.
 //
-// An open connection may go silent for good, and nothing but the end of the wait shows it.
-// A process that hears several times a second up to which revision others have seen
-// changes knows at once when it has missed one. A few processes, the short watchers, wait as briefly
-// as without hints, and so do all when hints stop: a revision is told only by who has heard
-// the store in the last seconds. The zero value has none. It is safe for concurrent use.
+// An open connection may fail silently, which is noticed only at the end of the wait. A
+// process that receives several times a second the revision up to which others have seen
+// changes knows at once when it has missed one. A few processes, the short watchers, wait
+// as briefly as without hints, and so do all when hints stop: a revision is reported only
+// by processes that had an answer from the store in the last seconds. The zero value has
+// no hints. It is safe for concurrent use.
 type hints struct {
 	mu sync.Mutex
-	// known is the revision up to which this process has seen the store.
+	// known is the revision up to which this process has seen the store's changes.
 	known int64
-	// receivedAt is when others told last how far they have; behindSince since when that is
-	// further than known, or zero.
+	// receivedAt is when others last reported a revision; behindSince is since when that
+	// has been higher than known, or zero.
 	receivedAt, behindSince time.Time
 	// short says that others rely on this process to see changes soon.
 	short bool
@@ -49,8 +50,8 @@
 	h.known, h.behindSince = max(h.known, revision), time.Time{}
 }
 
-// receive records that another process has seen a change of a revision, and whether others
-// rely on this one.
+// receive records that another process has seen the change of a revision, and whether
+// others rely on this process.
 func (h *hints) receive(revision int64, short bool, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,10 +71,10 @@
 	return watchWait
 }
 
-// overdue says why a watch that has begun at a time is given up, or that it is not: it
-// hides a change, or it waits for longer than it would without hints, and there are none
-// any more. A watch that has just begun is left time to answer, so that a store that is
-// slow, or that turns this process away, is not asked ever more often.
+// overdue returns why a watch that began at the given time is abandoned, or notAbandoned.
+// It is abandoned if it misses a change, or if it waits for longer than it would without
+// hints and there are no hints any more. A watch that has just begun is given time to
+// answer, so that a slow or rejecting store does not get calls at an ever higher rate.
 func (h *hints) overdue(began, now time.Time) abandonReason {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,27 +87,27 @@
 	return notAbandoned
 }
 
-// abandonReason says why a watch was ended before its time.
+// abandonReason says why a watch was ended before its wait was over.
 type abandonReason string
 
 const (
-	// notAbandoned is for one that was not.
+	// notAbandoned means that the watch was not ended.
 	notAbandoned abandonReason = ""
-	// missedChange says that others know a change that has not come over it.
-	missedChange abandonReason = "others know a change that it hides"
-	// hintsExpired says that nobody tells any more whether it hides one.
-	hintsExpired abandonReason = "nobody tells how far the store has come"
+	// missedChange means that others know a change that the watch has not delivered.
+	missedChange abandonReason = "others know a change that the watch has not delivered"
+	// hintsExpired means that no process reports any more whether the watch misses a change.
+	hintsExpired abandonReason = "no other process reports the store's revision any more"
 )
 
-// watchAbandonedError is a watch that was ended before its time.
+// watchAbandonedError is the error of a watch that was ended before its wait was over.
 type watchAbandonedError struct {
 	Reason abandonReason
 }
 
-// Error says why.
+// Error returns the reason.
 func (e *watchAbandonedError) Error() string { return "watch given up: " + string(e.Reason) }
 
-// recordSeen records how far the store is known, and its newest change.
+// recordSeen records up to which revision the store is known, and its newest change.
 func (f *Follower) recordSeen(seen []kv.Item) {
 	f.hints.observe(f.mirror.Revision())
 	for i := range seen {
@@ -114,26 +115,26 @@
 	}
 }
 
-// superviseWatch ends a watch that is overdue before its wait is over. The result says why, or nil.
+// superviseWatch ends a watch that is overdue. The result holds the reason, or nil.
 func (f *Follower) superviseWatch(ctx context.Context, end context.CancelFunc, began time.Time) *atomic.Pointer[abandonReason] {
-	var gaveUp atomic.Pointer[abandonReason]
+	var abandoned atomic.Pointer[abandonReason]
 	go func() {
 		for pause.For(ctx, hintCheck) {
 			if reason := f.hints.overdue(began, time.Now()); reason != notAbandoned {
-				gaveUp.Store(&reason)
+				abandoned.Store(&reason)
 				end()
 			}
 		}
 	}()
-	return &gaveUp
+	return &abandoned
 }
 
 // storeFresh is how recently the store must have answered for its newest change to be
-// worth telling.
+// reported to others.
 const storeFresh = watchWait + responseTimeout + hintGrace
 
 // LastEventRevision returns the revision of the newest change that was seen, or 0 if the store has not
-// answered for a while: whoever is told relies on it to notice what it misses itself.
+// answered for a while: other processes rely on it to notice changes that they have missed.
 func (f *Follower) LastEventRevision() int64 {
 	if f.Age() > storeFresh {
 		return 0
@@ -141,9 +142,9 @@
 	return f.event.Load()
 }
 
-// Hint tells that another process has seen a change of a revision, by its Event. Watches
-// wait for longer while such hints come, unless this process is one of the few whose own
-// word the hints come from.
+// Hint records that another process has seen the change of a revision, its
+// LastEventRevision. Watches wait for longer while such hints arrive, unless short says
+// that this process is one of the few that the hints come from.
 func (f *Follower) Hint(event int64, short bool) {
 	if event > 0 {
 		f.hints.receive(event, short, time.Now())
--- a/core/configuration/mirror/hints_test.go
+++ b/core/configuration/mirror/hints_test.go
@@ -18,17 +18,17 @@
 	is := is.New(t)
 	var h hints
 	now := time.Unix(1000, 0)
-	is.Equal(h.wait(now), watchWait) // nobody has told anything
+	is.Equal(h.wait(now), watchWait) // no hint yet
 	h.observe(7)
 	h.receive(7, false, now)
 	is.Equal(h.wait(now), hintedWatchWait)
 	is.Equal(h.overdue(now, now.Add(hintTTL-1)), notAbandoned)
-	h.receive(9, false, now) // a change that has not come yet
+	h.receive(9, false, now) // a change that has not arrived yet
 	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace-1)), notAbandoned)
 	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), missedChange)
 	is.Equal(h.overdue(now.Add(hintGrace), now.Add(2*hintGrace)), notAbandoned) // it has just begun
 	h.receive(9, false, now.Add(hintGrace))
-	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), missedChange) // since the first word
+	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), missedChange) // since the first hint
 	h.observe(9)
 	is.Equal(h.overdue(now.Add(-time.Minute), now.Add(hintGrace)), notAbandoned)
 	later := now.Add(hintGrace + hintTTL)
@@ -40,8 +40,8 @@
 	is.Equal(h.overdue(later.Add(-watchWait-responseTimeout), later), hintsExpired)
 }
 
-// silentStore answers the first watches; from a moment on its connections are silent, as
-// they are when a path is lost without a reset, until they are made anew.
+// silentStore answers the first watches; later its connections become silent, as when a
+// network path is lost without a reset, until they are opened again.
 type silentStore struct {
 	silent  atomic.Bool
 	targets atomic.Int64
@@ -69,7 +69,7 @@
 	return kv.Page{Revision: after}, nil
 }
 
-// Guards against a change that a silent connection hides for the length of a watch.
+// Guards against a silent connection that delays a change for the length of a watch.
 func TestSilentWatchIsNoticedByHints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -89,7 +89,7 @@
 		s.silent.Store(true)
 		s.targets.Store(11)
 		time.Sleep(100 * time.Millisecond)
-		event.Store(11) // the steward has seen it
+		event.Store(11) // the coordinator has seen it
 		time.Sleep(2 * time.Second)
 		is.Equal(len(f.Snapshot().Targets), 1)
 		cancel()
@@ -97,7 +97,7 @@
 	})
 }
 
-// Guards against long watches when nobody tells how far the store has come.
+// Guards against long watches when no other process reports the store's revision.
 func TestWatchesWaitBrieflyWithoutHints(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -111,7 +111,7 @@
 		before := s.watches.Load()
 		time.Sleep(20 * time.Second)
 		is.Equal(s.watches.Load()-before, int64(20*time.Second/watchWait))
-		// A silent connection hides a change for no longer than one wait.
+		// A silent connection delays a change for no longer than one wait.
 		s.silent.Store(true)
 		s.targets.Store(11)
 		time.Sleep(watchWait + responseTimeout + time.Second)
@@ -121,7 +121,7 @@
 	})
 }
 
-// Guards against a server that has left and counts as present until a long watch ends.
+// Guards against a departed server that counts as present until a long watch ends.
 func TestMissingTargetIsDroppedDuringALongWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -159,11 +159,11 @@
 		time.Sleep(time.Second)
 		is.Equal(len(f.Snapshot().Targets), 1)
 		down.Store(true)
-		time.Sleep(20 * time.Second) // the watch under way ends
+		time.Sleep(20 * time.Second) // the watch in progress ends
 		left = true
 		down.Store(false)
 		time.Sleep(maxPause + maxPause/2 + reregisterGrace/2)
-		is.Equal(len(f.Snapshot().Targets), 1) // it may still come back
+		is.Equal(len(f.Snapshot().Targets), 1) // it may still register again
 		time.Sleep(reregisterGrace)
 		is.Equal(len(f.Snapshot().Targets), 0)
 		cancel()
--- a/core/configuration/mirror/listen_test.go
+++ b/core/configuration/mirror/listen_test.go
@@ -11,8 +11,8 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// Guards against old words that are taken for new ones, and against a reading of the store for
-// those who want to hear of changes alone.
+// Guards against passing old items to a listener of changes, and against reading the store for
+// listeners of changes alone.
 func TestListenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -49,7 +49,7 @@
 	})
 }
 
-// Guards against a process that waits for a store which does not answer without being told.
+// Guards against a process that is not notified when the store stops answering.
 func TestLostStoreIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/core/configuration/mirror/mirror.go
+++ b/core/configuration/mirror/mirror.go
@@ -1,19 +1,19 @@
-// Package mirror keeps a process's copy of what the platform's store says: the
-// operator's configuration and the servers' entries.
+// Package mirror keeps a process's copy of the platform's store: the operator's
+// configuration and the servers' entries.
 //
-// A Mirror is the decision: which configuration is in force, and which targets
-// may be sent work. It takes what was read or watched, in the order of the
-// store's revisions, and never goes back to an older configuration. A Follower
-// carries the store's answers into it. There is one watch for everything, so
-// that a configuration and the keys and targets that come with it can't be seen
-// in two orders.
+// A Mirror decides which configuration is in force, and which targets may be
+// sent work. It applies what was read or watched, in the order of the store's
+// revisions, and never goes back to an older configuration. A Follower reads and
+// watches the store for it. There is one watch for all keys, so that a
+// configuration and the keys and targets that come with it are always seen in
+// the same order.
 //
 // # Usage
 //
 //	f := mirror.NewFollower(store, formats, log)
-//	f.OnChange(func(v *mirror.View) { table.Update(v.Targets) })
+//	f.OnChange(func(s *mirror.Snapshot) { table.Update(s.Targets) })
 //	go f.Run(ctx)
-//	view := f.View() // nil until the first configuration
+//	snapshot := f.Snapshot() // nil until the first configuration
 package mirror
 
 import (
@@ -30,27 +30,27 @@
 )
 
 // reregisterGrace is how long targets that were known before an outage of the
-// store, and are missing after it, count as present: entries that lapsed in
-// the outage are back within about two seconds if their server lives.
+// store, and are missing after it, count as present: entries whose leases expired
+// in the outage are registered again within about two seconds if their server is
+// still running.
 const reregisterGrace = 2200 * time.Millisecond
 
-// Snapshot is one consistent state of what the store says. It is not changed after
-// it was published.
+// Snapshot is one consistent state of the store. It is immutable once published.
 type Snapshot struct {
 	Config *deployment.Config
 	// Targets are all registered servers, by their ID.
 	Targets map[string]deployment.Target
-	// Coordinators are the newest claims to be the steward of an expert group, by group.
+	// Coordinators are the newest claims to coordinate an expert group, by group.
 	Coordinators map[string]rankpeer.Claim
-	// Revision is the store's revision up to which the view is complete.
+	// Revision is the store's revision up to which the snapshot is complete.
 	Revision int64
 }
 
-// defaultEventGap stands in where no route says how long a pause may be.
+// defaultEventGap applies if no route limits the pause between events.
 const defaultEventGap = 120 * time.Millisecond
 
-// ShortestGap returns the shortest pause between events that a route to a
-// service allows.
+// ShortestGap returns the shortest of the limits on the pause between events
+// that the routes to a service set.
 func (v *Snapshot) ShortestGap(service string) time.Duration {
 	shortest := time.Duration(0)
 	for i := range v.Config.Routes {
@@ -67,19 +67,21 @@
 	return shortest
 }
 
-// Mirror decides what is in force. It is not safe for concurrent use.
+// Mirror holds the configuration in force and the registered targets. It is not
+// safe for concurrent use.
 type Mirror struct {
 	log     *slog.Logger
 	formats deployment.Formats
 	config  *deployment.Config
 	targets map[string]deployment.Target
-	// claims are the claims by what follows the prefix of their keys.
+	// claims are the claims by their keys without the prefix.
 	claims   map[string]rankpeer.Claim
 	revision int64
-	// missing are targets that an outage of the store may have hidden, with
-	// the time until which they are kept.
+	// missing are targets whose entries may have expired in an outage of the
+	// store, with the time until which they are retained.
 	missing map[string]time.Time
-	// targetsOnly says that no configuration is followed: targets of any service count.
+	// targetsOnly says that no configuration is followed: targets of all services
+	// are included.
 	targetsOnly bool
 }
 
@@ -89,14 +91,15 @@
 }
 
 // NewTargets returns an empty Mirror of the targets alone. A configuration may have hundreds
-// of kilobytes, half a second of a sidecar's link; a steward does not need it.
+// of kilobytes, half a second of a sidecar's link, and the coordinator of a group
+// does not need it.
 func NewTargets(formats deployment.Formats, log *slog.Logger) *Mirror {
 	m := New(formats, log)
 	m.targetsOnly, m.config = true, &deployment.Config{}
 	return m
 }
 
-// Snapshot returns the present state, or nil before the first configuration.
+// Snapshot returns the current state, or nil before the first configuration.
 func (m *Mirror) Snapshot() *Snapshot {
 	if m.config == nil {
 		return nil
@@ -109,20 +112,20 @@
 }
 
 // usableTargets returns the targets of services that the configuration names, without
-// those whose address another one has registered later. A server that was started
-// again may be a new target; the entry of its earlier life stays until its
-// heartbeats are missed, and what is sent there in the meantime is refused.
+// those whose address another target has registered later. A restarted server may
+// be a new target; the entry of its previous instance remains until its heartbeats
+// are missed, and requests to it are refused in the meantime.
 //
-// An entry of another writer may name a service that does not exist, at the address
-// of a server that does. It must not hide that one.
+// Another writer may register an entry with an unknown service and the address of
+// a valid server. It must not hide the valid one.
 func (m *Mirror) usableTargets() map[string]deployment.Target {
-	named := make(map[string]bool, len(m.config.Services))
+	configured := make(map[string]bool, len(m.config.Services))
 	for i := range m.config.Services {
-		named[m.config.Services[i].Name] = true
+		configured[m.config.Services[i].Name] = true
 	}
 	newest := make(map[netip.AddrPort]deployment.Target, len(m.targets))
 	for _, t := range m.targets {
-		if !m.targetsOnly && !named[t.Service] {
+		if !m.targetsOnly && !configured[t.Service] {
 			continue
 		}
 		if old, ok := newest[t.Addr]; !ok || t.CreateRevision > old.CreateRevision {
@@ -136,11 +139,11 @@
 	return targets
 }
 
-// Revision is where a watch has to go on.
+// Revision is the revision after which a watch has to continue.
 func (m *Mirror) Revision() int64 { return m.revision }
 
-// Apply takes changes up to a revision, oldest first. It reports whether the
-// view has changed.
+// Apply applies changes up to a revision, oldest first. It reports whether the
+// snapshot has changed.
 func (m *Mirror) Apply(events []kv.Item, asOf int64) bool {
 	changed := false
 	for _, it := range events {
@@ -164,8 +167,8 @@
 	return false
 }
 
-// applyClaim takes a claim. One that is under another group's key, or can't be
-// read, says nothing of this group's steward.
+// applyClaim applies a claim. A claim under another group's key, or one that cannot be
+// parsed, is ignored.
 func (m *Mirror) applyClaim(it kv.Item) bool {
 	key := strings.TrimPrefix(it.Key, rankpeer.ClaimPrefix)
 	if it.Deleted {
@@ -183,13 +186,13 @@
 	return changed
 }
 
-// applyConfig takes a configuration if it is newer than the one in force. A
-// read that was answered late, or from a lagging copy, may bring an older one:
-// acting on it would take back what callers have already seen.
+// applyConfig puts a configuration in force if it is newer than the current one.
+// A read that was answered late, or from a lagging replica, may return an older
+// one: applying it would revert what callers have already seen.
 func (m *Mirror) applyConfig(it kv.Item) bool {
 	cfg, err := m.formats.Config(it.Value)
 	if err != nil {
-		m.log.Error("configuration not understood", "revision", it.Revision, "error", err.Error())
+		m.log.Error("cannot decode configuration", "revision", it.Revision, "error", err.Error())
 		return false
 	}
 	if m.config != nil && cfg.Version <= m.config.Version {
@@ -214,7 +217,8 @@
 	}
 	old, known := m.targets[id]
 	if known && (old.StartedAt != t.StartedAt || old.Addr != t.Addr) {
-		// The server has started again under its ID: it has its address from now.
+		// The server has restarted with the same ID: it holds its address from this
+		// revision on.
 		t.CreateRevision = max(t.CreateRevision, it.Revision)
 		m.log.Info("target started again", "target", id, "born", t.StartedAt, "born-before", old.StartedAt, "addr", t.Addr.String(), "revision", it.Revision)
 	} else if known {
@@ -240,10 +244,10 @@
 	return true
 }
 
-// Replace takes the whole state as it was read, which is needed at the start
-// and after a gap in the history. Outage says that the store was away before:
-// then targets that are missing are kept for a while, since their entries may
-// have lapsed with nobody there to renew them.
+// Replace applies a complete read of the store, which is needed at the start and
+// after a gap in the history. outage says that the store was unavailable before:
+// then missing targets are retained for a while, since the leases of their
+// entries may have expired because they could not be renewed.
 func (m *Mirror) Replace(all []kv.Item, asOf int64, outage bool, now time.Time) bool {
 	changed := m.Apply(all, asOf)
 	seen := map[string]bool{}
@@ -265,8 +269,8 @@
 	return changed
 }
 
-// NextExpiry returns how long it is until a target that an outage has hidden is to be dropped, and
-// false if there is none.
+// NextExpiry returns the time until the next missing target is to be removed, and false
+// if there is none.
 func (m *Mirror) NextExpiry(now time.Time) (time.Duration, bool) {
 	first := time.Time{}
 	for _, until := range m.missing {
@@ -277,7 +281,7 @@
 	return max(first.Sub(now), 0), !first.IsZero()
 }
 
-// ExpireMissing drops targets that have not come back after an outage.
+// ExpireMissing removes targets that have not registered again after an outage.
 func (m *Mirror) ExpireMissing(now time.Time) bool {
 	changed := false
 	for id, until := range m.missing {
--- a/core/configuration/mirror/mirror_test.go
+++ b/core/configuration/mirror/mirror_test.go
@@ -33,7 +33,7 @@
 
 var noon = time.Unix(1000, 0)
 
-// Guards against an older configuration that a late answer brings back.
+// Guards against a late answer that puts an older configuration in force.
 func TestConfigurationNeverGoesBack(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -46,7 +46,7 @@
 	is.Equal(m.Snapshot().Config.Version, int64(11))
 }
 
-// A configuration that can't be read must not take the place of one that can.
+// Guards against replacing a valid configuration with one that cannot be decoded.
 func TestBadConfigurationIsIgnored(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -55,7 +55,7 @@
 	is.Equal(m.Snapshot().Config.Version, int64(7))
 }
 
-// Guards against sending to the earlier server of an address.
+// Guards against sending requests to the earlier server of an address.
 func TestNewestServerOfAnAddress(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -68,8 +68,8 @@
 	is.Equal(len(m.Snapshot().Targets), 1)
 }
 
-// Guards against dropping all servers whose entries have lapsed, and keeping those that are
-// gone.
+// Guards against dropping all servers whose entries have expired, and against retaining those
+// that are gone.
 func TestMissingAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -84,7 +84,7 @@
 	is.Equal(v.Targets["a"].ID, "a")
 }
 
-// Guards against a server that left while the history was dropped.
+// Guards against retaining a server that left while the history was compacted.
 func TestMissingAfterAGap(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -110,7 +110,7 @@
 	return it
 }
 
-// Guards against an entry of another writer that names or hides a server.
+// Guards against an entry of another writer that adds or hides a server.
 func TestEntriesThatNameNoServer(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -127,7 +127,7 @@
 	is.Equal(len(m.Snapshot().Targets), 2)
 }
 
-// Guards against sending to the server that had an address before.
+// Guards against sending requests to the server that had an address before.
 func TestServerStartsAgainUnderItsID(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
@@ -141,7 +141,7 @@
 	is.Equal(m.Snapshot().Targets["a"].CreateRevision, int64(8))
 }
 
-// Guards against taking one group's steward for that of another.
+// Guards against mistaking the coordinator of one group for that of another.
 func TestClaimsBelongToTheirGroups(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
