--- a/core/configuration/deployment/deployment.go
+++ b/core/configuration/deployment/deployment.go
@@ -1,4 +1,4 @@
-// Package deployment holds what a deployment consists of, in the words of this project: the
+// Package deployment defines the parts of a deployment independently of the platform: the
 // operator's configuration in force, with its routes, services, engines and workspaces, and
 // the targets that have registered themselves.
 //
@@ -19,19 +19,19 @@
 	"verbenashift/core/experts/engine"
 )
 
-// Formats is how a deployment stands in the store.
+// Formats defines the keys and encodings of a deployment in the store.
 type Formats struct {
-	// ConfigKey holds the newest configuration, TargetPrefix begins the keys of the
-	// targets' entries and is followed by their IDs.
+	// ConfigKey is the key of the newest configuration, and TargetPrefix the prefix of
+	// the keys of the targets' entries, which is followed by their IDs.
 	ConfigKey, TargetPrefix string
-	// Config and Target decode what stands there.
+	// Config and Target decode the values of these keys.
 	Config func(value []byte) (*Config, error)
 	Target func(it kv.Item) (Target, error)
 }
 
 // Config is the operator's configuration in force.
 type Config struct {
-	// Version increases with each configuration, in uneven steps.
+	// Version increases with each configuration, not necessarily by 1.
 	Version    int64
 	Routes     []Route
 	Services   []Service
@@ -39,7 +39,7 @@
 	Limits     Limits
 }
 
-// RouteKind says what may be repeated.
+// RouteKind says which requests of a route may be repeated.
 type RouteKind string
 
 // The kinds of routes.
@@ -48,36 +48,37 @@
 	Safe RouteKind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe RouteKind = "unsafe"
-	// Stream requests are answered by a series of events. They may be repeated
+	// Stream requests are answered with a stream of events. They may be repeated
 	// only if the route is resumable.
 	Stream RouteKind = "stream"
 )
 
-// Route says where requests of a host and a path prefix go.
+// Route says how requests with a host and a path prefix are handled.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   RouteKind
-	// Timeout is the longest time that the operator wants a request kept.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
-	// stream, is on time.
+	// Objective is the latency objective for an answer, or for the first event of a
+	// stream.
 	Objective time.Duration
-	// MaxEventGap is the longest pause between events for which a stream is on time.
+	// MaxEventGap is the longest pause between events within the latency objective of a
+	// stream.
 	MaxEventGap time.Duration
-	// StreamIdleTimeout is how long callers of a stream wait for its next event, also for the
-	// first, before they leave; 0 if they wait until their deadline.
+	// StreamIdleTimeout is how long callers of a stream wait for the first or the next event
+	// before they disconnect; 0 if they wait until their deadline.
 	StreamIdleTimeout time.Duration
 	// Priority is 0 for the most urgent requests.
 	Priority int
-	// Split says which services share the requests, by weight.
+	// Split divides the requests between services by weight.
 	Split []Share
 	// MaxAttempts is how many servers one client attempt may be sent to.
 	MaxAttempts int
-	// Public says that requests need no key.
+	// Public says that requests need no API key.
 	Public bool
-	// Resumable says that a broken stream may go on at another server.
+	// Resumable says that an interrupted stream may be resumed at another server.
 	Resumable bool
 	// Sticky says that requests carry a prompt.
 	Sticky bool
@@ -94,11 +95,11 @@
 	Weight  int
 }
 
-// Service is a set of servers that can stand in for each other.
+// Service is a set of interchangeable servers.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConnections is how many a server accepts from all callers together.
+	// MaxConnections is how many connections a server accepts from all callers together.
 	MaxConnections int
 	Engine         *Engine
 }
@@ -107,29 +108,30 @@
 type Engine struct {
 	// Slots is how many requests a server runs at once.
 	Slots int
-	// MemoryTokens is how many tokens a server's memory holds.
+	// MemoryTokens is the capacity of a server's memory in tokens.
 	MemoryTokens int
-	// UsualPrompt and UsualAnswer are mean numbers of tokens.
+	// UsualPrompt and UsualAnswer are the mean numbers of tokens of a prompt and of an
+	// answer.
 	UsualPrompt, UsualAnswer int
-	// Sets, Experts and Places describe the expert groups: sets of layers,
-	// experts in each, and places for experts on a rank in each. Sets is 0
-	// where the servers form no groups.
+	// Sets, Experts and Places describe the expert groups: the number of sets of
+	// layers, of experts in each set, and of slots for experts on a rank in each set.
+	// Sets is 0 if the servers form no groups.
 	Sets, Experts, Places int
-	// Spare is how many experts of a set may be new to a rank in one order.
+	// Spare is how many experts of a set one order may add to a rank.
 	Spare int
 	// ExpertTime is how long a rank takes to copy one expert.
 	ExpertTime time.Duration
 }
 
-// Workspace is a customer of the operator, with its keys.
+// Workspace is a customer of the operator, with its API keys.
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority, if it is not nil, takes precedence over that of routes.
+	// Priority, if not nil, takes precedence over the priority of the route.
 	Priority *int
 }
 
-// Limits bound what a client may send and how long it may take.
+// Limits bound the size and the duration of what a client sends.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -137,25 +139,24 @@
 	IdleTimeout   time.Duration
 }
 
-// Target is a server as it has registered itself in the store.
+// Target is a server as registered in the store.
 type Target struct {
-	// ID names a server. One that has started again may have the same; Born
-	// tells its lives apart.
+	// ID identifies a server. After a restart it may be the same; StartedAt
+	// distinguishes the instances.
 	ID      string
 	Service string
 	Addr    netip.AddrPort
 	Zone    string
 	Slots   int
-	// Draining says that the server leaves and wants no new requests.
+	// Draining says that the server is shutting down and takes no new requests.
 	Draining bool
 	// CreateRevision is the revision of the store at which the server registered.
 	CreateRevision int64
 	// StartedAt is when the server started, in Unix milliseconds by its own clock; 0
-	// if it does not say.
+	// if not reported.
 	StartedAt int64
 	// Group is the expert group that the server's rank belongs to; its name is
-	// empty if the server does not say. Open is false while that group has lost
-	// a rank.
+	// empty if not reported. GroupComplete is false while that group lacks a rank.
 	Group         engine.GroupID
 	GroupComplete bool
 }
--- a/core/configuration/kv/kv.go
+++ b/core/configuration/kv/kv.go
@@ -1,11 +1,11 @@
-// Package kv holds what the platform's key-value store says and is told, in the words of this
-// project: items, pages of them, and changes that are made whole or not at all.
+// Package kv defines the requests and responses of the platform's key-value store
+// independently of its protocol: items, pages of items, and transactions.
 //
 // # Usage
 //
-//	_, err := store.Change(ctx, kv.Change{
-//		Expect: []kv.Condition{{Key: key, Revision: it.Revision}},
-//		Puts:   []kv.Write{{Key: key, Value: value}},
+//	_, err := store.Change(ctx, kv.Txn{
+//		Conditions: []kv.Condition{{Key: key, Revision: it.Revision}},
+//		Puts:       []kv.Write{{Key: key, Value: value}},
 //	})
 //	var status *kv.StatusError
 //	if errors.As(err, &status) && status.Conflict() {
@@ -24,11 +24,12 @@
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is that of the last change; 0 means that the key does not exist.
+	// Revision is the store's revision at the last change of the key; 0 means that the key
+	// does not exist.
 	Revision int64
-	// CreateRevision is the revision at which the key came to be.
+	// CreateRevision is the store's revision at which the key was created.
 	CreateRevision int64
-	// Deleted says that the event was the removal of the key.
+	// Deleted says that the item is the deletion event of the key.
 	Deleted bool
 }
 
@@ -47,7 +48,7 @@
 	Revision int64
 }
 
-// StatusError is an answer of the store other than the one asked for.
+// StatusError is an error status that the store answered a call with.
 type StatusError struct {
 	Call   string
 	Status int
@@ -61,36 +62,36 @@
 // NotFound reports whether the key or the lease does not exist.
 func (e *StatusError) NotFound() bool { return e.Status == http.StatusNotFound }
 
-// Compacted reports whether the history that a watch asked for is gone.
+// Compacted reports whether the history that a watch requested was compacted.
 func (e *StatusError) Compacted() bool { return e.Status == http.StatusGone }
 
 // Conflict reports whether a condition did not hold.
 func (e *StatusError) Conflict() bool { return e.Status == http.StatusPreconditionFailed }
 
-// MaxTxnEntries is how many entries a Change may have in all.
+// MaxTxnEntries is the maximum number of conditions, puts and deletes of a Txn in all.
 const MaxTxnEntries = 32
 
-// Write is a key with the value that it is to have.
+// Write is a key with its new value.
 type Write struct {
 	Key   string
 	Value []byte
-	// Lease is that with which the key is removed; 0 for none.
+	// Lease is the lease whose end deletes the key; 0 for none.
 	Lease int64
 }
 
-// Txn is several writes and removals that are made together, if all conditions hold,
-// or not at all.
+// Txn is a set of writes and deletions that the store makes atomically if all conditions
+// hold, and not at all otherwise.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Write
 	Deletes    []string
 }
 
-// shortBytes is how much of a digest stands for a name.
+// shortBytes is the number of bytes of a digest that ShortHash uses.
 const shortBytes = 8
 
-// ShortHash returns a part of a key that stands for a name: a key of the store is short and has
-// slashes of its own, and the name of an instance or a target need not.
+// ShortHash returns a hash of a name for use in a key: keys of the store are limited in length
+// and use slashes as separators, which names of instances and targets may contain.
 func ShortHash(name string) string {
 	sum := sha256.Sum256([]byte(name))
 	return hex.EncodeToString(sum[:shortBytes])
--- a/core/configuration/store/call.go
+++ b/core/configuration/store/call.go
@@ -25,13 +25,13 @@
 	opWatch          = "watch"
 )
 
-// The counters of this process: attempts by kind of call, and errors by kind.
+// The metrics of this process: attempts by kind of call, and errors by kind.
 var (
 	callCount  = expvar.NewMap("store-calls")
 	errorCount = expvar.NewMap("store-errors")
 )
 
-// call names one call; key and lease only serve its errors.
+// call describes one call; key and lease are used in its errors only.
 type call struct {
 	op    string
 	path  string
@@ -39,11 +39,11 @@
 	lease int64
 }
 
-// errNoAddress is the cause when the client was given no address.
+// errNoAddress is the cause if the client has no address.
 var errNoAddress = errors.New("no address is configured")
 
-// errIncompleteResponse says that an answer lacked a part that the protocol promises.
-var errIncompleteResponse = errors.New("answer lacks a part")
+// errIncompleteResponse says that an answer lacked a field that the protocol requires.
+var errIncompleteResponse = errors.New("answer lacks a required field")
 
 // unavailable returns and counts an *UnavailableError.
 func unavailable(op string, err error) error {
@@ -79,13 +79,13 @@
 	return unavailable(cl.op, last)
 }
 
-// write makes a call with an effect. It goes on to another address only if the
-// call cannot have reached the first.
+// write makes a call with an effect. It tries another address only if the call
+// cannot have reached the first.
 //
-// The guard is for an answer lost after the write: a second try elsewhere would
-// meet the first one's effect, and would report a conflict with the caller's
-// own value. So once a connection was given to the request, each failure
-// without an answer is an *UnknownError.
+// If the answer was lost after the write, a second attempt elsewhere would find
+// the effect of the first, and would report a conflict with the caller's own
+// value. So once a connection was assigned to the request, each failure without
+// an answer is an *UnknownError.
 func (c *Client) write(ctx context.Context, cl call, req, resp any) error {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return unavailable(cl.op, last)
 }
 
-// isDecision reports whether err is the store's own decision against the call.
+// isDecision reports whether err means that the store itself rejected the call.
 func isDecision(err error) bool {
 	var gone *LeaseNotFoundError
 	var refused *RefusedError
@@ -117,7 +117,7 @@
 }
 
 // attempt makes one call at the address with that index. With an error, sent
-// tells whether the request may have reached the store.
+// reports whether the request may have reached the store.
 func (c *Client) attempt(ctx context.Context, index int, cl call, body []byte, resp any) (sent bool, err error) {
 	callCount.Add(cl.op, 1)
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -138,13 +138,14 @@
 }
 
 // preferNext makes the address after index the preferred one, unless another
-// goroutine has moved on already.
+// goroutine has done so already.
 func (c *Client) preferNext(index int) {
 	c.preferred.CompareAndSwap(int32(index), int32((index+1)%len(c.bases)))
 }
 
-// post sends one request. Whether a connection was given to it decides whether
-// the store can have seen it: the transport writes nothing before that.
+// post sends one request. sent reports whether a connection was assigned to it;
+// the transport writes nothing before that, so the store cannot have received
+// the request otherwise.
 func (c *Client) post(ctx context.Context, url string, body []byte) (res *http.Response, sent bool, err error) {
 	var got atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { got.Store(true) }}
@@ -158,16 +159,17 @@
 	return res, got.Load(), err
 }
 
-// statusError is an answer that tells nothing of the call's effect.
+// statusError is an answer whose status does not determine the call's effect.
 type statusError struct {
 	Status int
 }
 
 func (e *statusError) Error() string { return http.StatusText(e.Status) }
 
-// refusal turns a status into an error. Only the statuses by which the gateway
-// turns a call away before the store looks at it prove that it had no effect;
-// a 5xx may come from a store that lost its leader after it took the write in.
+// refusal converts a status into an error. Only the statuses with which the
+// store's JSON gateway rejects a call before it reaches the store prove that it
+// had no effect; a 5xx may come from a store that lost its leader after it had
+// accepted the write.
 func refusal(cl call, res *http.Response) (sent bool, err error) {
 	switch res.StatusCode {
 	case http.StatusTooManyRequests:
--- a/core/configuration/store/errors.go
+++ b/core/configuration/store/errors.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// ConflictError says that a compare-and-swap or a delete found another version
-// than the caller named. Nothing was changed.
+// ConflictError says that a compare-and-swap or a delete found a different
+// version than expected. Nothing was changed.
 type ConflictError struct {
 	Key string
 	// Current is what the store held at that moment; its Version is 0 if the
@@ -16,8 +16,8 @@
 	return fmt.Sprintf("store: conflict: %s is at version %d", e.Key, e.Current.Version)
 }
 
-// UnavailableError says that a call had surely no effect: no connection could
-// be had, or the store refused the call as too much. Every failed read is one.
+// UnavailableError says that a call certainly had no effect: no connection could
+// be established, or the store's rate limit rejected it. Every failed read is one.
 type UnavailableError struct {
 	// Op is the kind of call, such as "get".
 	Op string
@@ -50,11 +50,12 @@
 // Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error { return e.Err }
 
-// TooLargeError says that a value was over the store's limit and was not sent,
-// or that an answer was over the client's.
+// TooLargeError says that a value exceeded the store's limit and was not sent,
+// or that an answer exceeded the client's limit.
 type TooLargeError struct {
 	Key string
-	// Size is the value's size in bytes; 0 for an answer, which is not read on.
+	// Size is the value's size in bytes; 0 for an answer, which is not read to its
+	// end.
 	Size int
 	// Limit is in bytes.
 	Limit int
@@ -65,17 +66,19 @@
 	return fmt.Sprintf("store: %s: size %d is over the limit of %d bytes", e.Key, e.Size, e.Limit)
 }
 
-// LeaseNotFoundError says that the lease named by a call has lapsed or was revoked.
+// LeaseNotFoundError says that the lease of a call has expired or was revoked.
 // Nothing was changed.
 type LeaseNotFoundError struct {
 	ID int64
 }
 
 // Error returns the lease.
-func (e *LeaseNotFoundError) Error() string { return fmt.Sprintf("store: lease %d is gone", e.ID) }
+func (e *LeaseNotFoundError) Error() string {
+	return fmt.Sprintf("store: lease %d has expired or was revoked", e.ID)
+}
 
-// CompactedError says that the store no longer keeps the changes that a watch
-// asked for. The caller reads the key and watches from its version.
+// CompactedError says that the store no longer retains the changes that a watch
+// requested. The caller reads the key and watches from its version.
 type CompactedError struct {
 	Key string
 	// Version is the oldest that can still be watched.
@@ -84,10 +87,10 @@
 
 // Error returns the key and the version.
 func (e *CompactedError) Error() string {
-	return fmt.Sprintf("store: watch of %s: changes before version %d are gone", e.Key, e.Version)
+	return fmt.Sprintf("store: watch of %s: changes before version %d were compacted", e.Key, e.Version)
 }
 
-// RefusedError says that the store found a call at fault and did not run it.
+// RefusedError says that the store rejected a call as invalid or not permitted.
 type RefusedError struct {
 	// Op is the kind of call.
 	Op string
--- a/core/configuration/store/store.go
+++ b/core/configuration/store/store.go
@@ -1,27 +1,27 @@
 // Package store is the client of the platform's key-value service.
 //
-// The service holds what must outlive the instances: the operators'
-// configuration and the leases of the duties. It speaks the JSON form of the
+// The service stores what must outlive the instances: the operators'
+// configuration and the leases of the roles. It speaks the JSON form of the
 // etcd version 3 protocol (see package wire). Each call counts against its
-// rates, and so does a waiting watch; the client never repeats a call by
-// itself, except at another address as told below.
+// rate limits, and so does a waiting watch; the client does not retry a call,
+// except at another address as described below.
 //
 // A key's Version is the store's revision at its last change. It grows with
-// each change, is never used twice, and 0 stands for a key that is absent.
+// each change, is never reused, and is 0 for an absent key.
 //
 // # Failures
 //
-// A write ends in one of four ways: done; *ConflictError, *LeaseGoneError,
-// *RefusedError or *TooLargeError, where the store or the client decided
-// against it; *UnavailableError, where it surely had no effect; and
-// *UnknownError, where its answer was lost and it may have taken effect.
-// *UnavailableError is kept for calls for which no connection was ever had and
-// for refusals by rate: once a connection was given to a request, no failure
-// proves that the store did not run it. The caller settles an *UnknownError by
-// reading the key back, with an identifier of its own inside the value.
+// A write ends in one of four ways: success; *ConflictError,
+// *LeaseNotFoundError, *RefusedError or *TooLargeError if the store or the client
+// rejected it; *UnavailableError if it certainly had no effect; and *UnknownError
+// if its answer was lost and it may have taken effect. *UnavailableError is
+// limited to calls that never got a connection and to rejections by the rate
+// limit: once a connection was assigned to a request, no failure proves that the
+// store did not run it. The caller resolves an *UnknownError by reading the key
+// back, with an identifier of its own inside the value.
 //
-// With several addresses a read that fails is tried once at each. A write goes
-// on to the next address only when it surely had no effect.
+// With several addresses a read that fails is tried once at each. A write is
+// tried at the next address only if it certainly had no effect.
 //
 // # Usage
 //
@@ -33,7 +33,7 @@
 //	version, err := c.CompareAndSwap(ctx, cur.Key, cur.Version, next, 0)
 //	var unknown *store.UnknownError
 //	if errors.As(err, &unknown) {
-//		return settle(ctx, c, changeID)
+//		return readBack(ctx, c, changeID)
 //	}
 package store
 
@@ -49,7 +49,7 @@
 )
 
 const (
-	// DefaultTimeout bounds one attempt of a call if Config names no time.
+	// DefaultTimeout bounds one attempt of a call if Config sets no timeout.
 	DefaultTimeout = 2 * time.Second
 	// MaxValue is the largest value that can be written, in bytes.
 	MaxValue = wire.MaxValue
@@ -62,33 +62,34 @@
 type KV struct {
 	Key   string
 	Value []byte
-	// Version is the store's revision at the key's last change; 0 says that
+	// Version is the store's revision at the key's last change; 0 means that
 	// the key is absent.
 	Version int64
-	// Deleted marks a removal seen by a watch. Version is then the removal's,
-	// from which a watch goes on; the key itself is absent and is written
-	// anew with version 0.
+	// Deleted marks a deletion seen by a watch. Version is then that of the
+	// deletion, from which a watch continues; the key itself is absent and is
+	// created again with version 0.
 	Deleted bool
 }
 
-// Lease is a promise of the store to keep keys for a time. The holder counts
-// TTL from before it sent the call that granted or renewed the lease.
+// Lease is a lease that the store has granted: it retains the lease's keys for
+// the TTL. The holder counts TTL from before it sent the call that granted or
+// renewed the lease.
 type Lease struct {
 	ID  int64
 	TTL time.Duration
 }
 
-// Config says how to reach the service.
+// Config configures a Client.
 type Config struct {
 	// Addresses are host:port pairs or URLs, in order of preference.
 	Addresses []string
 	// Timeout bounds one attempt at one address; 0 means DefaultTimeout.
 	Timeout time.Duration
-	// Transport carries the calls; nil means one made for this client.
+	// Transport carries the calls; nil means a new one for this client.
 	Transport http.RoundTripper
 }
 
-// Client makes calls to the service. It may be used by many goroutines.
+// Client makes calls to the service. It is safe for concurrent use.
 type Client struct {
 	bases     []string
 	timeout   time.Duration
@@ -111,8 +112,8 @@
 	return c
 }
 
-// newTransport returns a transport that notices a dead peer by TCP probes in
-// about ten seconds, since a quiet watch sends nothing by itself.
+// newTransport returns a transport that detects a dead peer by TCP keep-alive
+// probes in about ten seconds, since an idle watch sends nothing by itself.
 func newTransport(timeout time.Duration) *http.Transport {
 	const idleConns = 4
 	dialer := &net.Dialer{
@@ -135,7 +136,7 @@
 	return "http://" + address
 }
 
-// Get reads one key. A key that is absent has Version 0 and is no error.
+// Get reads one key. An absent key has Version 0 and is not an error.
 func (c *Client) Get(ctx context.Context, key string) (KV, error) {
 	kvs, err := c.readRange(ctx, opGet, wire.RangeRequest{Key: []byte(key)})
 	if err != nil {
@@ -148,11 +149,11 @@
 }
 
 // List reads all keys that begin with prefix, in order of their names. The
-// whole answer is bounded at 32 MB, beyond which it is a *TooLargeError.
+// answer is limited to 32 MB, beyond which it is a *TooLargeError.
 func (c *Client) List(ctx context.Context, prefix string) ([]KV, error) {
 	req := wire.RangeRequest{Key: []byte(prefix), RangeEnd: prefixEnd(prefix)}
 	if prefix == "" {
-		req.Key = []byte{0} // the protocol has no empty key; this one is before all others
+		req.Key = []byte{0} // the protocol has no empty key; this one sorts before all others
 	}
 	kvs, err := c.readRange(ctx, opList, req)
 	if err != nil {
@@ -170,8 +171,8 @@
 	if err := c.read(ctx, call{op: op, path: wire.RangePath, key: string(req.Key)}, req, &resp); err != nil {
 		return nil, err
 	}
-	// An answer without a revision is no store's: taking it for an absent key
-	// would make a node forget its configuration.
+	// An answer without a revision is not from a store: treating it as an absent
+	// key would make a node drop its configuration.
 	if resp.Header.Revision <= 0 {
 		return nil, unavailable(op, errIncompleteResponse)
 	}
@@ -179,7 +180,7 @@
 }
 
 // prefixEnd returns the first key after all that begin with prefix. A zero byte
-// stands for the end of all keys, as the protocol has it.
+// means the end of all keys, as the protocol defines it.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/core/configuration/store/store_test.go
+++ b/core/configuration/store/store_test.go
@@ -46,7 +46,7 @@
 	drop(w, r)
 }
 
-// freeAddress returns an address at which nobody listens.
+// freeAddress returns an address without a listener.
 func freeAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,10 +81,9 @@
 	return fmt.Sprintf("%T", err)
 }
 
-// A store that falters answers in many ways. An operator whose confirm is told
-// to have had no effect confirms again; if the first one had taken effect, the
-// change is made twice. So each answer that doesn't prove the opposite has to
-// leave a write unknown.
+// Guards against reporting a write as without effect when it may have taken
+// effect: an operator would confirm a plan again, and the change would be made
+// twice. Each answer that does not prove the opposite is an unknown outcome.
 func TestKindOfFailure(t *testing.T) {
 	tests := []struct {
 		name              string
@@ -131,8 +130,8 @@
 	}
 }
 
-// Nobody listens, no address is set, or the caller gave up before the call:
-// the request can't have reached the store and the caller may safely repeat it.
+// If there is no listener or no address, or the context has ended before the
+// call, the request cannot have reached the store and a retry is safe.
 func TestNotSentIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	address, calls := server(t, drop)
@@ -148,7 +147,7 @@
 	is.Equal(calls.Load(), int64(0))
 }
 
-// The store takes a write in and answers after the client's patience is over.
+// The store accepts a write and answers after the client's timeout.
 func TestTimeoutIsUnknown(t *testing.T) {
 	is := is.New(t)
 	address, calls := server(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
@@ -158,9 +157,9 @@
 	is.Equal(calls.Load(), int64(1))
 }
 
-// The first address takes a write in and its answer is lost. A second try at
-// the next address would meet the first one's effect, and the operator would
-// be told that somebody else won. A read has no effect and goes on.
+// Guards against a second attempt at the next address after the first accepted a
+// write and its answer was lost: it would find the effect of the first, and the
+// operator would get a conflict. A read has no effect and is tried again.
 func TestOtherAddress(t *testing.T) {
 	is := is.New(t)
 	first, _ := server(t, drop)
@@ -169,7 +168,7 @@
 	c := store.New(store.Config{Addresses: []string{first, second}})
 	_, err := c.CompareAndSwap(t.Context(), "k", 0, nil, 0)
 	is.Equal(kind(err), "unknown")
-	is.Equal(calls.Load(), int64(0)) // the write was not sent on
+	is.Equal(calls.Load(), int64(0)) // the write was not sent to the second address
 
 	c = store.New(store.Config{Addresses: []string{first, second}})
 	_, err = c.Get(t.Context(), "k")
@@ -178,7 +177,7 @@
 
 	c = store.New(store.Config{Addresses: []string{freeAddress(t), second}})
 	version, err := c.CompareAndSwap(t.Context(), "k", 0, nil, 0)
-	is.NoErr(err) // surely not sent to the first
+	is.NoErr(err) // the first cannot have received it
 	is.Equal(version, int64(7))
 }
 
@@ -239,8 +238,8 @@
 	}
 }
 
-// A store that takes a watch in and never says that it stands would leave a
-// node waiting on nothing; the call's timeout ends it.
+// Guards against waiting without end for a store that accepts a watch and never
+// confirms it; the call's timeout ends it.
 func TestWatchThatNeverStands(t *testing.T) {
 	is := is.New(t)
 	address, _ := server(t, func(w http.ResponseWriter, r *http.Request) {
--- a/core/configuration/store/watch.go
+++ b/core/configuration/store/watch.go
@@ -15,15 +15,16 @@
 // errWatchEnded is the cause when the store ends a watch without a reason.
 var errWatchEnded = errors.New("the store ended the watch")
 
-// Watch calls f, one event after the other and in their order, for each change
-// of key after fromVersion, and blocks until the watch ends. It always returns
-// an error: that of ctx; *CompactedError if the changes after fromVersion are
-// no longer kept; else *UnavailableError. The caller resumes from the version
-// of the last event it saw.
+// Watch calls f sequentially and in order for each change of key after
+// fromVersion, and blocks until the watch ends. It always returns an error: that
+// of ctx; *CompactedError if the changes after fromVersion are no longer
+// retained; otherwise *RefusedError or *UnavailableError. The caller resumes from
+// the version of the last event it saw.
 //
-// A link that dies is noticed by TCP probes within about ten seconds, but a
-// store that is frozen looks like a quiet key: a caller that must know bounds
-// the watch by ctx, or reads the key now and then.
+// A dead connection is detected by TCP keep-alive probes within about ten
+// seconds, but a store that hangs cannot be told from a key without changes: a
+// caller that must detect this bounds the watch by ctx, or reads the key
+// periodically.
 func (c *Client) Watch(ctx context.Context, key string, fromVersion int64, f func(KV)) error {
 	req := wire.WatchRequest{Create: wire.WatchCreate{Key: []byte(key), StartRevision: wire.Int64(fromVersion + 1)}}
 	body, err := json.Marshal(req)
@@ -48,7 +49,7 @@
 }
 
 // watchAt runs a watch at one address. The call's timeout bounds the time until
-// the store says that the watch stands; after that it has none.
+// the store confirms the watch; there is no timeout after that.
 func (c *Client) watchAt(ctx context.Context, base, key string, body []byte, f func(KV)) error {
 	callCount.Add(opWatch, 1)
 	ctx, cancel := context.WithCancel(ctx)
@@ -72,7 +73,7 @@
 	bounded := &boundedReader{r: r, key: key}
 	dec := json.NewDecoder(bounded)
 	for {
-		bounded.n = maxResponse // each line has the whole bound
+		bounded.n = maxResponse // the limit applies to each line
 		var line wire.WatchLine
 		if err := dec.Decode(&line); err != nil {
 			return err
--- a/core/configuration/store/wire/wire.go
+++ b/core/configuration/store/wire/wire.go
@@ -29,19 +29,19 @@
 
 // Names of enumerated values.
 const (
-	// TargetMod makes a Compare look at the key's mod revision.
+	// TargetMod makes a Compare use the key's mod revision.
 	TargetMod = "MOD"
-	// ResultEqual makes a Compare ask for equality.
+	// ResultEqual makes a Compare test for equality.
 	ResultEqual = "EQUAL"
-	// TypeDelete marks the event of a removal; puts leave the type out.
+	// TypeDelete marks a deletion event; put events have no type.
 	TypeDelete = "DELETE"
 )
 
-// MaxValue is the largest value that the service takes, in bytes.
+// MaxValue is the largest value that the service accepts, in bytes.
 const MaxValue = 1 << 20
 
-// Int64 is a 64-bit integer, quoted in JSON as protobuf's JSON mapping has it.
-// A bare number is understood as well.
+// Int64 is a 64-bit integer, quoted in JSON as protobuf's JSON mapping defines
+// it. An unquoted number is accepted as well.
 type Int64 int64
 
 // MarshalJSON writes the number in quotes.
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// Header comes with each answer.
+// Header is part of each response.
 type Header struct {
 	// Revision is the store's revision when it answered.
 	Revision Int64 `json:"revision,omitempty"`
@@ -73,7 +73,7 @@
 	Lease       Int64  `json:"lease,omitempty"`
 }
 
-// RangeRequest reads Key, or all keys from Key up to and without RangeEnd.
+// RangeRequest reads Key, or all keys from Key up to but excluding RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key,omitempty"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -97,7 +97,7 @@
 	Header Header `json:"header"`
 }
 
-// DeleteRangeRequest removes Key.
+// DeleteRangeRequest deletes Key.
 type DeleteRangeRequest struct {
 	Key []byte `json:"key,omitempty"`
 }
@@ -108,8 +108,7 @@
 	Deleted Int64  `json:"deleted,omitempty"`
 }
 
-// Compare is one condition of a transaction. A key that is absent has mod
-// revision 0.
+// Compare is one condition of a transaction. An absent key has mod revision 0.
 type Compare struct {
 	Key         []byte `json:"key,omitempty"`
 	Target      string `json:"target,omitempty"`
@@ -145,14 +144,14 @@
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// Lease is the body of the lease calls and of their answers; TTL is in seconds.
+// Lease is the body of the lease requests and responses; TTL is in seconds.
 type Lease struct {
 	ID  Int64 `json:"ID,omitempty"`
 	TTL Int64 `json:"TTL,omitempty"`
 }
 
-// KeepAliveLine is one line of the answer to a renewal. A TTL of 0 says that
-// the lease is gone.
+// KeepAliveLine is one line of the response to a renewal. A TTL of 0 means that
+// the lease does not exist.
 type KeepAliveLine struct {
 	Result Lease  `json:"result"`
 	Error  *Error `json:"error,omitempty"`
@@ -163,7 +162,7 @@
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate names the key and the first revision that is wanted.
+// WatchCreate holds the key and the first revision to watch.
 type WatchCreate struct {
 	Key           []byte `json:"key,omitempty"`
 	StartRevision Int64  `json:"start_revision,omitempty"`
@@ -175,7 +174,7 @@
 	Error  *Error        `json:"error,omitempty"`
 }
 
-// WatchResponse carries events, or says how the watch began or ended.
+// WatchResponse carries events, or reports that the watch was created or ended.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -190,7 +189,7 @@
 	KV   KeyValue `json:"kv"`
 }
 
-// Error is the body of a refusal. Code is a gRPC status code.
+// Error is the body of an error response. Code is a gRPC status code.
 type Error struct {
 	Code    int    `json:"code,omitempty"`
 	Message string `json:"message,omitempty"`
--- a/core/configuration/store/write.go
+++ b/core/configuration/store/write.go
@@ -9,8 +9,8 @@
 
 // CompareAndSwap sets key to value if the key is still at version, with 0 for a
 // key that must be absent, and returns the key's new version. With a lease
-// other than 0 the store removes the key when the lease ends. A different
-// version is a *ConflictError with what the store holds.
+// other than 0 the store deletes the key when the lease ends. A different
+// version is a *ConflictError with the current value.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease int64) (int64, error) {
 	if len(value) > MaxValue {
 		return 0, &TooLargeError{Key: key, Size: len(value), Limit: MaxValue}
@@ -19,7 +19,7 @@
 	return c.txn(ctx, call{op: opCompareAndSwap, key: key, lease: lease}, version, wire.RequestOp{Put: put})
 }
 
-// Delete removes key if it is still at version. A different version is a
+// Delete deletes key if it is still at version. A different version is a
 // *ConflictError; so is a key that is already absent, with Current.Version 0,
 // unless version is 0 too.
 func (c *Client) Delete(ctx context.Context, key string, version int64) error {
@@ -61,8 +61,8 @@
 	return 0, &ConflictError{Key: cl.key, Current: current}
 }
 
-// Grant asks for a new lease of ttl, rounded up to whole seconds. After an
-// *UnknownError a lease without a holder may remain, which lapses by itself.
+// Grant requests a new lease of ttl, rounded up to full seconds. After an
+// *UnknownError a lease without a holder may remain, which expires by itself.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
 	seconds := (ttl + time.Second - 1) / time.Second
 	var resp wire.Lease
@@ -73,9 +73,8 @@
 	return leaseFromWire(resp), nil
 }
 
-// KeepAlive renews the lease for its whole time once. A lease that has lapsed
-// is a *LeaseGoneError. After any other error the holder goes by its old
-// deadline.
+// KeepAlive renews the lease once, for its full TTL. An expired lease is a
+// *LeaseNotFoundError. After any other error the holder keeps its old deadline.
 func (c *Client) KeepAlive(ctx context.Context, id int64) (Lease, error) {
 	var resp wire.KeepAliveLine
 	cl := call{op: opKeepAlive, path: wire.KeepAlivePath, lease: id}
@@ -91,8 +90,8 @@
 	return leaseFromWire(resp.Result), nil
 }
 
-// Revoke ends the lease and removes its keys. A lease that has lapsed is a
-// *LeaseGoneError.
+// Revoke ends the lease and deletes its keys. An expired lease is a
+// *LeaseNotFoundError.
 func (c *Client) Revoke(ctx context.Context, id int64) error {
 	var resp struct{}
 	cl := call{op: opRevoke, path: wire.RevokePath, lease: id}
