--- a/core/configuration/intent/errors.go
+++ b/core/configuration/intent/errors.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// ConflictError says that another change came first. Nothing was changed.
+// ConflictError says that another change was made first. Nothing was changed.
 type ConflictError struct {
-	// Winner is the plan that came first; empty if it was a direct edit.
+	// Winner is the plan that was confirmed first; empty for a direct edit.
 	Winner string
 	// ChangeID identifies the winning change.
 	ChangeID string
@@ -17,7 +17,7 @@
 	Revision uint64
 }
 
-// Error names the winner.
+// Error returns the winning change, its operator and its revision.
 func (e *ConflictError) Error() string {
 	what := "plan " + e.Winner
 	if e.Winner == "" {
@@ -26,7 +26,7 @@
 	return fmt.Sprintf("conflict: %s by %s made revision %d first", what, e.Operator, e.Revision)
 }
 
-// StateError says that a plan cannot be closed in the state that it is in.
+// StateError says that a plan cannot be confirmed or abandoned in its state.
 type StateError struct {
 	Plan   string
 	State  State
@@ -41,19 +41,19 @@
 	return fmt.Sprintf("plan %s is %s: %s", e.Plan, e.State, e.Reason)
 }
 
-// BoundError says that a plan exceeds the bounds of its intent.
+// BoundError says that a plan's forecast exceeds the bounds of its intent.
 type BoundError struct {
 	Plan     string
 	Breaches []string
 }
 
-// Error lists the bounds.
+// Error returns the plan and the bounds that it exceeds.
 func (e *BoundError) Error() string {
 	return fmt.Sprintf("plan %s exceeds its bounds: %s", e.Plan, strings.Join(e.Breaches, "; "))
 }
 
 // RegressedError says that the store holds an older revision than the one in
-// force. A change on top of it would number two configurations alike.
+// force. A change on top of it would give two configurations the same number.
 type RegressedError struct {
 	Stored  uint64
 	InForce uint64
@@ -64,8 +64,8 @@
 	return fmt.Sprintf("the store holds revision %d but %d is in force: was the store restored from a copy?", e.Stored, e.InForce)
 }
 
-// BusyError says that other changes came first each time that this one was
-// tried. Nothing was changed; a retry is safe.
+// BusyError says that each attempt of a change lost to a concurrent change.
+// Nothing was changed; a retry is safe.
 type BusyError struct {
 	Attempts int
 }
--- a/core/configuration/intent/forecast.go
+++ b/core/configuration/intent/forecast.go
@@ -19,14 +19,14 @@
 	ConfidenceMeasured = "measured"
 )
 
-// Forecast is what a plan is expected to bring.
+// Forecast is the expected effect of a plan.
 type Forecast struct {
 	// SkewBefore and SkewAfter are the load of the busiest rank over the mean
-	// load, 1 at best; 0 means that it is not known.
+	// load, 1 at best; 0 means unknown.
 	SkewBefore float64 `json:"skew-before"`
 	SkewAfter  float64 `json:"skew-after"`
 	// Bytes and Seconds are the cost of the moves; Seconds is 0 if the rate of
-	// the weight store is not known.
+	// the weight store is unknown.
 	Bytes   int64   `json:"bytes"`
 	Seconds float64 `json:"seconds"`
 	// Confidence is "none", "assumed" or "measured", and Note says why.
@@ -34,15 +34,16 @@
 	Note       string `json:"note,omitempty"`
 }
 
-// Forecaster tells what a change of the configuration is expected to bring.
+// Forecaster estimates the effect of a change of the configuration.
 type Forecaster interface {
 	Forecast(ctx context.Context, cur, next config.Config, in Intent) (Forecast, error)
 }
 
-// Estimator is a Forecaster that knows no loads. It assumes that the
-// popularity of a layer's experts falls as one over their order, that the
-// experts are spread evenly now, and that the planner makes a share of the
-// moves towards the best placement that grows with the weight of skew.
+// Estimator is a Forecaster without measured loads. It assumes that the
+// popularity of a layer's experts is inversely proportional to their rank by
+// popularity, that replicas are distributed uniformly now, and that the planner
+// makes a part of the moves towards the best placement that grows with the
+// weight of skew.
 type Estimator struct {
 	// ExpertBytes is the size of one expert of one layer; 0 leaves the bytes
 	// of the moves unknown.
@@ -54,8 +55,8 @@
 
 const assumedNote = "no load has been measured: popularity is assumed to fall as one over the expert's order"
 
-// Forecast returns the estimate over the groups of the intent's models: the
-// worst skew and the sum of the moves.
+// Forecast returns the estimate for the groups of the intent's models: the
+// highest skew and the sum of the moves.
 func (e Estimator) Forecast(_ context.Context, _, next config.Config, in Intent) (Forecast, error) {
 	f := Forecast{Confidence: ConfidenceNone, Note: "no expert-parallel group takes part"}
 	for _, g := range in.Groups(next) {
@@ -69,7 +70,7 @@
 	return f, nil
 }
 
-// round keeps two decimals: an assumed load carries no more.
+// round rounds to two decimals, as an assumed load justifies no more.
 func round(x float64) float64 { return math.Round(x*100) / 100 }
 
 func (e Estimator) add(f *Forecast, g config.Group) {
@@ -105,7 +106,7 @@
 	return n
 }
 
-// replicasByLoad gives each free slot to the expert with the most load for a
+// replicasByLoad gives each free slot to the expert with the highest load per
 // replica.
 func replicasByLoad(g config.Group, loads []float64) []int {
 	n := make([]int, g.Experts)
@@ -124,8 +125,8 @@
 	return n
 }
 
-// placeSkew puts the replicas, heaviest first, on the rank with the least load
-// that has a free slot, and returns the skew.
+// placeSkew assigns each replica, in order of falling load, to the least loaded
+// rank that has a free slot, and returns the skew.
 func placeSkew(g config.Group, loads []float64, replicas []int) float64 {
 	var parts []float64
 	total := 0.0
--- a/core/configuration/intent/head.go
+++ b/core/configuration/intent/head.go
@@ -13,15 +13,15 @@
 const (
 	// HeadKey holds the newest accepted configuration.
 	HeadKey = "config/head"
-	// intentPrefix begins the keys of the declared intents.
+	// intentPrefix is the prefix of the keys of the declared intents.
 	intentPrefix = "config/intents/"
 )
 
-// maxAttempts bounds the tries of one compare-and-swap.
+// maxAttempts bounds the attempts of one compare-and-swap.
 const maxAttempts = 6
 
-// Store is the part of the platform's key-value service that is needed; a
-// *store.Client is one.
+// Store is the part of the platform's key-value service that Head and Planner
+// need. *store.Client implements it.
 type Store interface {
 	Get(ctx context.Context, key string) (store.KV, error)
 	List(ctx context.Context, prefix string) ([]store.KV, error)
@@ -38,7 +38,8 @@
 // Read returns the head and its version in the store; before the first
 // configuration both are zero.
 func (h Head) Read(ctx context.Context) (config.Config, int64, error) {
-	// What is heard while the store answers may be newer than its answer.
+	// A revision that arrives during the read may be newer than its result, so the
+	// revision in force is taken before.
 	known := uint64(0)
 	if h.InForce != nil {
 		known = h.InForce()
@@ -66,9 +67,10 @@
 	return cur, kv.Version, nil
 }
 
-// checkRegress is for a store that was restored from a copy. A change on top
-// of the old head would get a revision number that nodes already hold for
-// another configuration, so that half of the fleet would ignore it.
+// checkRegress returns a *RegressedError if the store holds an older revision
+// than the one in force, as after a restore from a backup. A change on top of the
+// old head would get a revision number that nodes already hold for another
+// configuration, so that half of the fleet would ignore it.
 func checkRegress(stored, inForce uint64) error {
 	if inForce > stored {
 		return &RegressedError{Stored: stored, InForce: inForce}
@@ -76,17 +78,17 @@
 	return nil
 }
 
-// Commit makes the change that build returns for the present head, and returns
-// the configuration as of the change. done recognises the change, or an
-// earlier try of it, in a head; build is not called then.
+// Commit makes the change that build returns for the current head, and returns
+// the record of the change. done finds the change, or an earlier attempt of it,
+// in a head; build is not called then.
 //
-// A lost answer is settled by reading the head back. If it holds the change,
-// the write took effect. If not, the write may still be on its way, and the
-// same compare-and-swap is tried again: at most one of the two can succeed,
-// as they expect the same version, and both write the same change. Once the
-// head has moved past that version without the change, the lost write can
-// never take effect. *store.UnknownError is returned only if the store does not
-// answer any more.
+// After a lost answer the head is read back. If it holds the change, the write
+// took effect. If not, the write may still be in transit, and the same
+// compare-and-swap is tried again: at most one of the two can succeed, as they
+// expect the same version, and both write the same change. Once the head has
+// moved past that version without the change, the lost write can never take
+// effect. *store.UnknownError is returned only if the store does not answer any
+// more, or the attempts are used up.
 func (h Head) Commit(ctx context.Context, done func(config.Config) (config.AppliedChange, bool),
 	build func(config.Config) (config.Change, error),
 ) (config.AppliedChange, error) {
@@ -101,7 +103,7 @@
 			return applied, nil
 		}
 		if version != lostVersion {
-			lost = nil // the lost write expected a version that has passed
+			lost = nil // the lost write expected an older version and can no longer succeed
 		}
 		applied, err := h.attempt(ctx, cur, version, build)
 		var conflict *store.ConflictError
@@ -118,10 +120,9 @@
 	return config.AppliedChange{}, preferUnknown(lost, &BusyError{Attempts: maxAttempts})
 }
 
-// Restore puts the configuration in force back into a store that holds an
-// older one, unchanged and with its own revision, so that all nodes that have
-// it in force stay as they are. The caller sees to it that no node has a later
-// one. It is a *ConflictError if the store holds that revision or a later one.
+// Restore writes the configuration in force back to a store that holds an older
+// one, unchanged and with its own revision, so that nothing changes on the nodes
+// that have it in force. The caller ensures that no node has a later one. It is a *ConflictError if the store holds that revision or a later one.
 func (h Head) Restore(ctx context.Context, inForce config.Config) error {
 	value, err := config.Encode(inForce)
 	if err != nil {
@@ -140,12 +141,13 @@
 	return nil
 }
 
-// editPrefix begins the identifiers of changes that no plan stands behind.
+// editPrefix is the prefix of the identifiers of changes that were made without a
+// plan.
 const editPrefix = "edit/"
 
-// Edit makes edits without a plan. With a base other than nil it is a
+// Edit makes edits without a plan. With a base other than nil it returns a
 // *ConflictError if the head is at another revision. A second call with the
-// same request identifier returns what the first one did.
+// same request identifier returns the result of the first.
 func (h Head) Edit(ctx context.Context, edits []config.Edit, action string, base *uint64, req Request) (config.AppliedChange, error) {
 	if err := req.validate(); err != nil {
 		return config.AppliedChange{}, err
@@ -187,8 +189,8 @@
 	return config.AppliedChange{ID: change.ID, Revision: next.Revision, Operator: change.Operator}, nil
 }
 
-// preferUnknown returns the lost write if there was one: after it, no later
-// failure may claim that nothing was changed.
+// preferUnknown returns the error of the lost write if there was one: no later
+// failure may then report that nothing was changed.
 func preferUnknown(lost *store.UnknownError, err error) error {
 	if lost != nil {
 		return errors.Wrap(lost, "change head")
--- a/core/configuration/intent/intent.go
+++ b/core/configuration/intent/intent.go
@@ -1,12 +1,12 @@
-// Package intent turns what operators declare for a closing into plans, and
-// confirmed plans into revisions of the configuration.
+// Package intent turns the intents that operators declare for a closing into
+// plans, and confirmed plans into revisions of the configuration.
 //
 // An Intent says which workspaces, models and targets take part and how the
-// load is to be shared. The answer to it is a Plan: the edits, a readable
-// difference, and the expected skew and cost. Nothing changes until an
-// operator confirms the plan. A confirmation is one compare-and-swap of the
-// configuration's head key, so that all changes form a single line; whoever
-// comes second gets a *ConflictError that names the winner.
+// load is to be shared. The result is a Plan: the edits, a readable difference,
+// and the expected skew and cost. Nothing changes until an operator confirms the
+// plan. A confirmation is one compare-and-swap of the configuration's head key,
+// so that all changes are totally ordered; of two concurrent ones the later gets
+// a *ConflictError that names the winner.
 //
 // # Usage
 //
@@ -33,26 +33,26 @@
 
 // The presets of weights.
 const (
-	// PresetLightbox weighs skew more: short urgent work waits behind a slow
-	// rank.
+	// PresetLightbox gives skew the higher weight: short urgent requests wait for
+	// the slowest rank.
 	PresetLightbox = "lightbox"
-	// PresetLakeshore weighs the cost of moves more: long drafts are at risk
-	// while experts move.
+	// PresetLakeshore gives the cost of moves the higher weight: long drafts are at
+	// risk while experts move.
 	PresetLakeshore = "lakeshore"
 )
 
-// presetMajor and presetMinor are the two weights of a preset.
+// presetMajor and presetMinor are the higher and the lower weight of a preset.
 const (
 	presetMajor = 4
 	presetMinor = 1
 )
 
-// maxListed bounds the lists of an intent.
+// maxListed bounds the length of each list of an intent.
 const maxListed = 4096
 
 // Intent is what an operator declares for a closing.
 type Intent struct {
-	// Name names the closing; declaring it again replaces its plan.
+	// Name is the name of the closing; declaring it again replaces its plan.
 	Name string `json:"name"`
 	// Workspaces take part with these shares.
 	Workspaces []config.Share `json:"workspaces,omitempty"`
@@ -65,8 +65,8 @@
 	Preset     string  `json:"preset,omitempty"`
 	SkewWeight float64 `json:"skew-weight,omitempty"`
 	CostWeight float64 `json:"cost-weight,omitempty"`
-	// MaxSkew, MaxBytes and MaxSeconds bound what the plan may expect; 0
-	// means no bound. A plan beyond a bound cannot be confirmed.
+	// MaxSkew, MaxBytes and MaxSeconds bound the plan's forecast; 0 means no
+	// bound. A plan that exceeds a bound cannot be confirmed.
 	MaxSkew    float64 `json:"max-skew,omitempty"`
 	MaxBytes   int64   `json:"max-bytes,omitempty"`
 	MaxSeconds float64 `json:"max-seconds,omitempty"`
@@ -128,8 +128,8 @@
 	return &config.InvalidError{Field: "intent." + field, Value: value, Want: want}
 }
 
-// Edits returns what has to change in cur for the intent; what already holds
-// is left out. A name that cur lacks is a *config.NotFoundError.
+// Edits returns the edits of cur that the intent requires, without those that
+// would change nothing. A name that cur lacks is a *config.NotFoundError.
 func (in Intent) Edits(cur config.Config) ([]config.Edit, error) {
 	if err := in.Validate(); err != nil {
 		return nil, err
@@ -188,15 +188,15 @@
 	return groups
 }
 
-// Request says who asks for something, and when.
+// Request identifies a request, its operator and its time.
 type Request struct {
-	// ID identifies the request over retries; it must not be empty.
+	// ID identifies the request across retries; it must not be empty.
 	ID       string
 	Operator string
 	// Now is the wall time at the entry.
 	Now time.Time
-	// Allowed, if set, is asked with the head before each change of it: an
-	// operator whose role was taken away may still be known to this node.
+	// Allowed, if set, is called with the head before each change of it: this node
+	// may not know yet that an operator's role was revoked.
 	Allowed func(head config.Config) error
 }
 
--- a/core/configuration/intent/intent_test.go
+++ b/core/configuration/intent/intent_test.go
@@ -15,13 +15,13 @@
 	"verbenashift/core/configuration/store"
 )
 
-// fake is a store in memory with the faults of the real one. before, if set,
-// runs ahead of each write to the head, as another operator would.
+// fake is a store in memory that can inject faults. before, if set, runs before
+// each write to the head, like a concurrent operator.
 type fake struct {
 	version  int64
 	keys     map[string]store.KV
-	lose     int // next writes whose answer is lost after they took effect
-	drop     int // next writes that are lost before they take effect
+	lose     int // number of next writes whose answer is lost after they took effect
+	drop     int // number of next writes that are lost before they take effect
 	down     bool
 	downNext bool // goes down after the next write
 	before   func()
@@ -154,8 +154,8 @@
 	is.True(errors.As(err, &missing))
 }
 
-// The store takes a confirmation and its answer is lost. The operator sees
-// the revision that it made, and a second confirmation changes nothing more.
+// The answer to a confirmation that took effect is lost. The operator gets the
+// revision that it made, and a second confirmation changes nothing.
 func TestConfirmAfterALostAnswer(t *testing.T) {
 	p, f, is := start(t)
 	plan := declare(is, p, "month-end", "erie", 3)
@@ -171,9 +171,10 @@
 	is.Equal(head.Revision, uint64(2))
 }
 
-// The store goes down right after it took a confirmation, and its answer is
-// lost. Saying "nothing was changed" would be untrue. Once the store is back, a
-// second confirmation finds the first, though the plan's own record lacks it.
+// Guards against reporting that nothing was changed when the store goes down
+// right after a confirmation took effect and its answer is lost. Once the store
+// is back, a second confirmation finds the first, although the plan's own record
+// lacks it.
 func TestConfirmIsUnknownWhileTheStoreIsDown(t *testing.T) {
 	p, f, is := start(t)
 	plan := declare(is, p, "month-end", "erie", 3)
@@ -190,9 +191,9 @@
 	is.Equal(again.Revision, uint64(2))
 }
 
-// A confirmation gets lost on the way while another operator's plan for the
-// same workspace comes first. The lost one can never take effect any more: the
-// operator gets the conflict and its winner, not an unknown outcome.
+// A confirmation is lost in transit while another operator's plan for the same
+// workspace is confirmed. The lost one can no longer take effect: the operator
+// gets the conflict and its winner, not an unknown outcome.
 func TestLostConfirmThatLosesTheRace(t *testing.T) {
 	p, f, is := start(t)
 	mine, other := declare(is, p, "mine", "erie", 3), declare(is, p, "other", "erie", 5)
@@ -210,9 +211,9 @@
 	is.Equal(*conflict, intent.ConflictError{Winner: other.ID, ChangeID: other.ID + "/confirm/c2", Operator: "naomi", Revision: 2})
 }
 
-// Two operators confirm plans that were both made for revision 1. Where they
-// touch the same field the second would undo the first without a word; where
-// they don't, both hold.
+// Guards against a silently undone change when two operators confirm plans that
+// were both made for revision 1. If they change the same field the second gets a
+// conflict; otherwise both are applied.
 func TestRacingConfirms(t *testing.T) {
 	tests := []struct {
 		workspace string
@@ -241,9 +242,9 @@
 	}
 }
 
-// One operator abandons a plan at the moment in which another confirms it.
-// Both would be told that they succeeded if the two were decided by different
-// keys; the head decides between them.
+// Guards against success for both of two operators when one abandons a plan while
+// the other confirms it, which would happen if the two wrote different keys; the
+// head decides between them.
 func TestAbandonRacesWithConfirm(t *testing.T) {
 	p, f, is := start(t)
 	plan := declare(is, p, "month-end", "erie", 3)
@@ -260,9 +261,9 @@
 	is.Equal(head.Workspaces[0].Share, 1.0)
 }
 
-// A plan is confirmed, the write to its own record fails, and so many changes
-// follow that the head forgets the confirmation. A share is then set back by
-// hand, and an old window confirms the plan again: it must not apply twice.
+// Guards against applying a plan twice: it is confirmed, the write to its own
+// record fails, and so many changes follow that the head drops the confirmation.
+// The share is then set back by hand, and the plan is confirmed again.
 func TestForgottenConfirmIsNotRepeated(t *testing.T) {
 	p, f, is := start(t)
 	plan := declare(is, p, "month-end", "erie", 3)
@@ -280,9 +281,9 @@
 	is.True(errors.As(err, &state))
 }
 
-// The store is restored from a copy and holds an older head than the nodes
-// have in force. A change on top of it would give a second configuration the
-// number of the first, and nodes would ignore it.
+// Guards against a change on top of an older head than the nodes have in force,
+// after the store was restored from a backup. It would give a second
+// configuration the number of the first, and nodes would ignore it.
 func TestNoChangeOnARegressedHead(t *testing.T) {
 	p, f, is := start(t)
 	p.Head.InForce = func() uint64 { return 7 }
@@ -293,37 +294,38 @@
 	is.Equal(f.writes, writes)
 }
 
-// newsDuring is a store during whose answers the node hears of a newer revision.
-type newsDuring struct {
+// updateDuringRead is a store during whose reads the node receives a newer revision.
+type updateDuringRead struct {
 	intent.Store
 	news func()
 }
 
-func (s newsDuring) Get(ctx context.Context, key string) (store.KV, error) {
+func (s updateDuringRead) Get(ctx context.Context, key string) (store.KV, error) {
 	kv, err := s.Store.Get(ctx, key)
 	s.news()
 	return kv, err
 }
 
-// Two operators confirm plans that conflict. While the second entry reads the head, it hears by
-// heartbeat of the revision that the first has made. The loser was told that the store had gone
-// back ("answer":"regressed" in the entry's log, in the same millisecond as "configuration in
-// force" with revision 2), in place of the conflict that names the winner.
+// Guards against a wrong "regressed" error in place of the conflict that names the winner: two
+// operators confirm conflicting plans, and while the second entry reads the head, it receives
+// by heartbeat the revision that the first has made. It was seen as "answer":"regressed" in the
+// entry's log, in the same millisecond as "configuration in force" with revision 2.
 func TestNewsDuringAReadIsNoRegress(t *testing.T) {
 	p, f, is := start(t)
 	inForce := uint64(0)
 	p.Head.InForce = func() uint64 { return inForce }
-	p.Head.Store = newsDuring{Store: f, news: func() { inForce = 7 }}
+	p.Head.Store = updateDuringRead{Store: f, news: func() { inForce = 7 }}
 	_, _, err := p.Head.Read(t.Context())
 	is.NoErr(err)
 	var regressed *intent.RegressedError
-	_, _, err = p.Head.Read(t.Context()) // it was known before this read
+	_, _, err = p.Head.Read(t.Context()) // the newer revision was known before this read
 	is.True(errors.As(err, &regressed))
 }
 
-// The store is restored from a copy in which an intent has one declaration
-// fewer, and the head is put back from a node. The next plan would get the
-// identifier of one that was confirmed, and be shown as confirmed itself.
+// Guards against a new plan that is shown as confirmed: the store is restored
+// from a backup in which an intent has one declaration fewer, and the head is
+// restored from a node. The next plan must not get the identifier of one that was
+// confirmed.
 func TestRestoredStoreNumbersPlansAnew(t *testing.T) {
 	p, f, is := start(t)
 	saved := map[string]store.KV{}
@@ -340,7 +342,7 @@
 	p.Head.InForce = func() uint64 { return inForce.Revision }
 	is.NoErr(p.Head.Restore(t.Context(), inForce))
 	var conflict *intent.ConflictError
-	is.True(errors.As(p.Head.Restore(t.Context(), inForce), &conflict)) // nothing left to restore
+	is.True(errors.As(p.Head.Restore(t.Context(), inForce), &conflict)) // the store already holds this revision
 	plan = declare(is, p, "month-end", "erie", 5)
 	is.Equal(plan.ID, "month-end.2")
 	is.Equal(plan.State, intent.StatePlanned)
--- a/core/configuration/intent/oracle_test.go
+++ b/core/configuration/intent/oracle_test.go
@@ -15,14 +15,14 @@
 	"verbenashift/core/configuration/store"
 )
 
-// write is a compare-and-swap that the network still holds.
+// write is a delayed compare-and-swap that has not arrived yet.
 type write struct {
 	key     string
 	version int64
 	value   []byte
 }
 
-// flaky is a store that fails each write in a way drawn at random.
+// flaky is a store whose writes fail in randomly drawn ways.
 type flaky struct {
 	*fake
 	t       *rapid.T
@@ -54,16 +54,16 @@
 	_, _ = f.fake.CompareAndSwap(context.Background(), w.key, w.version, w.value, 0)
 }
 
-// claim is what an operator was told about a request.
+// claim is the reported result of an operator's request.
 type claim struct {
 	change   string // the identifier of the request's own change
-	revision uint64 // the revision that it was told of, if it succeeded
+	revision uint64 // the reported revision, if it succeeded
 	plan     string
 	mark     string
 	refused  bool
 }
 
-// history plays operators on a flaky store and remembers what each was told.
+// history simulates operators on a flaky store and records the reported results.
 type history struct {
 	p      *intent.Planner
 	f      *flaky
@@ -102,8 +102,8 @@
 	})
 }
 
-// check compares what the operators were told with the head, which remembers
-// all changes of so short a history.
+// check compares the reported results with the head, which retains all changes
+// of so short a history.
 func (h *history) check(t *rapid.T) {
 	head, _, err := intent.Head{Store: h.f.fake}.Read(context.Background())
 	is.New(t).NoErr(err)
@@ -129,10 +129,10 @@
 	}
 }
 
-// Operators declare, confirm and abandon while the store loses answers,
-// refuses writes and carries some out long after it seemed to have lost them.
-// One would be told "nothing was changed" about a plan that is then applied, or
-// a plan would be applied twice, if a late write could still win.
+// Guards against late writes that still succeed while operators declare, confirm
+// and abandon and the store loses answers, rejects writes and applies some long
+// after they seemed lost: "nothing was changed" would be reported of a plan that
+// is then applied, or a plan would be applied twice.
 func TestOperatorsAreToldTheTruth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &flaky{fake: &fake{keys: map[string]store.KV{}}, t: t}
--- a/core/configuration/intent/plan.go
+++ b/core/configuration/intent/plan.go
@@ -9,42 +9,42 @@
 	"verbenashift/core/configuration/config"
 )
 
-// State is where a plan stands.
+// State is the state of a plan.
 type State string
 
 // The states of a plan.
 const (
 	// StateDeclared says that the intent is stored but could not be planned.
 	StateDeclared State = "declared"
-	// StatePlanned says that the plan waits for an operator.
+	// StatePlanned says that the plan waits for a confirmation.
 	StatePlanned State = "planned"
 	// StateConfirmed says that the plan became a revision.
 	StateConfirmed State = "confirmed"
-	// StateAbandoned says that an operator refused the plan.
+	// StateAbandoned says that an operator rejected the plan.
 	StateAbandoned State = "abandoned"
-	// StateSuperseded says that its intent was declared anew, or that its
+	// StateSuperseded says that the intent was declared again, or that the plan's
 	// base revision is too old to confirm it.
 	StateSuperseded State = "superseded"
 )
 
-// Plan is the answer to an intent.
+// Plan is the result of declaring an intent.
 type Plan struct {
 	// ID is the intent's name, a dot and the number of the declaration.
 	ID     string `json:"id"`
 	Intent Intent `json:"intent"`
 	State  State  `json:"state"`
-	// Reason says why the plan is declared only, or superseded.
+	// Reason says why the plan could not be made, or is superseded.
 	Reason string `json:"reason,omitempty"`
 	// BaseRevision is the revision that the plan was made for.
 	BaseRevision uint64        `json:"base-revision"`
 	Edits        []config.Edit `json:"edits,omitempty"`
-	// Diff holds what moves, a line each.
+	// Diff lists the changes, one per line.
 	Diff     []string `json:"diff,omitempty"`
 	Forecast Forecast `json:"forecast"`
-	// Breaches names the bounds of the intent that the forecast exceeds.
+	// Breaches lists the bounds of the intent that the forecast exceeds.
 	Breaches   []string `json:"breaches,omitempty"`
 	DeclaredBy string   `json:"declared-by"`
-	// DeclareID identifies the declaration over retries.
+	// DeclareID identifies the declaration across retries.
 	DeclareID  string `json:"declare-id"`
 	UnixMillis int64  `json:"unix-millis"`
 	// ClosedBy is who confirmed or abandoned the plan, and Revision the
@@ -57,7 +57,7 @@
 	return name + "." + strconv.FormatUint(number, 10)
 }
 
-// intentOf returns the intent's name in a plan's identifier.
+// intentOf returns the name of the intent that a plan's identifier contains.
 func intentOf(id string) string {
 	i := strings.LastIndexByte(id, '.')
 	if i < 0 {
@@ -66,7 +66,8 @@
 	return id[:i]
 }
 
-// The identifiers of changes that close a plan begin with the plan's own.
+// The identifier of a change that confirms or abandons a plan consists of the
+// plan's identifier, one of these infixes and the request's identifier.
 const (
 	confirmInfix = "/confirm/"
 	abandonInfix = "/abandon/"
@@ -81,9 +82,9 @@
 	return plan
 }
 
-// resolved returns the plan as the configuration's head shows it. The head is
-// the only word on whether a plan was confirmed: the plan's own record is
-// written after it and may be missing.
+// resolved returns the plan with the outcome that the configuration's head
+// records. The head alone determines whether a plan was confirmed: the plan's
+// own record is written after it and may be missing.
 func (p Plan) resolved(head config.Config) Plan {
 	if p.State == StateConfirmed || p.State == StateAbandoned {
 		return p
@@ -102,20 +103,20 @@
 	return p
 }
 
-// tooOld reports whether the head may have forgotten changes since the plan
-// was made. Confirming such a plan is refused: its own confirmation may be
-// among the forgotten ones, and it would be applied a second time.
+// tooOld reports whether the head may have dropped changes that were made since
+// the plan. Such a plan cannot be confirmed: its own confirmation may be among
+// the dropped changes, and it would be applied a second time.
 func tooOld(p Plan, head config.Config) bool {
 	return head.Revision > p.BaseRevision+config.MaxChanges
 }
 
 // change returns the change that confirms the plan on top of cur.
 //
-// A plan made for an earlier revision is taken over only if its difference to
-// cur reads the same, line by line, old values included: then none of the
-// fields it touches has moved. Otherwise an operator would confirm something
-// other than what was shown, and the other operator's change would be undone
-// without a word.
+// A plan made for an earlier revision is accepted only if its difference to cur
+// is the same, line by line and including the old values: then none of the
+// fields that it changes was changed meanwhile. Otherwise an operator would
+// confirm something other than what was shown, and another operator's change
+// would be undone silently.
 func (p Plan) change(cur config.Config, req Request) (config.Change, error) {
 	change := config.Change{
 		ID: p.ID + confirmInfix + req.ID, Operator: req.Operator,
--- a/core/configuration/intent/planner.go
+++ b/core/configuration/intent/planner.go
@@ -10,19 +10,19 @@
 	"verbenashift/core/configuration/config"
 )
 
-// maxPrevious bounds the earlier plans that an intent's record remembers.
+// maxPrevious bounds the earlier plans that an intent's record retains.
 const maxPrevious = 16
 
-// Planner answers intents with plans and makes confirmed plans revisions.
+// Planner makes plans for intents, and revisions from confirmed plans.
 type Planner struct {
 	Head Head
-	// Forecaster tells the expected skew and cost; nil means Estimator{}.
+	// Forecaster estimates skew and cost; nil means Estimator{}.
 	Forecaster Forecaster
 }
 
 // Declare stores the intent and returns its plan. A second call with the same
-// request identifier returns the first one's plan. The intent's earlier plan,
-// if it still waits, is superseded.
+// request identifier returns the first one's plan. An earlier plan of the intent
+// that is neither confirmed nor abandoned is superseded.
 func (p *Planner) Declare(ctx context.Context, in Intent, req Request) (Plan, error) {
 	if err := req.validate(); err != nil {
 		return Plan{}, err
@@ -77,9 +77,9 @@
 	return p.Forecaster
 }
 
-// Confirm makes the plan a revision. It returns the same plan and revision
-// again if the plan was confirmed before: by a try whose answer was lost, or
-// by another operator.
+// Confirm makes a revision from the plan. It returns the same plan and revision
+// if the plan was confirmed before: by an attempt whose answer was lost, or by
+// another operator.
 func (p *Planner) Confirm(ctx context.Context, id string, req Request) (Plan, error) {
 	return p.close(ctx, id, req, confirmInfix, func(plan Plan, cur config.Config) (config.Change, error) {
 		if plan.State != StatePlanned {
@@ -92,8 +92,8 @@
 	})
 }
 
-// Abandon refuses the plan. It makes a revision without edits, so that one
-// line of changes decides between a confirmation and an abandonment that race.
+// Abandon rejects the plan. It makes a revision without edits, so that a
+// concurrent confirmation and abandonment are ordered by the same head.
 func (p *Planner) Abandon(ctx context.Context, id string, req Request) (Plan, error) {
 	return p.close(ctx, id, req, abandonInfix, func(plan Plan, _ config.Config) (config.Change, error) {
 		if plan.State != StatePlanned && plan.State != StateDeclared {
@@ -135,8 +135,8 @@
 	return stored, nil
 }
 
-// recordOutcome writes the plan's final state into its record. A failure is passed
-// over: the head already decides, and the next reader sees it there.
+// recordOutcome writes the plan's final state to its record. A failure is
+// ignored: the head is authoritative, and later reads use it.
 func (p *Planner) recordOutcome(ctx context.Context, plan Plan) {
 	_, _ = p.update(ctx, plan.Intent.Name, func(rec Record) (Record, bool) {
 		if rec.Plan.ID == plan.ID {
--- a/core/configuration/intent/record.go
+++ b/core/configuration/intent/record.go
@@ -13,7 +13,7 @@
 
 // Record is what the store holds under the key of an intent.
 type Record struct {
-	// Declarations counts the plans made for the intent.
+	// Declarations is the number of plans made for the intent.
 	Declarations uint64 `json:"declarations"`
 	Plan         Plan   `json:"plan"`
 	// Previous holds earlier plans without their edits, newest last.
@@ -32,9 +32,10 @@
 	}
 	rec.Declarations++
 	plan.ID = planID(plan.Intent.Name, rec.Declarations)
-	// A store restored from a copy has forgotten some declarations, but a head
-	// put back from the nodes has not. A plan with the identifier of an earlier
-	// one would be reported as confirmed though nothing changed.
+	// A store restored from a backup lacks some declarations, but a head that was
+	// restored from the nodes includes their confirmations. A plan with the
+	// identifier of an earlier one would be reported as confirmed although nothing
+	// changed.
 	for idUsed(plan.ID, head) {
 		rec.Declarations++
 		plan.ID = planID(plan.Intent.Name, rec.Declarations)
@@ -89,7 +90,7 @@
 
 // update changes the record of an intent by compare-and-swap. edit reports
 // whether there is anything to write; it is called again after a conflict or a
-// lost answer, and must recognise what an earlier try wrote.
+// lost answer, and must detect the write of an earlier attempt.
 func (p *Planner) update(ctx context.Context, name string, edit func(Record) (Record, bool)) (Record, error) {
 	var lost *store.UnknownError
 	for range maxAttempts {
--- a/core/configuration/operator/auth.go
+++ b/core/configuration/operator/auth.go
@@ -8,10 +8,10 @@
 	"verbenashift/core/configuration/config"
 )
 
-// bootstrapName is the operator's name while the bootstrap token is used.
+// bootstrapName is the operator's name for requests with the bootstrap token.
 const bootstrapName = "bootstrap"
 
-// actor is who makes a request.
+// actor is the authenticated sender of a request.
 type actor struct {
 	name string
 	role string
@@ -28,8 +28,8 @@
 }
 
 // authenticate finds the operator of a request. A missing, a malformed and an
-// unknown token go through the same steps to the same answer, so that neither
-// its text nor its time tells a stranger how near a guess was.
+// unknown token take the same steps to the same response, so that neither its
+// text nor its time reveals how near a guess was.
 func (a *api) authenticate(r *http.Request) (actor, error) {
 	token, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	x := a.index()
@@ -44,9 +44,9 @@
 	return a.bootstrap(r)
 }
 
-// bootstrap lets the bootstrap token in only if the store holds no operator
-// either. A node that has just started, or is cut off, knows of no operator;
-// without this check the token would work there for ever.
+// bootstrap accepts the bootstrap token only if the store's configuration has no
+// operators either. A node that has just started, or is partitioned, knows no
+// operators; without this check the token would remain valid there.
 func (a *api) bootstrap(r *http.Request) (actor, error) {
 	head, _, err := a.planner.Head.Read(r.Context())
 	if err != nil {
@@ -63,9 +63,9 @@
 	return errForbidden(role)
 }
 
-// allowedBy checks the actor against the head of the configuration. This node
-// may be some seconds behind: an operator whose token was revoked could
-// otherwise confirm a plan in that time.
+// allowedBy checks the actor against the head of the configuration. The
+// configuration of this node may be some seconds old: an operator whose token was
+// revoked could otherwise still confirm a plan in that time.
 func (a actor) allowedBy(head config.Config, role string) error {
 	if a.hash == "" {
 		if len(head.Operators) > 0 {
--- a/core/configuration/operator/client.go
+++ b/core/configuration/operator/client.go
@@ -17,22 +17,22 @@
 	"verbenashift/core/configuration/intent"
 )
 
-// maxAnswer bounds what a client reads of one answer, in bytes.
+// maxAnswer limits the size of a response that a client reads, in bytes.
 const maxAnswer = 8 << 20
 
-// maxTries bounds how often a client sends one request.
+// maxTries limits how often a client sends one request.
 const maxTries = 3
 
-// Client calls the administration API. It sends a request again, with the same
-// identifier, if the connection broke before the answer. Its errors are *Error.
+// Client calls the administration API. It retries a request with the same
+// identifier if the connection failed before the response. Its errors are *Error.
 type Client struct {
 	// Server is the URL of an entry's administration listener.
 	Server string
 	Token  string
 	// HTTP is the client to use; nil means http.DefaultClient.
 	HTTP *http.Client
-	// RequestID, if set, is used for every write in place of a random one. It
-	// repeats a request of an earlier process whose answer was lost.
+	// RequestID, if set, is used for every write instead of a random one. It
+	// serves to retry a request of an earlier process whose answer was lost.
 	RequestID string
 }
 
@@ -48,13 +48,13 @@
 	return call[Status](ctx, c, http.MethodGet, "/status", nil)
 }
 
-// Revisions returns the remembered revisions, oldest first.
+// Revisions returns the retained revisions, oldest first.
 func (c *Client) Revisions(ctx context.Context) ([]RevisionState, error) {
 	return call[[]RevisionState](ctx, c, http.MethodGet, "/revisions", nil)
 }
 
-// Config returns the newest configuration known. Digests of tokens are whole
-// for administrators only.
+// Config returns the newest configuration known. Digests of tokens are
+// complete for administrators only.
 func (c *Client) Config(ctx context.Context) (Document, error) {
 	return call[Document](ctx, c, http.MethodGet, "/config", nil)
 }
@@ -65,8 +65,8 @@
 	return call[Accepted](ctx, c, http.MethodPut, "/config", req)
 }
 
-// Restore puts the configuration in force back into a store that holds an
-// older one.
+// Restore writes the configuration in force back to a store that holds an older
+// one.
 func (c *Client) Restore(ctx context.Context) (Accepted, error) {
 	return call[Accepted](ctx, c, http.MethodPost, "/config/restore", nil)
 }
@@ -78,8 +78,8 @@
 	return call[Accepted](ctx, c, http.MethodPost, "/edits", req)
 }
 
-// EditAt makes edits if the head is at revision base: the edits were made from
-// what that revision holds.
+// EditAt makes edits if the head is at revision base, from which the edits were
+// made.
 func (c *Client) EditAt(ctx context.Context, base uint64, action string, edits ...config.Edit) (Accepted, error) {
 	req := EditsRequest{RequestID: c.newID(), BaseRevision: &base, Action: action, Edits: edits}
 	return call[Accepted](ctx, c, http.MethodPost, "/edits", req)
@@ -105,12 +105,12 @@
 	return call[intent.Plan](ctx, c, http.MethodGet, "/plans/"+url.PathEscape(id), nil)
 }
 
-// Confirm makes a plan a revision.
+// Confirm makes a revision from a plan.
 func (c *Client) Confirm(ctx context.Context, id string) (intent.Plan, error) {
 	return c.closePlan(ctx, id, "/confirm")
 }
 
-// Abandon refuses a plan.
+// Abandon rejects a plan.
 func (c *Client) Abandon(ctx context.Context, id string) (intent.Plan, error) {
 	return c.closePlan(ctx, id, "/abandon")
 }
@@ -176,7 +176,7 @@
 	return v, nil
 }
 
-// unanswered is the error of a request that got no answer at all.
+// unanswered returns the error of a request without any response.
 func unanswered(method string, cause error) *Error {
 	if method == http.MethodGet {
 		return &Error{Kind: KindUnavailable, Message: fmt.Sprintf("no answer: %v", cause)}
--- a/core/configuration/operator/errors.go
+++ b/core/configuration/operator/errors.go
@@ -18,17 +18,17 @@
 	KindUnauthenticated = "unauthenticated"
 	KindForbidden       = "forbidden"
 	KindNotFound        = "not-found"
-	// KindConflict says that another change came first; the winner is named.
+	// KindConflict says that another change was made first; the error names it.
 	KindConflict = "conflict"
-	// KindPlanState says that the plan is closed, and KindBounds that it
-	// exceeds the bounds of its intent.
+	// KindPlanState says that the plan's state forbids the request, and KindBounds
+	// that the plan exceeds the bounds of its intent.
 	KindPlanState = "plan-state"
 	KindBounds    = "bounds"
 	KindTooLarge  = "too-large"
 	// KindUnavailable says that nothing was changed and a retry may help.
 	KindUnavailable = "unavailable"
-	// KindUnknown says that the change may have taken effect; the same request
-	// sent again tells.
+	// KindUnknown says that the change may have taken effect; a retry of the same
+	// request returns the outcome.
 	KindUnknown = "unknown"
 	// KindRegressed says that the store holds an older configuration than the
 	// one in force.
@@ -36,20 +36,20 @@
 	KindInternal  = "internal"
 )
 
-// retrySeconds is when to come back after an answer that a retry may change.
+// retrySeconds is the value of Retry-After for errors for which a retry may help.
 const retrySeconds = 2
 
-// Error is the body of an answer other than 200.
+// Error is the error in the body of a response with a status other than 200.
 type Error struct {
-	// Status is the HTTP status; 0 if no answer came.
+	// Status is the HTTP status; 0 if there was no response.
 	Status  int    `json:"-"`
 	Kind    string `json:"kind"`
 	Message string `json:"message"`
-	// Field, Value and Want tell the fault of an invalid request.
+	// Field, Value and Want describe the invalid field of a request.
 	Field string `json:"field,omitempty"`
 	Value string `json:"value,omitempty"`
 	Want  string `json:"want,omitempty"`
-	// Winner, Operator, ChangeID and Revision tell who won a conflict.
+	// Winner, Operator, ChangeID and Revision describe the winner of a conflict.
 	Winner   string `json:"winner,omitempty"`
 	Operator string `json:"operator,omitempty"`
 	ChangeID string `json:"change-id,omitempty"`
@@ -74,8 +74,8 @@
 	}
 }
 
-// describe turns an error into the body that an operator gets. An error that
-// it does not know keeps its text to itself.
+// describe converts an error into the response body. The text of an unknown
+// error is not disclosed.
 func describe(err error) *Error {
 	var known *Error
 	if errors.As(err, &known) {
--- a/core/configuration/operator/handlers.go
+++ b/core/configuration/operator/handlers.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// document returns the head, or what is in force on this node while the store
-// cannot be reached or is behind.
+// document returns the head, or the configuration in force on this node while
+// the store is unreachable or holds an older one.
 func (a *api) document(r *http.Request) Document {
 	head, _, err := a.planner.Head.Read(r.Context())
 	if err == nil {
@@ -50,9 +50,10 @@
 	return a.accept(r, edits, "put configuration", &req.BaseRevision, request(req.RequestID, who, config.RoleAdmin))
 }
 
-// restore puts the configuration in force back into a store that was itself
-// restored from an older copy. A node that is further ahead must do it: what
-// it has in force would otherwise get its number a second time.
+// restore writes the configuration in force back to a store that was itself
+// restored from an older backup. If another node has a higher revision, that node
+// must do it: the number of its revision would otherwise be assigned a second
+// time.
 func (a *api) restore(r *http.Request, _ actor) (any, error) {
 	fleet, err := a.Fleet.Status(r.Context())
 	if err != nil {
--- a/core/configuration/operator/operator.go
+++ b/core/configuration/operator/operator.go
@@ -1,16 +1,15 @@
-// Package operator is the administration API that operators reach through an
-// entry, and its client.
+// Package operator implements the administration API of an entry and its client.
 //
 // The API lives under /admin/v1 and speaks JSON with kebab-case names. Each
-// request carries a bearer token. Tokens are known by their SHA-256 digests
-// from the configuration in force; while no configuration names an operator, a
-// bootstrap token from the settings stands for an administrator. A viewer
-// reads, an operator also confirms plans and drains targets, an administrator
-// also changes who may do what.
+// request carries a bearer token. The configuration in force holds the SHA-256
+// digests of the tokens; while it has no operators, a bootstrap token from the
+// settings gives the role of an administrator. A viewer may read, an operator may
+// also confirm plans and drain targets, and an administrator may also change
+// permissions.
 //
 // Each write carries an identifier chosen by the client, so that it can be
-// sent again after a lost answer: the second try returns what the first one
-// did.
+// retried after a lost answer: the retry returns the result of the first
+// attempt.
 //
 // # Usage
 //
@@ -35,22 +34,22 @@
 	"verbenashift/core/configuration/intent"
 )
 
-// Prefix begins the path of every request.
+// Prefix is the prefix of the paths of all requests.
 const Prefix = "/admin/v1"
 
 // maxBody bounds the body of a request: a whole configuration and its
 // envelope.
 const maxBody = config.MaxBytes + 4096
 
-// answers counts the answers of this process by kind of error, or "ok".
+// answers counts the responses of this process by kind of error, or "ok".
 var answers = expvar.NewMap("operator-answers")
 
-// Fleet tells the state of the nodes.
+// Fleet returns the state of the nodes.
 type Fleet interface {
 	Status(ctx context.Context) (FleetStatus, error)
 }
 
-// Deps is what the API needs.
+// Deps holds the dependencies of the API.
 type Deps struct {
 	Store intent.Store
 	Fleet Fleet
@@ -59,10 +58,10 @@
 	Current func() *config.Index
 	// Forecaster is used for plans; nil means intent.Estimator{}.
 	Forecaster intent.Forecaster
-	// BootstrapHash is the SHA-256 digest, in hex, of the token that makes
-	// the first configuration; empty means that there is none.
+	// BootstrapHash is the SHA-256 digest, in hex, of the token for the first
+	// configuration; empty means that there is none.
 	BootstrapHash string
-	// Log gets one line for each change; nil means slog.Default().
+	// Log gets one record for each change; nil means slog.Default().
 	Log *slog.Logger
 }
 
@@ -72,7 +71,7 @@
 	empty   *config.Index
 }
 
-// handler answers a request of an operator with a value or an error.
+// handler handles a request of an operator and returns the body or an error.
 type handler func(r *http.Request, a actor) (any, error)
 
 // New returns the handler of the administration API.
@@ -133,8 +132,9 @@
 	return a.empty
 }
 
-// serve wraps a route: who asks is settled before anything else, so that an
-// unknown path and a known one look alike to a stranger.
+// serve returns the handler of a route. It authenticates the request before
+// anything else, so that without a valid token known and unknown paths cannot be
+// distinguished.
 func (a *api) serve(rt route) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxBody)
@@ -168,8 +168,8 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// readBody reads a request; an unknown field is an error, since a misspelt one
-// would silently change nothing.
+// readBody decodes the body of a request. An unknown field is an error, since a
+// misspelt one would silently have no effect.
 func readBody(r *http.Request, v any) error {
 	d := json.NewDecoder(r.Body)
 	d.DisallowUnknownFields()
--- a/core/configuration/operator/operator_test.go
+++ b/core/configuration/operator/operator_test.go
@@ -18,7 +18,7 @@
 	"verbenashift/core/configuration/store"
 )
 
-// memory is a store in memory; fail, if set, is the answer to each read.
+// memory is a store in memory; fail, if set, is the error of each read.
 type memory struct {
 	version int64
 	keys    map[string]store.KV
@@ -49,8 +49,8 @@
 	return m.version, nil
 }
 
-// deployment is an administration API whose node follows the store only when
-// the test says so.
+// deployment is an administration API whose node reads the store only when the
+// test calls follow.
 type deployment struct {
 	store *memory
 	index *config.Index
@@ -76,7 +76,7 @@
 	return operator.FleetStatus{Nodes: d.nodes, Groups: []operator.GroupStatus{{Name: "captions", State: "steady"}}}, nil
 }
 
-// follow brings the store's head in force on the node.
+// follow puts the store's head in force on the node.
 func (d *deployment) follow(is *is.I) {
 	head, _, err := intent.Head{Store: d.store}.Read(context.Background())
 	is.NoErr(err)
@@ -101,7 +101,7 @@
 	}
 }
 
-// started is a deployment with its first configuration in force.
+// started returns a deployment with its first configuration in force.
 func started(t *testing.T) (*deployment, *is.I) {
 	is := is.New(t)
 	d := newDeployment(t)
@@ -158,10 +158,10 @@
 	return res.StatusCode, string(body)
 }
 
-// A stranger tries tokens and paths. Any difference between the answers would
-// tell that a guess was near, or which paths exist. The cause would be a check
-// that ends early, a router that answers before the token is known, or a look
-// at the store (down here) that only some tokens lead to.
+// Guards against responses that let an attacker who guesses tokens and paths learn
+// how near a guess was, or which paths exist. Causes would be a check that returns
+// early, a router that responds before authentication, or a read of the store
+// (down here) for some tokens only.
 func TestStrangersSeeOneAnswer(t *testing.T) {
 	d, is := started(t)
 	d.store.fail = &store.UnavailableError{Op: "get"}
@@ -202,8 +202,8 @@
 	is.Equal(kindOf(err), operator.KindForbidden)
 }
 
-// An administrator revokes an operator's token. The entry is some seconds
-// behind, still knows the token, and would let its holder confirm a plan.
+// Guards against a plan confirmed with a revoked token at an entry whose
+// configuration is some seconds old and still contains the token.
 func TestRevokedOperatorChangesNothing(t *testing.T) {
 	d, is := started(t)
 	_, err := d.client("admin").Edit(t.Context(), "revoke", config.Edit{RemoveOperator: "mulu"})
@@ -214,14 +214,13 @@
 	is.Equal(d.store.version, version)
 }
 
-// A node starts with empty memory, knows of no operator, and is asked with the
-// bootstrap token long after the first configuration. It would hand the
-// administration to whoever found the old token.
+// Guards against a bootstrap token that is accepted long after the first
+// configuration by a node that has just started and knows no operators.
 func TestBootstrapTokenEndsWithTheFirstOperator(t *testing.T) {
 	d, is := started(t)
 	d.store.fail = &store.UnavailableError{Op: "get"}
 	_, err := d.client(bootstrapToken).Config(t.Context())
-	is.Equal(kindOf(err), operator.KindUnauthenticated) // the node knows by itself
+	is.Equal(kindOf(err), operator.KindUnauthenticated) // by the node's own configuration
 	d.index, d.store.fail = nil, nil
 	_, err = d.client(bootstrapToken).Config(t.Context())
 	is.Equal(kindOf(err), operator.KindUnauthenticated)
@@ -245,9 +244,9 @@
 	is.Equal(kindOf(err), operator.KindUnavailable)
 }
 
-// The store is restored from a copy of the day before. Operators see that it
-// is behind and nothing can be changed by mistake, until an administrator puts
-// the configuration in force back, at an entry that is as far as any node.
+// The store is restored from a backup of the day before. Operators see that it
+// holds an older configuration, and changes are rejected until an administrator
+// restores the one in force, at an entry with the highest revision of all nodes.
 func TestStoreRestoredFromACopy(t *testing.T) {
 	d, is := started(t)
 	c, ctx := d.client("admin"), t.Context()
@@ -265,13 +264,13 @@
 	is.Equal(st.Revision.Revision, uint64(2))
 	d.nodes = []operator.Node{{Name: "entry-2", Revision: 3}}
 	_, err = c.Restore(ctx)
-	is.Equal(kindOf(err), operator.KindRegressed) // entry-2 is further ahead
+	is.Equal(kindOf(err), operator.KindRegressed) // entry-2 has a higher revision
 	d.nodes[0].Revision = 2
 	accepted, err := c.Restore(ctx)
 	is.NoErr(err)
 	is.Equal(accepted.Revision, uint64(2))
 	_, err = c.Restore(ctx)
-	is.Equal(kindOf(err), operator.KindConflict) // the store holds it: a later change would be undone
+	is.Equal(kindOf(err), operator.KindConflict) // the store already holds it: a later change would be undone
 	doc, err := c.Config(ctx)
 	is.NoErr(err)
 	is.True(doc.Config.Targets[0].Drained)
@@ -300,7 +299,7 @@
 	is.Equal([]string{list[1].Operator, list[1].Action}, []string{"mulu", "confirm plan first.1"})
 }
 
-// cutting breaks the first connection after the request was handled.
+// cutting closes the first connection after the request was handled.
 type cutting struct {
 	cuts int
 }
@@ -315,8 +314,8 @@
 	return res, err
 }
 
-// The entry makes a change and dies before it answers. The client asks again:
-// it must get the first change's revision, and not make a second.
+// Guards against a change made twice when the entry fails after the change and
+// before its response: the client's retry must get the revision of the first.
 func TestClientRepeatsWithOneIdentifier(t *testing.T) {
 	d, is := started(t)
 	c := d.client("operator")
@@ -329,7 +328,7 @@
 	is.Equal(head.Revision, uint64(2))
 	c.HTTP = &http.Client{Transport: &cutting{cuts: 9}}
 	_, err = c.Edit(t.Context(), "undrain", config.Edit{Drain: &config.Drain{Target: "caption-1"}})
-	is.Equal(kindOf(err), operator.KindUnknown) // it may have been made
+	is.Equal(kindOf(err), operator.KindUnknown) // the change may have been made
 }
 
 func TestNothingLeaks(t *testing.T) {
@@ -338,7 +337,7 @@
 	_, body := get(is, d.url+"/admin/v1/config", "Bearer viewer")
 	is.True(!strings.Contains(body, hash))
 	_, body = get(is, d.url+"/admin/v1/config", "Bearer admin")
-	is.True(strings.Contains(body, hash)) // an administrator's copy can be put back
+	is.True(strings.Contains(body, hash)) // an administrator's copy can be restored
 	_, err := d.client("admin").Edit(t.Context(), "put", config.Edit{PutWorkspace: &config.Workspace{Name: "x", TokenHashes: []string{hash}}})
 	is.Equal(kindOf(err), operator.KindInvalid)
 	is.True(!strings.Contains(err.Error(), hash))
--- a/core/configuration/operator/status.go
+++ b/core/configuration/operator/status.go
@@ -31,7 +31,7 @@
 	return revisionStates(a.document(r).Config, fleet.Nodes), nil
 }
 
-// revisionStates returns the remembered revisions, oldest first.
+// revisionStates returns the retained revisions, oldest first.
 func revisionStates(c config.Config, nodes []Node) []RevisionState {
 	changes := make(map[uint64]string, len(c.Changes))
 	for _, ch := range c.Changes {
@@ -47,8 +47,8 @@
 	return states
 }
 
-// stateOf counts the nodes that have the revision in force. A node that is
-// ahead counts: it never goes back.
+// stateOf counts the nodes that have the revision in force. A node with a higher
+// revision counts as well, since nodes never go back.
 func stateOf(revision uint64, nodes []Node) RevisionState {
 	s := RevisionState{Revision: revision, State: StateAccepted, Nodes: len(nodes)}
 	for _, n := range nodes {
--- a/core/configuration/operator/types.go
+++ b/core/configuration/operator/types.go
@@ -5,7 +5,7 @@
 	"verbenashift/core/configuration/intent"
 )
 
-// FleetStatus is what a node knows of the others.
+// FleetStatus is the state of all nodes and groups as one node knows it.
 type FleetStatus struct {
 	Nodes  []Node        `json:"nodes"`
 	Groups []GroupStatus `json:"groups,omitempty"`
@@ -31,7 +31,7 @@
 	// number of requests that run.
 	Queued  uint64 `json:"queued"`
 	Running uint32 `json:"running"`
-	// AgeMillis is how old the node's last word is, in milliseconds.
+	// AgeMillis is the time since the node's last report, in milliseconds.
 	AgeMillis int64 `json:"age-millis"`
 }
 
@@ -39,28 +39,28 @@
 type GroupStatus struct {
 	Name string `json:"name"`
 	// State is "steady", "forming", "loading", "switching", "degraded" for a
-	// group without its lost ranks, or "no-steward" when no steward has been
-	// heard for a while: the group goes on with the map it has.
+	// group that runs without its failed ranks, or "no-steward" if no coordinator
+	// has reported for a while: the group continues with its current map.
 	State      string `json:"state"`
 	MapVersion uint64 `json:"map-version"`
 	Step       uint64 `json:"step"`
 	// Skew is the measured load of the busiest rank over the mean.
 	Skew        float64 `json:"skew"`
 	Coordinator string  `json:"steward,omitempty"`
-	// Fence is the fencing number of the steward's lease.
+	// Fence is the fencing token of the coordinator's lease.
 	Fence uint64 `json:"fence,omitempty"`
 	// Reason says why the last plan moved experts or not, as a word, and
 	// Explanation as a sentence.
 	Reason      string `json:"reason,omitempty"`
 	Explanation string `json:"explanation,omitempty"`
-	// Moves, Bytes, MeanSkew and MaxSkew are of the last hour, as far as this
-	// steward has been in office; Skews are its measurements, oldest first.
+	// Moves, Bytes, MeanSkew and MaxSkew cover the last hour, or the time since
+	// this coordinator took over; Skews are its measurements, oldest first.
 	Moves    int       `json:"moves"`
 	Bytes    int64     `json:"bytes"`
 	MeanSkew float64   `json:"mean-skew,omitempty"`
 	MaxSkew  float64   `json:"max-skew,omitempty"`
 	Skews    []float64 `json:"skews,omitempty"`
-	// AgeMillis is how old the steward's last word is, in milliseconds.
+	// AgeMillis is the time since the coordinator's last report, in milliseconds.
 	AgeMillis int64 `json:"age-millis"`
 	// Waiting lists the ranks that are not stepping.
 	Waiting []RankStatus `json:"waiting,omitempty"`
@@ -70,7 +70,7 @@
 type RankStatus struct {
 	Target string `json:"target"`
 	Health string `json:"health"`
-	// Lost says that the steward takes the rank as gone.
+	// Lost says that the coordinator considers the rank failed.
 	Lost bool `json:"lost,omitempty"`
 }
 
@@ -83,7 +83,7 @@
 	StateInForce = "in-force"
 )
 
-// RevisionState is one revision and how far it has come.
+// RevisionState is one revision and its rollout.
 type RevisionState struct {
 	Revision   uint64 `json:"revision"`
 	Operator   string `json:"operator,omitempty"`
@@ -100,20 +100,20 @@
 type Status struct {
 	// Revision is the newest one known.
 	Revision RevisionState `json:"revision"`
-	// StoreReachable says whether the store answered just now. If not, a newer
+	// StoreReachable says whether the store answered this request. If not, a newer
 	// revision may have been accepted.
 	StoreReachable bool `json:"store-reachable"`
 	// StoreBehind says that the store holds an older configuration than the
-	// one in force; nothing can be changed until it is put back.
+	// one in force; nothing can be changed until that is restored.
 	StoreBehind bool `json:"store-behind,omitempty"`
 	FleetStatus
 }
 
-// Document is a configuration with where it came from.
+// Document is a configuration and its source.
 type Document struct {
 	Config config.Config `json:"config"`
-	// Source is "store", or "node" while the store cannot be reached or is
-	// behind.
+	// Source is "store", or "node" while the store is unreachable or holds an older
+	// configuration.
 	Source string `json:"source"`
 	// StoreBehind says that the store holds an older configuration than the
 	// one in force.
@@ -141,8 +141,8 @@
 	Config       config.Config `json:"config"`
 }
 
-// EditsRequest makes edits on top of whatever the head is, or of
-// BaseRevision if it is set.
+// EditsRequest makes edits on top of the current head, which must be at
+// BaseRevision if that is set.
 type EditsRequest struct {
 	RequestID    string        `json:"request-id"`
 	BaseRevision *uint64       `json:"base-revision,omitempty"`
@@ -164,7 +164,7 @@
 // TargetStatus is a target with the state of the agent beside it.
 type TargetStatus struct {
 	config.Target
-	// Node is nil if nothing was heard of the agent.
+	// Node is nil if the agent has not reported.
 	Node *Node `json:"node,omitempty"`
 }
 
@@ -172,6 +172,6 @@
 type GroupView struct {
 	config.Group
 	Targets []string `json:"targets,omitempty"`
-	// Status is nil if nothing was heard of the group.
+	// Status is nil if the group has not reported.
 	Status *GroupStatus `json:"status,omitempty"`
 }
