--- a/core/configuration/mirror/listen_test.go
+++ b/core/configuration/mirror/listen_test.go
@@ -33,10 +33,10 @@
 			},
 		}
 		f := NewFollower(s, testFormats(), quiet())
-		var heard []string
+		var received []string
 		f.ListenChanges("news/", func(items []kv.Item) {
 			for _, it := range items {
-				heard = append(heard, it.Key)
+				received = append(received, it.Key)
 			}
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -44,7 +44,7 @@
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		is.Equal(heard, []string{"news/a"})
+		is.Equal(received, []string{"news/a"})
 		is.True(!read["news/"])
 	})
 }
--- a/core/configuration/mirror/mirror.go
+++ b/core/configuration/mirror/mirror.go
@@ -104,11 +104,11 @@
 	if m.config == nil {
 		return nil
 	}
-	stewards := make(map[string]rankpeer.Claim, len(m.claims))
+	coordinators := make(map[string]rankpeer.Claim, len(m.claims))
 	for _, c := range m.claims {
-		stewards[c.Group] = c
+		coordinators[c.Group] = c
 	}
-	return &Snapshot{Config: m.config, Targets: m.usableTargets(), Coordinators: stewards, Revision: m.revision}
+	return &Snapshot{Config: m.config, Targets: m.usableTargets(), Coordinators: coordinators, Revision: m.revision}
 }
 
 // usableTargets returns the targets of services that the configuration names, without
--- a/core/configuration/mirror/mirror_test.go
+++ b/core/configuration/mirror/mirror_test.go
@@ -69,7 +69,7 @@
 }
 
 // Guards against dropping all servers whose entries have expired, and against retaining those
-// that are gone.
+// that have departed.
 func TestMissingAfterAnOutage(t *testing.T) {
 	is := is.New(t)
 	m := New(testFormats(), quiet())
--- a/core/configuration/store/call.go
+++ b/core/configuration/store/call.go
@@ -111,9 +111,9 @@
 
 // isDecision reports whether err means that the store itself rejected the call.
 func isDecision(err error) bool {
-	var gone *LeaseNotFoundError
+	var notFound *LeaseNotFoundError
 	var refused *RefusedError
-	return errors.As(err, &gone) || errors.As(err, &refused)
+	return errors.As(err, &notFound) || errors.As(err, &refused)
 }
 
 // attempt makes one call at the address with that index. With an error, sent
