--- a/core/configuration/config/index.go
+++ b/core/configuration/config/index.go
@@ -33,34 +33,34 @@
 // Index answers the lookups of the request path for one configuration. It is
 // immutable and safe for concurrent use; its results must not be changed.
 type Index struct {
-	cfg        Config
-	workspaces map[Digest]int
-	operators  map[Digest]int
-	byName     map[string]int
-	models     map[string]int
-	services   map[string]int
-	groups     map[string]int
-	spaces     map[string]int
-	ofModel    map[string][]*Target
-	ofService  map[string][]*Target
-	ofGroup    map[string][]*Target
+	cfg               Config
+	workspaceByDigest map[Digest]int
+	operatorByDigest  map[Digest]int
+	targetByName      map[string]int
+	modelByName       map[string]int
+	serviceByName     map[string]int
+	groupByName       map[string]int
+	workspaceByName   map[string]int
+	ofModel           map[string][]*Target
+	ofService         map[string][]*Target
+	ofGroup           map[string][]*Target
 }
 
 // NewIndex returns the index of c, which must be valid.
 func NewIndex(c Config) *Index {
 	x := &Index{
-		cfg: c, workspaces: map[Digest]int{}, operators: map[Digest]int{},
-		byName: positions(c.Targets), models: positions(c.Models), services: positions(c.Services),
-		groups: positions(c.Groups), spaces: positions(c.Workspaces),
+		cfg: c, workspaceByDigest: map[Digest]int{}, operatorByDigest: map[Digest]int{},
+		targetByName: positions(c.Targets), modelByName: positions(c.Models), serviceByName: positions(c.Services),
+		groupByName: positions(c.Groups), workspaceByName: positions(c.Workspaces),
 		ofModel: map[string][]*Target{}, ofService: map[string][]*Target{}, ofGroup: map[string][]*Target{},
 	}
 	for i, w := range c.Workspaces {
 		for _, h := range w.TokenHashes {
-			addDigest(x.workspaces, h, i)
+			addDigest(x.workspaceByDigest, h, i)
 		}
 	}
 	for i, o := range c.Operators {
-		addDigest(x.operators, o.TokenHash, i)
+		addDigest(x.operatorByDigest, o.TokenHash, i)
 	}
 	for i := range c.Targets {
 		t := &c.Targets[i]
@@ -99,18 +99,18 @@
 // Revision returns the configuration's revision.
 func (x *Index) Revision() uint64 { return x.cfg.Revision }
 
-// WorkspaceByToken returns the workspace that a caller's token names.
+// WorkspaceByToken returns the workspace that a caller's token belongs to.
 func (x *Index) WorkspaceByToken(token string) (*Workspace, bool) {
-	i, ok := lookup(x.workspaces, token)
+	i, ok := lookup(x.workspaceByDigest, token)
 	if !ok {
 		return nil, false
 	}
 	return &x.cfg.Workspaces[i], true
 }
 
-// OperatorByToken returns the operator that a token names.
+// OperatorByToken returns the operator that a token belongs to.
 func (x *Index) OperatorByToken(token string) (*Operator, bool) {
-	i, ok := lookup(x.operators, token)
+	i, ok := lookup(x.operatorByDigest, token)
 	if !ok {
 		return nil, false
 	}
@@ -118,8 +118,8 @@
 }
 
 // lookup finds a token by its digest. The time of a map lookup depends on the
-// digest only, which nobody can steer towards a known one without inverting
-// SHA-256, so that the time tells nothing about how near a guess is; the last
+// digest only, which nobody can choose close to a known one without inverting
+// SHA-256, so the time reveals nothing about how near a guess is. The final
 // comparison is in constant time and is also made when nothing was found, so
 // that a known and an unknown token take the same steps.
 func lookup(m map[Digest]int, token string) (int, bool) {
@@ -135,20 +135,22 @@
 
 // Workspace returns a workspace by its name.
 func (x *Index) Workspace(name string) (*Workspace, bool) {
-	return at(x.spaces, x.cfg.Workspaces, name)
+	return at(x.workspaceByName, x.cfg.Workspaces, name)
 }
 
 // Target returns a target by its name.
-func (x *Index) Target(name string) (*Target, bool) { return at(x.byName, x.cfg.Targets, name) }
+func (x *Index) Target(name string) (*Target, bool) { return at(x.targetByName, x.cfg.Targets, name) }
 
 // Model returns a model by its name.
-func (x *Index) Model(name string) (*Model, bool) { return at(x.models, x.cfg.Models, name) }
+func (x *Index) Model(name string) (*Model, bool) { return at(x.modelByName, x.cfg.Models, name) }
 
 // Service returns a plain service by its name.
-func (x *Index) Service(name string) (*Service, bool) { return at(x.services, x.cfg.Services, name) }
+func (x *Index) Service(name string) (*Service, bool) {
+	return at(x.serviceByName, x.cfg.Services, name)
+}
 
 // Group returns a group by its name.
-func (x *Index) Group(name string) (*Group, bool) { return at(x.groups, x.cfg.Groups, name) }
+func (x *Index) Group(name string) (*Group, bool) { return at(x.groupByName, x.cfg.Groups, name) }
 
 func at[T any](m map[string]int, list []T, name string) (*T, bool) {
 	i, ok := m[name]
@@ -168,16 +170,16 @@
 func (x *Index) TargetsOfGroup(group string) []*Target { return x.ofGroup[group] }
 
 // MayNotRepeat reports whether a call of a plain service runs at most once.
-// The route with the longest matching prefix decides; of two, the one that
-// names the method. Where no route matches, a call may be repeated only if its
+// The route with the longest matching prefix decides; of two with equal
+// prefixes, the one that names the method. Where no route matches, a call may be repeated only if its
 // method is idempotent by RFC 9110, section 9.2.2.
 func (x *Index) MayNotRepeat(service, method, urlPath string) bool {
 	s, ok := x.Service(service)
 	if !ok {
 		return true
 	}
-	// A caller could otherwise slip past a mark on /bookings by asking for
-	// /x/../bookings or //bookings, which many services take for the same.
+	// Without cleaning, a caller could bypass a route for /bookings by requesting
+	// /x/../bookings or //bookings, which many services treat as the same path.
 	if !strings.HasPrefix(urlPath, "/") {
 		urlPath = "/" + urlPath
 	}
--- a/core/configuration/intent/record.go
+++ b/core/configuration/intent/record.go
@@ -13,7 +13,7 @@
 
 // Record is what the store holds under the key of an intent.
 type Record struct {
-	// Declarations counts the plans made for the intent.
+	// Declarations is the number of plans made for the intent.
 	Declarations uint64 `json:"declarations"`
 	Plan         Plan   `json:"plan"`
 	// Previous holds earlier plans without their edits, newest last.
@@ -23,7 +23,7 @@
 // next returns the record with one more plan.
 func (rec Record) next(plan Plan, head config.Config) Record {
 	if rec.Declarations > 0 {
-		old := rec.Plan.settled(head)
+		old := rec.Plan.resolved(head)
 		if old.State == StatePlanned || old.State == StateDeclared {
 			old.State, old.Reason = StateSuperseded, "declared anew"
 		}
@@ -32,10 +32,11 @@
 	}
 	rec.Declarations++
 	plan.ID = planID(plan.Intent.Name, rec.Declarations)
-	// A store restored from a copy has forgotten some declarations, but a head
-	// put back from the nodes has not. A plan with the identifier of an earlier
-	// one would be reported as confirmed though nothing changed.
-	for used(plan.ID, head) {
+	// A store restored from a backup lacks some declarations, but a head that was
+	// restored from the nodes includes their confirmations. A plan with the
+	// identifier of an earlier one would be reported as confirmed although nothing
+	// changed.
+	for idUsed(plan.ID, head) {
 		rec.Declarations++
 		plan.ID = planID(plan.Intent.Name, rec.Declarations)
 	}
@@ -43,7 +44,7 @@
 	return rec
 }
 
-func used(id string, head config.Config) bool {
+func idUsed(id string, head config.Config) bool {
 	_, ok := head.AppliedPrefix(id + "/")
 	return ok
 }
@@ -89,13 +90,13 @@
 
 // update changes the record of an intent by compare-and-swap. edit reports
 // whether there is anything to write; it is called again after a conflict or a
-// lost answer, and must recognise what an earlier try wrote.
+// lost answer, and must detect the write of an earlier attempt.
 func (p *Planner) update(ctx context.Context, name string, edit func(Record) (Record, bool)) (Record, error) {
 	var lost *store.UnknownError
 	for range maxAttempts {
 		rec, version, err := p.read(ctx, name)
 		if err != nil {
-			return Record{}, preferLost(lost, err)
+			return Record{}, preferUnknown(lost, err)
 		}
 		next, changed := edit(rec)
 		if !changed {
@@ -113,8 +114,8 @@
 		case errors.As(err, &lost), errors.As(err, &conflict):
 			continue
 		default:
-			return Record{}, preferLost(lost, errors.Wrap(err, "write intent"))
+			return Record{}, preferUnknown(lost, errors.Wrap(err, "write intent"))
 		}
 	}
-	return Record{}, preferLost(lost, &BusyError{Attempts: maxAttempts})
+	return Record{}, preferUnknown(lost, &BusyError{Attempts: maxAttempts})
 }
--- a/core/configuration/mirror/listen_test.go
+++ b/core/configuration/mirror/listen_test.go
@@ -11,8 +11,8 @@
 	"verbenashift/core/configuration/kv"
 )
 
-// Guards against old words that are taken for new ones, and against a reading of the store for
-// those who want to hear of changes alone.
+// Guards against passing old items to a listener of changes, and against reading the store for
+// listeners of changes alone.
 func TestListenChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -33,10 +33,10 @@
 			},
 		}
 		f := NewFollower(s, testFormats(), quiet())
-		var heard []string
+		var received []string
 		f.ListenChanges("news/", func(items []kv.Item) {
 			for _, it := range items {
-				heard = append(heard, it.Key)
+				received = append(received, it.Key)
 			}
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -44,12 +44,12 @@
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		is.Equal(heard, []string{"news/a"})
+		is.Equal(received, []string{"news/a"})
 		is.True(!read["news/"])
 	})
 }
 
-// Guards against a process that waits for a store which does not answer without being told.
+// Guards against a process that is not notified when the store stops answering.
 func TestLostStoreIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
