--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -16,7 +16,7 @@
 
 // passPoll is how often a request that was refused looks whether it may go
 // again.
-const passPoll = 40 * time.Millisecond
+const retryPoll = 40 * time.Millisecond
 
 // admitter lets requests through to the engines of one service: it carries what a
 // admission.Pool decides to the requests that wait. It is safe for concurrent use.
@@ -61,53 +61,53 @@
 }
 
 // tell takes the load of a group as its steward tells it.
-func (a *admitter) tell(l admission.Load) {
+func (a *admitter) reportLoad(l admission.Load) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.ReportLoad(l, now) })
 }
 
 // silent tells that nothing comes from a group.
-func (a *admitter) silent(group string, until time.Time) {
+func (a *admitter) markStalled(group string, until time.Time) {
 	a.locked(func(p *admission.Pool, _ time.Time) { p.MarkStalled(group, until) })
 }
 
 // place is where a request runs. Its zero value is nowhere.
-type place struct {
+type slot struct {
 	id, group string
 }
 
 // enter waits for a place. A refusal says that the request has not run.
-func (a *admitter) enter(ctx context.Context, c *call) (place, *outcome.Error) {
-	id, ready, refusal := a.join(c)
+func (a *admitter) acquire(ctx context.Context, c *call) (slot, *outcome.Error) {
+	id, ready, refusal := a.enqueue(c)
 	if refusal != nil {
-		a.later(c, refusal)
-		return place{}, refusal
+		a.setRetryAfter(c, refusal)
+		return slot{}, refusal
 	}
 	select {
 	case s := <-ready:
-		return a.settled(c, s)
+		return a.resolve(c, s)
 	case <-ctx.Done():
 		return a.withdraw(id, ready)
 	}
 }
 
 // settled returns the place that a request has got, or its refusal.
-func (a *admitter) settled(c *call, s admission.Decision) (place, *outcome.Error) {
+func (a *admitter) resolve(c *call, s admission.Decision) (slot, *outcome.Error) {
 	if s.Refusal != nil {
-		a.later(c, s.Refusal)
-		return place{}, s.Refusal
+		a.setRetryAfter(c, s.Refusal)
+		return slot{}, s.Refusal
 	}
-	return place{id: s.ID, group: s.Group}, nil
+	return slot{id: s.ID, group: s.Group}, nil
 }
 
 // join puts a request into the queue and returns its key and where its turn will
 // be told, or refuses it at once.
-func (a *admitter) join(c *call) (id string, ready <-chan admission.Decision, refusal *outcome.Error) {
+func (a *admitter) enqueue(c *call) (id string, ready <-chan admission.Decision, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		a.next++
 		id = strconv.FormatUint(a.next, 36)
 		turn := make(chan admission.Decision, 1)
 		a.waiting[id], ready = turn, turn
-		if refusal = p.Enqueue(c.asked(id), now); refusal != nil {
+		if refusal = p.Enqueue(c.admissionRequest(id), now); refusal != nil {
 			delete(a.waiting, id)
 		}
 	})
@@ -115,15 +115,15 @@
 }
 
 // asked returns the call as a pool sees it.
-func (c *call) asked(id string) admission.Request {
+func (c *call) admissionRequest(id string) admission.Request {
 	return admission.Request{
 		ID: id, Workspace: c.workspaceName(), Cost: int64(c.cost()), Objective: c.route.Objective,
-		Patience: c.silence(), Retry: c.returning,
+		Patience: c.firstEventPatience(), Retry: c.returning,
 	}
 }
 
 // silence is how long the caller waits for the first part of its answer.
-func (c *call) silence() time.Duration {
+func (c *call) firstEventPatience() time.Duration {
 	left := c.deadline.Sub(c.arrived)
 	if c.route.Silence > 0 {
 		return min(c.route.Silence, left)
@@ -132,7 +132,7 @@
 }
 
 // withdraw takes back a request whose caller has left or whose time is over.
-func (a *admitter) withdraw(id string, ready <-chan admission.Decision) (place, *outcome.Error) {
+func (a *admitter) withdraw(id string, ready <-chan admission.Decision) (slot, *outcome.Error) {
 	waits := false
 	a.locked(func(p *admission.Pool, _ time.Time) {
 		if waits = p.Withdraw(id); waits {
@@ -140,17 +140,17 @@
 		}
 	})
 	if waits {
-		return place{}, &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonExpired}
+		return slot{}, &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonExpired}
 	}
 	s := <-ready
 	if s.Refusal != nil {
-		return place{}, s.Refusal
+		return slot{}, s.Refusal
 	}
-	return place{id: s.ID, group: s.Group}, nil
+	return slot{id: s.ID, group: s.Group}, nil
 }
 
 // later sets in a refusal when the caller may come back, if the service is down.
-func (a *admitter) later(c *call, refusal *outcome.Error) {
+func (a *admitter) setRetryAfter(c *call, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if wait, down := p.RetryAfter(c.deadline.Sub(now), now); down {
 			refusal.RetryAfter = wait
@@ -159,7 +159,7 @@
 }
 
 // refused tells that a target has refused the request at a place.
-func (a *admitter) refused(at place, target string) {
+func (a *admitter) refused(at slot, target string) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if p.Refused(at.id, target, now) {
 			a.log.Warn("all targets of the group refuse", "service", a.service, "group", at.group, "waiting", p.Load().Items)
@@ -168,7 +168,7 @@
 }
 
 // accepted tells that a target has taken the request at a place.
-func (a *admitter) accepted(at place) {
+func (a *admitter) accepted(at slot) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if p.Accepted(at.id, now) {
 			a.log.Info("targets of the group take requests again", "service", a.service, "group", at.group, "waiting", p.Load().Items)
@@ -178,7 +178,7 @@
 
 // move returns the place for another attempt of a request: its group may stand or be
 // lost while others work.
-func (a *admitter) move(at place, requestID string) place {
+func (a *admitter) move(at slot, requestID string) slot {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		group, moved := p.Move(at.id, now)
 		if moved {
@@ -194,11 +194,11 @@
 // service is down for long, or the time is over that a request waits for its place.
 // Without that bound a caller is held to its deadline. A caller that has a part of its
 // answer waits on, since nothing can be refused any more.
-func (a *admitter) pass(ctx context.Context, c *call) (waited, ok bool) {
-	until := c.arrived.Add(a.longestAgain(c))
+func (a *admitter) awaitRetry(ctx context.Context, c *call) (waited, ok bool) {
+	until := c.arrived.Add(a.maxRetryWait(c))
 	for ctx.Err() == nil {
-		c.place = a.move(c.place, c.req.ID)
-		may, lasting := a.mayPass(c.place, c.retriesLeft(c.service) >= 1)
+		c.slot = a.move(c.slot, c.req.ID)
+		may, lasting := a.mayRetry(c.slot, c.retriesLeft(c.service) >= 1)
 		switch {
 		case may:
 			return waited, true
@@ -206,20 +206,20 @@
 			return waited, false
 		}
 		waited = true
-		pause.For(ctx, passPoll)
+		pause.For(ctx, retryPoll)
 	}
 	return waited, true
 }
 
 // longestAgain returns how long after its arrival a request may be sent once more.
-func (a *admitter) longestAgain(c *call) (longest time.Duration) {
-	a.locked(func(p *admission.Pool, now time.Time) { longest = p.MaxRetryWait(c.asked(c.place.id), now) })
+func (a *admitter) maxRetryWait(c *call) (longest time.Duration) {
+	a.locked(func(p *admission.Pool, now time.Time) { longest = p.MaxRetryWait(c.admissionRequest(c.slot.id), now) })
 	return longest
 }
 
 // mayPass reports whether the request at a place may be tried again now, if there is a
 // retry for it, and whether the service has been down for long.
-func (a *admitter) mayPass(at place, retry bool) (may, lasting bool) {
+func (a *admitter) mayRetry(at slot, retry bool) (may, lasting bool) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		may = retry && p.MayRetry(at.id, now)
 		lasting = p.FailFast(now)
@@ -228,12 +228,12 @@
 }
 
 // began tells how long after its start the request at a place got its first event.
-func (a *admitter) began(at place, after time.Duration) {
+func (a *admitter) observeFirstEvent(at slot, after time.Duration) {
 	a.locked(func(p *admission.Pool, _ time.Time) { p.ObserveFirstEvent(at.id, after) })
 }
 
 // leave gives the place of a request back.
-func (a *admitter) leave(at place, cost float64) {
+func (a *admitter) release(at slot, cost float64) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.Done(at.id, int64(cost), now) })
 }
 
@@ -256,7 +256,7 @@
 		key := a.service + "/" + g.Group
 		set(metricRunning, key, g.Running)
 		set(metricLimit, key, g.Limit)
-		set(metricWorks, key, one(g.Available))
+		set(metricWorks, key, boolToInt(g.Available))
 	}
 	if l.Items > 0 {
 		a.log.Info("queue", "service", a.service, "waiting", l.Items, "running", l.Running, "limit", l.Slots,
@@ -271,7 +271,7 @@
 }
 
 // one is 1 for true.
-func one(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -26,10 +26,10 @@
 
 // refusedAdmitter is one of a service whose targets have all just refused, and the place
 // of the request that they have refused.
-func refusedAdmitter(t *testing.T) (*admitter, place) {
+func refusedAdmitter(t *testing.T) (*admitter, slot) {
 	t.Helper()
 	a := testAdmitter(192)
-	probe, refusal := a.enter(t.Context(), caller(false))
+	probe, refusal := a.acquire(t.Context(), caller(false))
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -64,7 +64,7 @@
 	for i, c := range callers {
 		out[i] = make(chan *outcome.Error, 1)
 		go func() {
-			_, refusal := a.enter(ctx, c)
+			_, refusal := a.acquire(ctx, c)
 			out[i] <- refusal
 		}()
 		synctest.Wait()
@@ -94,7 +94,7 @@
 		is := is.New(t)
 		a, probe := refusedAdmitter(t)
 		// There is no place for a probe.
-		a.tell(admission.Load{Complete: true, Running: 10000})
+		a.reportLoad(admission.Load{Complete: true, Running: 10000})
 		c := caller(false)
 		waiting := enter(t.Context(), a, c)
 		began := time.Now()
@@ -106,15 +106,15 @@
 			// refused.
 			time.Sleep(10 * time.Millisecond)
 			a.refused(probe, "x")
-			a.tell(admission.Load{Complete: true, Running: 10000})
+			a.reportLoad(admission.Load{Complete: true, Running: 10000})
 			synctest.Wait()
 		}
 		is.Equal(len(waiting[0]), 1)
 		refusal := <-waiting[0]
 		is.Equal(refusal.Outcome, outcome.NotRun)
 		took := time.Since(began)
-		longest := queue.Wait{Patience: c.silence(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
-		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.silence())
+		longest := queue.Wait{Patience: c.firstEventPatience(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
+		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.firstEventPatience())
 		is.True(refusal.RetryAfter > 1500*time.Millisecond && refusal.RetryAfter < 8*time.Second/3)
 	})
 }
@@ -125,23 +125,23 @@
 		is := is.New(t)
 		a, _ := refusedAdmitter(t)
 		time.Sleep(8 * time.Second)
-		at, refusal := a.enter(t.Context(), caller(false)) // the probe
+		at, refusal := a.acquire(t.Context(), caller(false)) // the probe
 		is.Equal(refusal, nil)
 		a.refused(at, "x")
-		a.leave(at, 0)
+		a.release(at, 0)
 		for _, returning := range []bool{false, true} {
 			began := time.Now()
-			_, refusal = a.enter(t.Context(), caller(returning))
+			_, refusal = a.acquire(t.Context(), caller(returning))
 			is.Equal(time.Since(began), time.Duration(0))
 			is.True(refusal != nil)
 			is.Equal(refusal.Outcome, outcome.NotRun)
 			is.True(refusal.RetryAfter > 1500*time.Millisecond)
 		}
 		time.Sleep(200 * time.Millisecond)
-		at, refusal = a.enter(t.Context(), caller(false)) // the next probe
+		at, refusal = a.acquire(t.Context(), caller(false)) // the next probe
 		is.Equal(refusal, nil)
 		a.accepted(at)
-		_, refusal = a.enter(t.Context(), caller(false))
+		_, refusal = a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
 	})
 }
@@ -160,21 +160,21 @@
 				case <-others:
 					return
 				case <-time.After(time.Millisecond):
-					a.mayPass(probe, true)
+					a.mayRetry(probe, true)
 				}
 			}
 		}()
 		c := caller(false)
-		c.place = probe
+		c.slot = probe
 		time.Sleep(time.Millisecond)
-		_, ok := a.pass(t.Context(), c)
+		_, ok := a.awaitRetry(t.Context(), c)
 		is.True(!ok)
-		is.True(time.Since(c.arrived) < c.silence())
+		is.True(time.Since(c.arrived) < c.firstEventPatience())
 		begun := caller(false)
-		begun.begun, begun.place = true, probe
+		begun.begun, begun.slot = true, probe
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, ok = a.pass(ctx, begun)
+		_, ok = a.awaitRetry(ctx, begun)
 		is.True(ok)
 		is.True(ctx.Err() != nil)
 	})
@@ -189,12 +189,12 @@
 		c.service = "pool"
 		c.budgets = retry.NewBudgets(retry.Limits{Ratio: 0.1, KeyBurst: 1, Window: 10 * time.Second})
 		is.True(c.budgets.For(budgetOf(c.service)).Take(time.Now()))
-		at, refusal := a.enter(t.Context(), c)
+		at, refusal := a.acquire(t.Context(), c)
 		is.Equal(refusal, nil)
-		c.place = at
+		c.slot = at
 		passed := make(chan bool)
 		go func() {
-			waited, ok := a.pass(t.Context(), c)
+			waited, ok := a.awaitRetry(t.Context(), c)
 			passed <- waited && ok
 		}()
 		time.Sleep(500 * time.Millisecond)
@@ -214,10 +214,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, refusal := a.enter(t.Context(), caller(false))
+		at, refusal := a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
 		waiting := enter(t.Context(), a, caller(false), caller(true))
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(len(waiting[1]), 1)
 		is.Equal(len(waiting[0]), 0)
@@ -234,14 +234,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, _ := a.enter(t.Context(), caller(false))
+		at, _ := a.acquire(t.Context(), caller(false))
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := enter(ctx, a, caller(false))
 		next := enter(t.Context(), a, caller(false))
 		cancel()
 		synctest.Wait()
 		is.True(<-gone[0] != nil)
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(<-next[0], nil)
 	})
@@ -254,10 +254,10 @@
 		is := is.New(t)
 		a := testAdmitter(192)
 		for range 60 {
-			_, refusal := a.enter(t.Context(), caller(false))
+			_, refusal := a.acquire(t.Context(), caller(false))
 			is.Equal(refusal, nil)
 		}
-		a.tell(admission.Load{Complete: true, Running: 192, Queued: 48})
+		a.reportLoad(admission.Load{Complete: true, Running: 192, Queued: 48})
 		is.Equal(limit(a), 48)
 		time.Sleep(3 * time.Second)
 		a.tick()
@@ -270,14 +270,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, _ := a.enter(t.Context(), caller(false))
+		at, _ := a.acquire(t.Context(), caller(false))
 		waiting := enter(t.Context(), a, caller(false))
 		time.Sleep(700 * time.Millisecond)
 		waiting = append(waiting, enter(t.Context(), a, caller(false))...)
 		time.Sleep(600 * time.Millisecond)
 		a.tick()
 		a.resize(map[string]int{"": 3})
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		for _, w := range waiting {
 			is.Equal(<-w, nil)
@@ -290,7 +290,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, _ := a.enter(t.Context(), caller(false))
+		at, _ := a.acquire(t.Context(), caller(false))
 		first := enter(t.Context(), a, caller(true))
 		time.Sleep(1100 * time.Millisecond)
 		waiting := enter(t.Context(), a, caller(false))
@@ -307,10 +307,10 @@
 		is.True(refusal != nil)
 		is.Equal(refusal.Outcome, outcome.NotRun)
 		a.resize(map[string]int{"": 2})
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(<-first[0], nil)
-		_, refusal = a.enter(t.Context(), caller(false))
+		_, refusal = a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
 	})
 }
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -19,18 +19,18 @@
 func (c *call) answered(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
 	now := time.Now()
 	a := platform.ParseAnswer(reply.Status, reply.Header)
-	c.fleet.heard(s, a, now)
+	c.fleet.observeAnswer(s, a, now)
 	if c.pending != nil {
 		c.fleet.answered(c.pending, !a.NotRun, reply.Status >= http.StatusInternalServerError, now)
 	}
 	if c.admitter != nil && !a.NotRun {
-		c.admitter.accepted(c.place)
+		c.admitter.accepted(c.slot)
 	}
 	switch {
 	case a.NotRun:
 		c.ran--
 		if c.admitter != nil && !a.Misdirected {
-			c.admitter.refused(c.place, s.target.ID)
+			c.admitter.refused(c.slot, s.target.ID)
 		}
 		return retry.Refused, "refused by " + s.target.ID, false
 	case !a.Sealed || a.Encoded || a.ID != c.req.ID:
@@ -39,11 +39,11 @@
 	case reply.Status < 300 && c.route.Kind == deployment.Stream:
 		return c.relay(ctx, s, reply)
 	}
-	return c.whole(ctx, s, reply)
+	return c.relayComplete(ctx, s, reply)
 }
 
 // whole passes on an answer that was read to its end.
-func (c *call) whole(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
+func (c *call) relayComplete(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
 	body, err := io.ReadAll(io.LimitReader(reply, maxAnswer+1))
 	if err != nil {
 		return c.attemptFailed(ctx, s, err)
@@ -60,16 +60,16 @@
 	if c.begun {
 		return retry.Broken, "stream not resumed", false
 	}
-	c.pass(ans)
+	c.writeAnswer(ans)
 	return 0, "", true
 }
 
 // pass sends the caller a whole answer of a server.
-func (c *call) pass(a *answer) {
+func (c *call) writeAnswer(a *answer) {
 	platform.CopyAnswerHeaders(c.w.Header(), a.header)
 	c.w.WriteHeader(a.status)
 	if _, err := c.w.Write(a.body); err != nil {
-		c.notWritten(err)
+		c.logWriteError(err)
 		return
 	}
 	c.completed(a.status)
@@ -88,48 +88,48 @@
 	if late := c.lateBy(now); late != "" {
 		line = []any{"status", status, "on-time", false, "late-by", late}
 	}
-	c.ended(line...)
+	c.logOutcome(line...)
 }
 
 // giveUp ends a request that no server has answered.
-func (c *call) giveUp(e *outcome.Error, reason string) {
+func (c *call) fail(e *outcome.Error, reason string) {
 	if c.begun {
 		// The caller has a part of the stream: only a broken connection tells
 		// it that the rest is missing.
 		metricBrokenOff.Add(1)
-		c.ended("outcome", "broken-off", "reason", reason, "why", e.Reason, "last-event", c.lastEvent)
+		c.logOutcome("outcome", "broken-off", "reason", reason, "why", e.Reason, "last-event", c.lastEvent)
 		panic(http.ErrAbortHandler)
 	}
 	if c.failure != nil {
-		c.pass(c.failure)
+		c.writeAnswer(c.failure)
 		return
 	}
-	if c.comeback > 0 {
-		e.RetryAfter = c.comeback
+	if c.retryAfter > 0 {
+		e.RetryAfter = c.retryAfter
 	}
 	switch {
 	case e.Outcome == outcome.NotRun:
 		c.refuse(reason, e.RetryAfter)
 	case !time.Now().Before(c.deadline):
-		c.end(platform.StatusTimeout, reason, 0)
+		c.respond(platform.StatusTimeout, reason, 0)
 	default:
-		c.end(platform.StatusUnknown, reason, 0)
+		c.respond(platform.StatusUnknown, reason, 0)
 	}
 }
 
 // refuse says that the request has not run and never will.
-func (c *call) refuse(reason string, comeback time.Duration) {
-	c.end(platform.StatusNotRun, reason, comeback)
+func (c *call) refuse(reason string, retryAfter time.Duration) {
+	c.respond(platform.StatusNotRun, reason, retryAfter)
 }
 
 // end sends an answer of the gateway's own.
-func (c *call) end(status int, reason string, comeback time.Duration) {
+func (c *call) respond(status int, reason string, retryAfter time.Duration) {
 	metricRequests.Add(strconv.Itoa(status), 1)
 	metricRefusals.Add(reasonClass(reason), 1)
-	platform.SetOwnAnswer(c.w.Header(), c.req.ID, comeback)
+	platform.SetOwnAnswer(c.w.Header(), c.req.ID, retryAfter)
 	c.w.Header().Set("Content-Length", "0")
 	c.w.WriteHeader(status)
-	c.ended("status", status, "reason", reason, "retry-after-ms", comeback.Milliseconds())
+	c.logOutcome("status", status, "reason", reason, "retry-after-ms", retryAfter.Milliseconds())
 }
 
 // reasonClass cuts off of a reason what differs from request to request, such as
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -24,8 +24,8 @@
 	if ctx.Err() != nil {
 		return retry.RefusedAll, "deadline", c.callerLeft()
 	}
-	s, ok := c.pickInTime(ctx)
-	if !ok && c.comeback > 0 {
+	s, ok := c.pickOrWait(ctx)
+	if !ok && c.retryAfter > 0 {
 		return retry.RefusedAll, permit.ReasonThrottled, false
 	}
 	if !ok {
@@ -46,20 +46,20 @@
 const reasonNoTarget = "no target"
 
 // heldPoll is how often a request that waits for a target looks for one.
-const heldPoll = 20 * time.Millisecond
+const throttledPoll = 20 * time.Millisecond
 
 // pickInTime chooses a target. If those that could take the request have asked that nothing
 // be sent to them yet, it waits for its turn, as far as that is near.
-func (c *call) pickInTime(ctx context.Context) (sent, bool) {
+func (c *call) pickOrWait(ctx context.Context) (sent, bool) {
 	s, ok := c.pick()
-	if ok || !c.turnIsNear(0) {
+	if ok || !c.shouldWait(0) {
 		return s, ok
 	}
 	metricThrottledWaits.Add(1)
-	c.fleet.wait(c.service, 1)
-	defer c.fleet.wait(c.service, -1)
-	for pause.For(ctx, heldPoll) {
-		if s, ok = c.pick(); ok || !c.turnIsNear(1) {
+	c.fleet.countWaiting(c.service, 1)
+	defer c.fleet.countWaiting(c.service, -1)
+	for pause.For(ctx, throttledPoll) {
+		if s, ok = c.pick(); ok || !c.shouldWait(1) {
 			break
 		}
 	}
@@ -69,9 +69,9 @@
 // turnIsNear reports whether a request that no target takes yet should wait for one. Otherwise
 // its caller is told when its turn would be. Own is 1 if the request is one of those that
 // wait already.
-func (c *call) turnIsNear(own int) bool {
+func (c *call) shouldWait(own int) bool {
 	now := time.Now()
-	o, held := c.fleet.opening(c.query(), now)
+	o, held := c.fleet.availability(c.query(), now)
 	if !held {
 		return false
 	}
@@ -80,13 +80,13 @@
 	if !turn.After(permit.WaitDeadline(c.arrived, c.deadline)) {
 		return true
 	}
-	c.comeback = turn.Sub(now)
+	c.retryAfter = turn.Sub(now)
 	return false
 }
 
 // query asks for a target in the group where the request has its place.
 func (c *call) query() *route.Query {
-	return &route.Query{Service: c.service, Group: c.place.group, Cost: c.cost(), MayNotRepeat: c.attempts.MayNotRepeat, Exclude: c.exclude}
+	return &route.Query{Service: c.service, Group: c.slot.group, Cost: c.cost(), MayNotRepeat: c.attempts.MayNotRepeat, Exclude: c.exclude}
 }
 
 // pick chooses a target in the group where the request has its place, or elsewhere if
@@ -105,12 +105,12 @@
 func (c *call) send(ctx context.Context, s sent) (kind retry.Kind, reason string, done bool) {
 	watched := ctx
 	if c.route.Kind == deployment.Stream && c.route.Repeatable() {
-		watched, c.flight = c.fleet.depart(ctx, s, c.req.ID, c.service, c.ran < c.route.Attempts)
-		defer c.fleet.land(c.flight)
+		watched, c.stream = c.fleet.trackStream(ctx, s, c.req.ID, c.service, c.ran < c.route.Attempts)
+		defer c.fleet.untrackStream(c.stream)
 	}
 	if c.route.Kind != deployment.Stream {
-		watched, c.pending = c.fleet.expect(ctx, s, c)
-		defer c.fleet.settle(c.pending)
+		watched, c.pending = c.fleet.trackPending(ctx, s, c)
+		defer c.fleet.untrackPending(c.pending)
 	}
 	reply, err := s.target.pool.Do(watched, c.upstream(s))
 	if err != nil {
@@ -144,7 +144,7 @@
 	case nil, errStalled:
 		c.fleet.failed(s, severityOf(err), time.Now())
 		if c.pending != nil {
-			c.fleet.broke(c.pending, err, time.Now())
+			c.fleet.pendingBroke(c.pending, err, time.Now())
 		}
 	case errSlow, errSilentGroup, errUnanswered:
 		err = cause
@@ -170,8 +170,8 @@
 	c.budgets.Request(c.key(), time.Now())
 	c.mu.Unlock()
 	for {
-		if refusal := c.heldBack(ctx); refusal != nil {
-			c.giveUp(refusal, quarantine.ReasonQuarantined)
+		if refusal := c.checkQuarantine(ctx); refusal != nil {
+			c.fail(refusal, quarantine.ReasonQuarantined)
 			return
 		}
 		kind, reason, done := c.attempt(ctx)
@@ -181,16 +181,16 @@
 		if c.callerLeft() {
 			return
 		}
-		if kind == retry.Refused && !c.again(ctx) {
+		if kind == retry.Refused && !c.awaitRetry(ctx) {
 			refusal := c.decide(retry.RefusedAll).Err
-			c.admitter.later(c, refusal)
-			c.giveUp(refusal, queue.ReasonAllTargetsRefuse)
+			c.admitter.setRetryAfter(c, refusal)
+			c.fail(refusal, queue.ReasonAllTargetsRefuse)
 			return
 		}
 		d := c.decide(kind)
 		if !d.Retry {
 			metricNoRetry.Add(d.Err.Reason, 1)
-			c.giveUp(d.Err, reason)
+			c.fail(d.Err, reason)
 			return
 		}
 		metricRetries.Add(1)
@@ -200,18 +200,18 @@
 		c.logRetry(reason)
 		pause.For(ctx, time.Until(d.At))
 		if c.admitter != nil {
-			c.place = c.admitter.move(c.place, c.req.ID)
+			c.slot = c.admitter.move(c.slot, c.req.ID)
 		}
 	}
 }
 
 // again waits until a request that a target has refused may be sent once more. It
 // reports false if it had better be refused.
-func (c *call) again(ctx context.Context) bool {
+func (c *call) awaitRetry(ctx context.Context) bool {
 	if c.admitter == nil {
 		return true
 	}
-	waited, ok := c.admitter.pass(ctx, c)
+	waited, ok := c.admitter.awaitRetry(ctx, c)
 	if waited && ok {
 		// All targets of its group have refused: that says nothing of the ones that it
 		// was sent to.
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -40,16 +40,16 @@
 		b.limits.restarted(id, born)
 		return
 	}
-	b.limits.gone(id)
+	b.limits.remove(id)
 }
 
 // applyBackpressure takes what a target asks for in an answer. It is called with the lock held.
 func (f *fleet) applyBackpressure(s sent, a platform.Answer, now time.Time) {
-	if a.Leaving && !s.target.leaving {
+	if a.Leaving && !s.target.announcedShutdown {
 		f.markLeaving(s, a.ID)
 	}
 	if a.Sealed || a.NotRun {
-		f.limited(s, a.ID, a.Limit, now)
+		f.applyLimit(s, a.ID, a.Limit, now)
 	}
 	switch {
 	case a.Pause > 0:
@@ -65,7 +65,7 @@
 // It is called with the lock held.
 func (f *fleet) markLeaving(s sent, requestID string) {
 	p := s.target
-	p.leaving = true
+	p.announcedShutdown = true
 	metricLeaving.Add(1)
 	f.log.Info("target announced its shutdown", "id", requestID, "target", p.ID, "service", p.Service, "draining-by-store", p.Draining)
 	if f.pools[p.ID] == p {
@@ -75,9 +75,9 @@
 
 // limited takes the limit that an answer names, or nil if it names none. It is called with
 // the lock held.
-func (f *fleet) limited(s sent, requestID string, limit *float64, now time.Time) {
+func (f *fleet) applyLimit(s sent, requestID string, limit *float64, now time.Time) {
 	p := s.target
-	if !f.backpressure.limits.named(permit.Response{Target: p.ID, Service: p.Service, StartedAt: p.Born, Limit: limit, Sent: s.started}, now) {
+	if !f.backpressure.limits.observe(permit.Response{Target: p.ID, Service: p.Service, StartedAt: p.Born, Limit: limit, Sent: s.started}, now) {
 		return
 	}
 	if limit == nil {
@@ -110,12 +110,12 @@
 	}
 	p.refusals.Refused(now)
 	f.backpressure.refusing[p.ID] = p
-	f.avoid(p, now)
+	f.updateAvoided(p, now)
 }
 
 // hold keeps requests for a service away from the targets that take none yet. It is called
 // with the lock held.
-func (f *fleet) hold(service string, now time.Time) {
+func (f *fleet) updateThrottled(service string, now time.Time) {
 	unready := f.backpressure.limits.unready(service, now)
 	if len(unready) == 0 && len(f.backpressure.held) == 0 {
 		return
@@ -155,14 +155,14 @@
 	for id, p := range f.backpressure.refusing {
 		if !p.refusals.Avoided(now) {
 			delete(f.backpressure.refusing, id)
-			f.avoid(p, now)
+			f.updateAvoided(p, now)
 		}
 	}
 }
 
 // opening returns what is known of the targets of a query that take no request yet, and false
 // if there are none.
-func (f *fleet) opening(q *route.Query, now time.Time) (permit.Availability, bool) {
+func (f *fleet) availability(q *route.Query, now time.Time) (permit.Availability, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	o := permit.Availability{Waiting: f.backpressure.waiting[q.Service]}
@@ -173,13 +173,13 @@
 			continue
 		}
 		some = true
-		f.backpressure.limits.open(&o, id, f.backpressure.paused[id], now)
+		f.backpressure.limits.addTo(&o, id, f.backpressure.paused[id], now)
 	}
 	return o, some
 }
 
 // wait counts a request that begins or ends to wait for a target of a service.
-func (f *fleet) wait(service string, change int) {
+func (f *fleet) countWaiting(service string, change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.backpressure.waiting[service] += change
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -22,9 +22,9 @@
 	w http.ResponseWriter
 	r *http.Request
 	request
-	journey
-	told
-	history
+	progress
+	delivery
+	quarantineState
 }
 
 // request is what a call asks for. It does not change once the call was admitted.
@@ -44,32 +44,32 @@
 }
 
 // journey is where a call has been and where it is.
-type journey struct {
+type progress struct {
 	attempts retry.Attempts
 	// held is how long it waited for the gateway to start, queued for a place; last is its
 	// last attempt.
-	held   time.Duration
-	queued time.Duration
-	last   sent
+	startupWait time.Duration
+	queued      time.Duration
+	last        sent
 	// ran counts the servers that may have run it.
 	ran     int
 	exclude route.Exclude
 	// admitter is that of the service, if it has one; place is where the request runs.
 	admitter *admitter
-	place    place
+	slot     slot
 	// flight is the watch over a stream that may go on elsewhere.
-	flight *flight
+	stream *activeStream
 	// pending is the watch over a plain request.
 	pending *pending
 	// failure is the server's own failure, passed on if nothing better comes.
 	failure *answer
 	// comeback is when a target takes the request that no target takes yet; 0 if that is
 	// not known.
-	comeback time.Duration
+	retryAfter time.Duration
 }
 
 // told is what the caller has got so far.
-type told struct {
+type delivery struct {
 	// begun says that the head of the answer has gone out, served that a target's answer
 	// has gone out whole.
 	begun, served bool
@@ -86,8 +86,8 @@
 func newCall(g *gateway, w http.ResponseWriter, r *http.Request) *call {
 	return &call{
 		gateway: g, w: w, r: r,
-		request: request{req: platform.ParseRequest(r.Header), arrived: time.Now()},
-		told:    told{lastID: -1},
+		request:  request{req: platform.ParseRequest(r.Header), arrived: time.Now()},
+		delivery: delivery{lastID: -1},
 	}
 }
 
@@ -111,12 +111,12 @@
 	c.version = cat.config.Version
 	c.route = cat.route(c.r.Host, c.r.URL.Path)
 	if c.route == nil {
-		c.end(http.StatusNotFound, "no route", 0)
+		c.respond(http.StatusNotFound, "no route", 0)
 		return false
 	}
 	var ok bool
 	if c.space, ok = cat.workspace(c.route, c.req.Key); !ok {
-		c.end(http.StatusUnauthorized, "unknown key", 0)
+		c.respond(http.StatusUnauthorized, "unknown key", 0)
 		return false
 	}
 	patience := c.req.Patience
@@ -137,15 +137,15 @@
 	c.body, err = io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		c.end(http.StatusRequestEntityTooLarge, "body too large", 0)
+		c.respond(http.StatusRequestEntityTooLarge, "body too large", 0)
 		return false
 	}
 	if err != nil {
-		c.ended("outcome", "caller-left", "error", "body not read: "+err.Error())
+		c.logOutcome("outcome", "caller-left", "error", "body not read: "+err.Error())
 		panic(http.ErrAbortHandler)
 	}
 	c.service = c.drawService()
-	c.returning = c.gateway.comesBack(c.route, c.req.Patience)
+	c.returning = c.gateway.isReturning(c.route, c.req.Patience)
 	return true
 }
 
@@ -182,8 +182,8 @@
 }
 
 // notWritten records that the answer could not be written to the caller.
-func (c *call) notWritten(err error) {
-	c.ended("outcome", "caller-left", "error", err.Error())
+func (c *call) logWriteError(err error) {
+	c.logOutcome("outcome", "caller-left", "error", err.Error())
 }
 
 // callerLeft reports whether the caller has closed its connection.
@@ -191,6 +191,6 @@
 	if c.r.Context().Err() == nil {
 		return false
 	}
-	c.ended("outcome", "caller-left")
+	c.logOutcome("outcome", "caller-left")
 	return true
 }
--- a/gateway/digests.go
+++ b/gateway/digests.go
@@ -19,15 +19,15 @@
 const (
 	// digestEvery is how often a gateway asks a steward: about as often as the
 	// steward looks.
-	digestEvery = 200 * time.Millisecond
+	digestInterval = 200 * time.Millisecond
 	// digestWait bounds one ask inside a region.
-	digestWait = 150 * time.Millisecond
+	digestTimeout = 150 * time.Millisecond
 	// digestPause is the mean pause after a failure: a steward that is gone is
 	// replaced in about a second.
-	digestPause = 500 * time.Millisecond
+	digestRetryDelay = 500 * time.Millisecond
 	// lifeValid is how long after the last digest of a group those of an earlier epoch
 	// or term are refused. A steward that was paused ends within a second of waking.
-	lifeValid = 5 * time.Second
+	digestVersionValid = 5 * time.Second
 )
 
 // digests learns how the ranks of all expert groups are loaded: from their stewards, or
@@ -43,22 +43,22 @@
 
 	mu sync.Mutex
 	// stewards are where those of the groups listen.
-	stewards map[string]string
+	coordinators map[string]string
 	// gaps are the longest pauses that callers of the groups are to see.
 	gaps map[string]time.Duration
 	// last are the epoch and the term of the newest digest of each group.
-	last map[string]life
+	last map[string]digestVersion
 }
 
 // life orders the digests of one group. It is of a time at, after which it counts for a
 // while: a group may be built anew under its name, with epochs that begin again.
-type life struct {
+type digestVersion struct {
 	epoch, term int64
 	at          time.Time
 }
 
 func newDigests(instance string, log *slog.Logger, use func(*rankpeer.Digest, time.Time)) *digests {
-	return &digests{instance: instance, event: func() int64 { return 0 }, hint: func(int64, bool) {}, gaps: map[string]time.Duration{}, log: log, use: use, stewards: map[string]string{}, last: map[string]life{}}
+	return &digests{instance: instance, event: func() int64 { return 0 }, hint: func(int64, bool) {}, gaps: map[string]time.Duration{}, log: log, use: use, coordinators: map[string]string{}, last: map[string]digestVersion{}}
 }
 
 // update takes a new view: where the stewards are.
@@ -67,14 +67,14 @@
 	defer d.mu.Unlock()
 	d.gaps = gapsOf(v)
 	for group, claim := range v.Stewards {
-		before, known := d.stewards[group]
+		before, known := d.coordinators[group]
 		if before == claim.Addr {
 			continue
 		}
-		d.stewards[group] = claim.Addr
-		steers := new(expvar.String)
-		steers.Set(claim.Addr)
-		metricSteers.Set(group, steers)
+		d.coordinators[group] = claim.Addr
+		addr := new(expvar.String)
+		addr.Set(claim.Addr)
+		metricCoordinators.Set(group, addr)
 		if !known {
 			go d.follow(context.Background(), group)
 		}
@@ -102,10 +102,10 @@
 }
 
 // steward returns where the steward of a group listens.
-func (d *digests) steward(group string) string {
+func (d *digests) coordinator(group string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.stewards[group]
+	return d.coordinators[group]
 }
 
 // source is whom a gateway asks for the digests of one group.
@@ -120,7 +120,7 @@
 
 const (
 	// digestValid is how old the digest of a relay may be: several rounds of a steward.
-	digestValid = time.Second
+	maxDigestAge = time.Second
 	// relayTries is how many relays are asked before the steward is. While a steward is
 	// silent and the next one is not heard yet, all relays have an old digest; if all
 	// gateways went to the new steward then, its link would be full just when it looks
@@ -130,7 +130,7 @@
 
 // next chooses whom to ask next: a relay, any one, as long as it answers; then other
 // relays; the steward if there is none, or if they bring nothing.
-func (s *source) next(ok bool, steward string) {
+func (s *source) next(ok bool, coordinator string) {
 	s.failures++
 	if ok {
 		s.failures = 0
@@ -138,9 +138,9 @@
 	switch {
 	case s.failures >= relayTries:
 		s.relays = nil
-		s.dial(steward)
+		s.dial(coordinator)
 	case len(s.relays) == 0:
-		s.dial(steward)
+		s.dial(coordinator)
 	case !ok || !slices.Contains(s.relays, s.addr):
 		s.dial(s.relays[rand.IntN(len(s.relays))])
 	}
@@ -160,30 +160,30 @@
 // follow asks for the digests of one group until the context ends.
 func (d *digests) follow(ctx context.Context, group string) {
 	var from source
-	from.dial(d.steward(group))
+	from.dial(d.coordinator(group))
 	defer func() { from.client.Close() }()
 	var list rankpeer.Digest
-	heard := false
+	received := false
 	for ctx.Err() == nil {
-		tell, err := d.askDigest(ctx, from.client, group, list.List)
+		resp, err := d.fetchDigest(ctx, from.client, group, list.List)
 		now := time.Now()
-		ok := err == nil && tell.Digest != nil && complete(tell.Digest, &list) && d.newest(group, tell.Digest)
+		ok := err == nil && resp.Digest != nil && complete(resp.Digest, &list) && d.isCurrent(group, resp.Digest)
 		if ok {
-			from.relays = tell.Digest.Relays
-			ok = tell.Digest.Age <= digestValid || len(from.relays) == 0
+			from.relays = resp.Digest.Relays
+			ok = resp.Digest.Age <= maxDigestAge || len(from.relays) == 0
 		}
 		if ok {
-			d.hint(tell.Digest.Event, tell.ShortWatch)
-			d.use(tell.Digest, now.Add(-tell.Digest.Age))
+			d.hint(resp.Digest.Event, resp.ShortWatch)
+			d.use(resp.Digest, now.Add(-resp.Digest.Age))
 		}
-		if ok != heard {
-			heard = ok
+		if ok != received {
+			received = ok
 			d.log.Info("digest", "group", group, "from", from.addr, "heard", ok)
 		}
-		from.next(ok, d.steward(group))
-		next := digestEvery
+		from.next(ok, d.coordinator(group))
+		next := digestInterval
 		if !ok {
-			next = digestPause/2 + rand.N(digestPause)
+			next = digestRetryDelay/2 + rand.N(digestRetryDelay)
 		}
 		pause.For(ctx, next)
 	}
@@ -203,17 +203,17 @@
 // newest reports whether a digest is of the group that it was asked for, and not of an
 // earlier epoch or steward than the newest one: a steward that was paused, or whose
 // group was formed anew without it, still answers with what it knew.
-func (d *digests) newest(group string, got *rankpeer.Digest) bool {
+func (d *digests) isCurrent(group string, got *rankpeer.Digest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	last, now := d.last[group], time.Now()
 	older := got.Group.Epoch < last.epoch || got.Group.Epoch == last.epoch && got.Term < last.term
-	if got.Group.Name != group || older && now.Sub(last.at) < lifeValid {
+	if got.Group.Name != group || older && now.Sub(last.at) < digestVersionValid {
 		d.log.Warn("digest not used", "group", group, "its-group", got.Group.Name, "epoch", got.Group.Epoch, "term", got.Term,
 			"newest-epoch", last.epoch, "newest-term", last.term)
 		return false
 	}
-	d.last[group] = life{got.Group.Epoch, got.Term, now}
+	d.last[group] = digestVersion{got.Group.Epoch, got.Term, now}
 	skew, pass := new(expvar.Float), new(expvar.Int)
 	skew.Set(float64(got.Skew))
 	pass.Set(got.Pass.Milliseconds())
@@ -222,10 +222,10 @@
 	return true
 }
 
-func (d *digests) askDigest(ctx context.Context, client *rankpeer.Client, group string, list uint64) (rankpeer.Response, error) {
-	if err := client.Connect(ctx, digestWait); err != nil {
+func (d *digests) fetchDigest(ctx context.Context, client *rankpeer.Client, group string, list uint64) (rankpeer.Response, error) {
+	if err := client.Connect(ctx, digestTimeout); err != nil {
 		return rankpeer.Response{}, err
 	}
 	ask := rankpeer.Request{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Announcement{Group: engine.GroupID{Name: group}}}
-	return client.Do(ask, digestWait)
+	return client.Do(ask, digestTimeout)
 }
--- a/gateway/digests_test.go
+++ b/gateway/digests_test.go
@@ -21,16 +21,16 @@
 		digest := func(group string, epoch, term int64) *rankpeer.Digest {
 			return &rankpeer.Digest{Group: engine.GroupID{Name: group, Epoch: epoch}, Term: term}
 		}
-		is.True(d.newest("g", digest("g", 2, 30)))
-		is.True(!d.newest("g", digest("h", 9, 90)))
-		is.True(!d.newest("g", digest("g", 2, 29)))
-		is.True(!d.newest("g", digest("g", 1, 90)))
-		is.True(d.newest("g", digest("g", 2, 31)))
-		is.True(d.newest("g", digest("g", 3, 20)))
-		is.True(d.newest("h", digest("h", 1, 1)))
-		time.Sleep(lifeValid)
+		is.True(d.isCurrent("g", digest("g", 2, 30)))
+		is.True(!d.isCurrent("g", digest("h", 9, 90)))
+		is.True(!d.isCurrent("g", digest("g", 2, 29)))
+		is.True(!d.isCurrent("g", digest("g", 1, 90)))
+		is.True(d.isCurrent("g", digest("g", 2, 31)))
+		is.True(d.isCurrent("g", digest("g", 3, 20)))
+		is.True(d.isCurrent("h", digest("h", 1, 1)))
+		time.Sleep(digestVersionValid)
 		// The group has been built anew, and counts its epochs from the start.
-		is.True(d.newest("g", digest("g", 0, 40)))
+		is.True(d.isCurrent("g", digest("g", 0, 40)))
 	})
 }
 
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -34,17 +34,17 @@
 	pools   map[string]*pooled
 	// gone are targets whose address answered for another server, until their
 	// entry is removed or says that they have started again.
-	gone map[string]bool
+	misdirected map[string]bool
 	// told are the groups of targets as stewards tell them, for targets whose entry
 	// does not say.
-	told    map[string]string
-	rng     *rand.Rand
-	flights flights
+	reportedGroups map[string]string
+	rng            *rand.Rand
+	streams        activeStreams
 	// pendings are the plain requests in progress, doubts the targets that fail while their
 	// peers do not; tellDoubt tells the other gateways.
-	pendings  pendings
-	doubts    health.Suspicions
-	tellDoubt func(doubt)
+	pending        pendingRequests
+	suspicions     health.Suspicions
+	shareSuspicion func(suspicion)
 	// crashes tells targets that have crashed from answers that broke off.
 	crashes      *crash.Detector
 	backpressure backpressure
@@ -65,15 +65,15 @@
 	silentUntil time.Time
 	// doubtedUntil is until when it is avoided since it fails while its peers do not, and
 	// strikes are its failures of late.
-	doubtedUntil time.Time
-	strikes      health.Strikes
-	refusals     health.Refusals
+	suspectedUntil time.Time
+	strikes        health.Strikes
+	refusals       health.Refusals
 	// leaving says that it has said in an answer that it leaves.
-	leaving bool
+	announcedShutdown bool
 }
 
 // shuttingDown reports whether the target takes no new requests, by the store or its own word.
-func (p *pooled) shuttingDown() bool { return p.Draining || p.leaving }
+func (p *pooled) shuttingDown() bool { return p.Draining || p.announcedShutdown }
 
 // choices is how many targets are compared for a request. With a handful of
 // gateways before a few dozen targets, comparing several finds an idle one, and
@@ -82,16 +82,16 @@
 
 func newFleet(instance, zone string, log *slog.Logger) *fleet {
 	return &fleet{
-		log:          log,
-		spare:        func(string) int { return math.MaxInt },
-		table:        route.New(route.Options{Entry: instance, Zone: zone, Choices: choices}),
-		monitor:      health.New(health.Options{}),
-		pools:        map[string]*pooled{},
-		gone:         map[string]bool{},
-		told:         map[string]string{},
-		rng:          newRand(),
-		backpressure: newBackpressure(instance, log),
-		flights:      newFlights(), pendings: newPendings(), tellDoubt: func(doubt) {}, doubts: health.Suspicions{ReturnOrder: rand.Float64()},
+		log:            log,
+		spare:          func(string) int { return math.MaxInt },
+		table:          route.New(route.Options{Entry: instance, Zone: zone, Choices: choices}),
+		monitor:        health.New(health.Options{}),
+		pools:          map[string]*pooled{},
+		misdirected:    map[string]bool{},
+		reportedGroups: map[string]string{},
+		rng:            newRand(),
+		backpressure:   newBackpressure(instance, log),
+		streams:        newActiveStreams(), pending: newPendingRequests(), shareSuspicion: func(suspicion) {}, suspicions: health.Suspicions{ReturnOrder: rand.Float64()},
 	}
 }
 
@@ -124,9 +124,9 @@
 // drop forgets the targets that are gone or have started again: connections, failures
 // and silences of an earlier life say nothing of this one.
 func (f *fleet) drop(now map[string]deployment.Target) {
-	for id := range f.gone {
+	for id := range f.misdirected {
 		if _, ok := now[id]; !ok {
-			delete(f.gone, id)
+			delete(f.misdirected, id)
 		}
 	}
 	for id, p := range f.pools {
@@ -135,13 +135,13 @@
 			continue
 		}
 		p.pool.Close()
-		f.ended(p, ok || listensAt(now, p.Addr))
+		f.reportTermination(p, ok || listensAt(now, p.Addr))
 		delete(f.pools, id)
-		delete(f.gone, id)
-		delete(f.told, id)
-		delete(f.flights.targets, id)
-		delete(f.pendings.targets, id)
-		f.doubts.Drop(id)
+		delete(f.misdirected, id)
+		delete(f.reportedGroups, id)
+		delete(f.streams.targets, id)
+		delete(f.pending.targets, id)
+		f.suspicions.Drop(id)
 		f.backpressure.drop(id, t.Born, ok)
 		if i, known := f.table.Lookup(id); ok && known {
 			f.table.Restarted(i)
@@ -166,7 +166,7 @@
 
 // ended tells of a target whose life is over, by the store. One that had said that it leaves has
 // not crashed.
-func (f *fleet) ended(p *pooled, replaced bool) {
+func (f *fleet) reportTermination(p *pooled, replaced bool) {
 	switch {
 	case p.shuttingDown():
 	case replaced:
@@ -192,7 +192,7 @@
 func (f *fleet) routed(t *deployment.Target) route.Target {
 	return route.Target{
 		Name: t.ID, Zone: t.Zone, Service: t.Service, Group: f.groupOf(t),
-		Drained: f.pools[t.ID].shuttingDown() || f.gone[t.ID],
+		Drained: f.pools[t.ID].shuttingDown() || f.misdirected[t.ID],
 	}
 }
 
@@ -201,7 +201,7 @@
 	if t.Group.Name != "" {
 		return t.Group.Name
 	}
-	return f.told[t.ID]
+	return f.reportedGroups[t.ID]
 }
 
 // slots returns the slots of the targets by service and group.
@@ -243,7 +243,7 @@
 func (f *fleet) pick(q *route.Query, now time.Time) (sent, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hold(q.Service, now)
+	f.updateThrottled(q.Service, now)
 	f.expireRefusals(now)
 	i, ok := f.table.Pick(q, now, f.rng)
 	if !ok {
@@ -255,7 +255,7 @@
 	}
 	age := f.table.LoadAge(i, now)
 	f.table.Start(i, q.Cost, now)
-	f.backpressure.limits.use(p.ID, now)
+	f.backpressure.limits.recordSent(p.ID, now)
 	f.cost += (q.Cost - f.cost) * costGain
 	return sent{index: i, cost: q.Cost, started: now, target: p, seen: p.Target, loadAge: age}, true
 }
@@ -268,11 +268,11 @@
 }
 
 // heard takes what an answer says of its target.
-func (f *fleet) heard(s sent, a platform.Answer, now time.Time) {
+func (f *fleet) observeAnswer(s sent, a platform.Answer, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.Misdirected && !f.gone[s.target.ID] {
-		f.gone[s.target.ID] = true
+	if a.Misdirected && !f.misdirected[s.target.ID] {
+		f.misdirected[s.target.ID] = true
 		// Every request that is sent there costs a retry. The next view of the
 		// store may be seconds away.
 		f.table.SetLeaving(s.index, true)
@@ -311,7 +311,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.watchPending(now)
-	f.avoidDoubted(now)
+	f.avoidSuspected(now)
 	f.watchSilence(now)
 	f.crashes.Tick(now)
 	for _, c := range f.monitor.Tick(now, f.rng) {
--- a/gateway/flights.go
+++ b/gateway/flights.go
@@ -19,7 +19,7 @@
 var errSilentGroup = errors.New("group silent while others go on")
 
 // flight is a stream in progress that may go on at another target.
-type flight struct {
+type activeStream struct {
 	sent
 	// id is the request's.
 	id      string
@@ -34,8 +34,8 @@
 
 // flights watches the streams in progress for silence. The fleet's lock guards
 // it.
-type flights struct {
-	open map[*flight]struct{}
+type activeStreams struct {
+	open map[*activeStream]struct{}
 	// targets and groups are when an event last came from there.
 	targets map[string]time.Time
 	groups  map[groupKey]time.Time
@@ -47,41 +47,41 @@
 	service, group string
 }
 
-func newFlights() flights {
-	return flights{open: map[*flight]struct{}{}, targets: map[string]time.Time{}, groups: map[groupKey]time.Time{}}
+func newActiveStreams() activeStreams {
+	return activeStreams{open: map[*activeStream]struct{}{}, targets: map[string]time.Time{}, groups: map[groupKey]time.Time{}}
 }
 
 // depart watches an attempt: its context ends if the target goes silent, or if
 // it holds its group up and another server may run the request.
-func (f *fleet) depart(ctx context.Context, s sent, id, service string, mayMove bool) (context.Context, *flight) {
+func (f *fleet) trackStream(ctx context.Context, s sent, id, service string, mayMove bool) (context.Context, *activeStream) {
 	ctx, end := context.WithCancelCause(ctx)
-	fl := &flight{sent: s, id: id, service: service, mayMove: mayMove, heardAt: s.started, end: end}
+	st := &activeStream{sent: s, id: id, service: service, mayMove: mayMove, heardAt: s.started, end: end}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.flights.open[fl] = struct{}{}
-	return ctx, fl
+	f.streams.open[st] = struct{}{}
+	return ctx, st
 }
 
 // land ends the watch.
-func (f *fleet) land(fl *flight) {
-	fl.end(nil)
+func (f *fleet) untrackStream(st *activeStream) {
+	st.end(nil)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.flights.open, fl)
+	delete(f.streams.open, st)
 }
 
 // event records that a piece has come.
-func (f *fleet) event(fl *flight, now time.Time) {
+func (f *fleet) event(st *activeStream, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fl.begun, fl.heardAt = true, now
-	f.flights.targets[fl.target.ID] = now
-	f.flights.groups[f.key(fl)] = now
+	st.begun, st.heardAt = true, now
+	f.streams.targets[st.target.ID] = now
+	f.streams.groups[f.key(st)] = now
 }
 
 // key names the group in which a flight is. It is called with the lock held.
-func (f *fleet) key(fl *flight) groupKey {
-	return groupKey{fl.service, f.groupOf(&fl.target.Target)}
+func (f *fleet) key(st *activeStream) groupKey {
+	return groupKey{st.service, f.groupOf(&st.target.Target)}
 }
 
 // silentGroup is a group that stands still while others of its service go on. Move says
@@ -94,15 +94,15 @@
 // silentGroups returns the groups that stand still. It is called with the lock held.
 func (f *fleet) silentGroups(now time.Time) []silentGroup {
 	due := map[groupKey]bool{}
-	for fl := range f.flights.open {
-		if fl.begun {
-			due[f.key(fl)] = true
+	for st := range f.streams.open {
+		if st.begun {
+			due[f.key(st)] = true
 		}
 	}
 	var silent []silentGroup
 	for key := range due {
-		p := health.GroupProgress{Group: f.flights.groups[key]}
-		for other, at := range f.flights.groups {
+		p := health.GroupProgress{Group: f.streams.groups[key]}
+		for other, at := range f.streams.groups {
 			if other.service == key.service && other != key && at.After(p.Others) {
 				p.Others = at
 			}
@@ -116,27 +116,27 @@
 
 // leaveGroup ends up to so many attempts at a group that stands still, so that the
 // streams go on in others.
-func (f *fleet) leaveGroup(key groupKey, most int) {
+func (f *fleet) moveGroupStreams(key groupKey, most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for fl := range f.flights.open {
+	for st := range f.streams.open {
 		if most <= 0 {
 			return
 		}
-		if f.key(fl) != key || !fl.mayMove {
+		if f.key(st) != key || !st.mayMove {
 			continue
 		}
 		most--
-		f.log.Warn("group silent", "id", fl.id, "target", fl.target.ID, "service", key.service, "group", key.group, "begun", fl.begun)
+		f.log.Warn("group silent", "id", st.id, "target", st.target.ID, "service", key.service, "group", key.group, "begun", st.begun)
 		metricSilent.Add(1)
-		delete(f.flights.open, fl)
-		fl.end(errSilentGroup)
+		delete(f.streams.open, st)
+		st.end(errSilentGroup)
 	}
 }
 
 // silentFor is how long a target gets no new requests after it was found silent.
 // If it is silent for longer, the answers that were moved away have it ejected.
-const silentFor = time.Second
+const silenceHold = time.Second
 
 // watchSilence has no requests sent to targets that have gone silent, and ends
 // the attempts there that had better go on elsewhere. One that nobody else may run, or
@@ -144,30 +144,30 @@
 // that its target, which may only be slow, still finishes. It is called with the lock held.
 func (f *fleet) watchSilence(now time.Time) {
 	due, left := map[string]bool{}, map[string]int{}
-	for fl := range f.flights.open {
-		due[fl.target.ID] = due[fl.target.ID] || fl.begun
+	for st := range f.streams.open {
+		due[st.target.ID] = due[st.target.ID] || st.begun
 	}
-	for fl := range f.flights.open {
-		id := fl.target.ID
+	for st := range f.streams.open {
+		id := st.target.ID
 		p := health.Progress{
-			Begun: fl.begun, Due: due[id], Answer: fl.heardAt,
-			Target: f.flights.targets[id], Pool: f.flights.groups[f.key(fl)],
+			Begun: st.begun, Due: due[id], Answer: st.heardAt,
+			Target: f.streams.targets[id], Pool: f.streams.groups[f.key(st)],
 		}
 		silence := p.Evaluate(now)
 		if silence.Avoid {
-			fl.target.silentUntil = now.Add(silentFor)
+			st.target.silentUntil = now.Add(silenceHold)
 		}
-		if silence.Move && fl.mayMove && f.spend(left, fl.service) {
-			f.moveAway(fl, silence, now)
+		if silence.Move && st.mayMove && f.spendRetry(left, st.service) {
+			f.moveStream(st, silence, now)
 		}
 	}
 	for _, p := range f.pools {
-		f.avoid(p, now)
+		f.updateAvoided(p, now)
 	}
 }
 
 // spend takes one of the retries that are left for a service in this look.
-func (f *fleet) spend(left map[string]int, service string) bool {
+func (f *fleet) spendRetry(left map[string]int, service string) bool {
 	if _, asked := left[service]; !asked {
 		left[service] = f.spare(service)
 	}
@@ -177,41 +177,41 @@
 
 // leave ends up to so many attempts at slow targets, so that the streams go on at
 // others of their group.
-func (f *fleet) leave(slow map[string]bool, most int) {
+func (f *fleet) moveSlowStreams(slow map[string]bool, most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for fl := range f.flights.open {
+	for st := range f.streams.open {
 		if most <= 0 {
 			return
 		}
-		if !slow[fl.target.ID] || !fl.mayMove {
+		if !slow[st.target.ID] || !st.mayMove {
 			continue
 		}
 		most--
-		f.log.Info("target slow", "id", fl.id, "target", fl.target.ID, "service", fl.service, "begun", fl.begun)
+		f.log.Info("target slow", "id", st.id, "target", st.target.ID, "service", st.service, "begun", st.begun)
 		metricSlow.Add(1)
-		delete(f.flights.open, fl)
-		fl.end(errSlow)
+		delete(f.streams.open, st)
+		st.end(errSlow)
 	}
 }
 
 // avoid tells the table whether a target is to be avoided.
-func (f *fleet) avoid(p *pooled, now time.Time) {
+func (f *fleet) updateAvoided(p *pooled, now time.Time) {
 	if i, ok := f.table.Lookup(p.ID); ok {
-		f.table.SetAvoided(i, p.slow || now.Before(p.silentUntil) || now.Before(p.doubtedUntil) || p.refusals.Avoided(now))
+		f.table.SetAvoided(i, p.slow || now.Before(p.silentUntil) || now.Before(p.suspectedUntil) || p.refusals.Avoided(now))
 	}
 }
 
 // moveAway ends an attempt, so that the stream goes on at another target.
-func (f *fleet) moveAway(fl *flight, silence health.Silence, now time.Time) {
+func (f *fleet) moveStream(st *activeStream, silence health.Silence, now time.Time) {
 	if silence.TargetStalled {
 		// One silent answer of a silent target says more than one that broke:
 		// with a second one the target gets no more.
-		f.monitor.Fail(fl.index, health.Hard, now)
+		f.monitor.Fail(st.index, health.Hard, now)
 	}
-	f.log.Warn("target silent", "id", fl.id, "target", fl.target.ID, "service", fl.service, "whole-target", silence.TargetStalled,
-		"begun", fl.begun, "silent-ms", now.Sub(fl.heardAt).Milliseconds())
+	f.log.Warn("target silent", "id", st.id, "target", st.target.ID, "service", st.service, "whole-target", silence.TargetStalled,
+		"begun", st.begun, "silent-ms", now.Sub(st.heardAt).Milliseconds())
 	metricSilent.Add(1)
-	delete(f.flights.open, fl)
-	fl.end(errStalled)
+	delete(f.streams.open, st)
+	st.end(errStalled)
 }
--- a/gateway/isolator.go
+++ b/gateway/isolator.go
@@ -23,11 +23,11 @@
 	holdJitter = 300 * time.Millisecond
 	// writeWait is how long the store may take to answer a write, and writePause how long
 	// the next one waits after a failure.
-	writeWait  = 900 * time.Millisecond
-	writePause = 500 * time.Millisecond
+	writeTimeout    = 900 * time.Millisecond
+	writeRetryDelay = 500 * time.Millisecond
 	// trialSettles is how long it takes at most to know whether the target of a broken answer
 	// has crashed.
-	trialSettles = time.Second
+	probeSettleTime = time.Second
 	// maxUnwritten bounds what is kept for the store while it is away.
 	maxUnwritten = 64
 )
@@ -49,8 +49,8 @@
 	register *quarantine.Register
 	// unwritten is what the other gateways are still to be told, and freed the holds that
 	// are to be removed from the store.
-	unwritten quarantine.Report
-	freed     []quarantine.Fingerprint
+	unwritten    quarantine.Report
+	removedHolds []quarantine.Fingerprint
 	// reports counts those that were written.
 	reports int
 }
@@ -64,7 +64,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := quarantine.Report{Crashes: []quarantine.Crash{c}}
-	s.innocent(s.register.Report(&r, time.Now()))
+	s.queueCompleted(s.register.Report(&r, time.Now()))
 	if len(s.unwritten.Crashes) < maxUnwritten {
 		s.unwritten.Crashes = append(s.unwritten.Crashes, c)
 	}
@@ -78,15 +78,15 @@
 		return
 	}
 	s.log.Info("request cleared", "print", p.Short(), "reason", "answered whole")
-	s.innocent([]quarantine.Fingerprint{p})
-	if len(s.freed) < maxUnwritten {
-		s.freed = append(s.freed, p)
+	s.queueCompleted([]quarantine.Fingerprint{p})
+	if len(s.removedHolds) < maxUnwritten {
+		s.removedHolds = append(s.removedHolds, p)
 	}
 }
 
 // innocent has the other gateways told of requests that have been answered whole. It is
 // called with the lock held.
-func (s *isolator) innocent(prints []quarantine.Fingerprint) {
+func (s *isolator) queueCompleted(prints []quarantine.Fingerprint) {
 	for _, p := range prints {
 		if len(s.unwritten.Completed) < maxUnwritten {
 			s.unwritten.Completed = append(s.unwritten.Completed, p)
@@ -95,7 +95,7 @@
 }
 
 // take takes what the store says under quarantine.Prefix.
-func (s *isolator) take(items []kv.Item, whole bool) {
+func (s *isolator) apply(items []kv.Item, whole bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -105,15 +105,15 @@
 		if it.Removed {
 			if p, ok := s.register.Remove(it.Key); ok {
 				s.log.Info("request cleared", "print", p.Short(), "reason", "its hold was removed")
-				s.innocent([]quarantine.Fingerprint{p})
+				s.queueCompleted([]quarantine.Fingerprint{p})
 			}
 			continue
 		}
-		innocent, err := s.register.Apply(it.Key, it.Revision, it.Value, now)
+		completed, err := s.register.Apply(it.Key, it.Revision, it.Value, now)
 		if err != nil {
 			s.log.Warn("item not understood", "key", it.Key, "revision", it.Revision, "error", err.Error())
 		}
-		s.innocent(innocent)
+		s.queueCompleted(completed)
 	}
 	if whole {
 		s.register.RetainOnly(keys)
@@ -125,14 +125,14 @@
 func (s *isolator) show() { metricHeld.Set(int64(s.register.Quarantined())) }
 
 // holds reports whether any request is held back.
-func (s *isolator) holds() bool {
+func (s *isolator) hasQuarantined() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.register.Quarantined() > 0
 }
 
 // judge decides on a request that is about to be sent.
-func (s *isolator) judge(p quarantine.Fingerprint) quarantine.Decision {
+func (s *isolator) decide(p quarantine.Fingerprint) quarantine.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.register.Decide(p, time.Now())
@@ -141,8 +141,8 @@
 // try reports whether this gateway is the one that sends a request that is held back to
 // find out whether it still crashes targets. No other gateway does once the store has
 // taken the word.
-func (s *isolator) try(ctx context.Context, p quarantine.Fingerprint, v quarantine.Decision) bool {
-	if !s.hold(ctx, p, v.Revision, v.Hold.WithProbe()) {
+func (s *isolator) claimProbe(ctx context.Context, p quarantine.Fingerprint, v quarantine.Decision) bool {
+	if !s.writeHold(ctx, p, v.Revision, v.Hold.WithProbe()) {
 		return false
 	}
 	s.log.Info("request on trial", "print", p.Short(), "trials-before", v.Hold.Probes, "crashes", v.Hold.Crashes)
@@ -151,14 +151,14 @@
 
 // tried waits for the word on the target of a trial without a whole answer. If it has not
 // crashed, the trial has told nothing, and the next one need not wait.
-func (s *isolator) tried(p quarantine.Fingerprint, before int) {
-	pause.For(context.Background(), trialSettles)
+func (s *isolator) concludeProbe(p quarantine.Fingerprint, before int) {
+	pause.For(context.Background(), probeSettleTime)
 	if s.crashes(p) > before {
 		return
 	}
-	if v := s.judge(p); v.Quarantined && v.Revision > 0 {
+	if v := s.decide(p); v.Quarantined && v.Revision > 0 {
 		s.log.Info("trial has told nothing", "print", p.Short(), "trials", v.Hold.Probes)
-		s.hold(context.Background(), p, v.Revision, v.Hold.WithInconclusiveProbe())
+		s.writeHold(context.Background(), p, v.Revision, v.Hold.WithInconclusiveProbe())
 	}
 }
 
@@ -171,8 +171,8 @@
 
 // hold writes that a request is held back over what stands in the store, and reports whether
 // it did.
-func (s *isolator) hold(ctx context.Context, p quarantine.Fingerprint, over int64, h quarantine.Hold) bool {
-	ctx, cancel := context.WithTimeout(ctx, writeWait)
+func (s *isolator) writeHold(ctx context.Context, p quarantine.Fingerprint, over int64, h quarantine.Hold) bool {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	key := quarantine.HoldKey(p)
 	revision, err := s.store.Change(ctx, kv.Change{
@@ -180,16 +180,16 @@
 		Puts:   []kv.Write{{Key: key, Value: h.Bytes()}},
 	})
 	if err != nil {
-		s.notWritten(err)
+		s.logWriteError(err)
 		return false
 	}
-	s.take([]kv.Item{{Key: key, Value: h.Bytes(), Revision: revision}}, false)
+	s.apply([]kv.Item{{Key: key, Value: h.Bytes(), Revision: revision}}, false)
 	return true
 }
 
 // notWritten writes the line of a write that has failed; that another gateway was faster
 // is none.
-func (s *isolator) notWritten(err error) {
+func (s *isolator) logWriteError(err error) {
 	var status *kv.StatusError
 	if errors.As(err, &status) && status.Conflict() {
 		return
@@ -200,46 +200,46 @@
 // run decides and writes until the context ends.
 func (s *isolator) run(ctx context.Context) {
 	for pause.For(ctx, isolatorTick) {
-		if !s.tell(ctx) {
-			pause.For(ctx, writePause)
+		if !s.writeReport(ctx) {
+			pause.For(ctx, writeRetryDelay)
 		}
-		s.holdBack(ctx)
+		s.writeHolds(ctx)
 	}
 }
 
 // tell writes what the other gateways are still to be told. It reports false if the store
 // has not taken it.
-func (s *isolator) tell(ctx context.Context) bool {
+func (s *isolator) writeReport(ctx context.Context) bool {
 	s.mu.Lock()
-	told, freed, surplus := s.unwritten, s.freed, s.register.Surplus()
+	report, removedHolds, surplus := s.unwritten, s.removedHolds, s.register.Surplus()
 	s.mu.Unlock()
-	if told.Empty() && len(freed) == 0 {
+	if report.Empty() && len(removedHolds) == 0 {
 		return true
 	}
 	change := kv.Change{Deletes: surplus}
-	for _, p := range freed[:min(len(freed), kv.MaxChange/4)] {
+	for _, p := range removedHolds[:min(len(removedHolds), kv.MaxChange/4)] {
 		change.Deletes = append(change.Deletes, quarantine.HoldKey(p))
 	}
-	if !told.Empty() {
-		change.Puts = []kv.Write{{Key: quarantine.ReportKey(s.instance, s.reports), Value: told.Bytes()}}
+	if !report.Empty() {
+		change.Puts = []kv.Write{{Key: quarantine.ReportKey(s.instance, s.reports), Value: report.Bytes()}}
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeWait)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	if _, err := s.store.Change(ctx, change); err != nil {
-		s.notWritten(err)
+		s.logWriteError(err)
 		return false
 	}
 	s.reports++
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unwritten.Crashes = s.unwritten.Crashes[len(told.Crashes):]
-	s.unwritten.Completed = s.unwritten.Completed[len(told.Completed):]
-	s.freed = s.freed[min(len(freed), kv.MaxChange/4):]
+	s.unwritten.Crashes = s.unwritten.Crashes[len(report.Crashes):]
+	s.unwritten.Completed = s.unwritten.Completed[len(report.Completed):]
+	s.removedHolds = s.removedHolds[min(len(removedHolds), kv.MaxChange/4):]
 	return true
 }
 
 // holdBack holds back the requests that have been found to crash their targets.
-func (s *isolator) holdBack(ctx context.Context) {
+func (s *isolator) writeHolds(ctx context.Context) {
 	s.mu.Lock()
 	due := s.register.PendingWrites(time.Now())
 	s.show()
@@ -249,10 +249,10 @@
 	}
 	pause.For(ctx, rand.N(holdJitter))
 	for p, h := range due {
-		if v := s.judge(p); v.Revision > 0 {
+		if v := s.decide(p); v.Revision > 0 {
 			continue // Another gateway has written it.
 		}
-		if s.hold(ctx, p, 0, h) {
+		if s.writeHold(ctx, p, 0, h) {
 			s.log.Warn("request held back", "print", p.Short(), "crashes", h.Crashes, "trial-soon", h.ProbeNow)
 		}
 	}
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -22,8 +22,8 @@
 	permitLease = 12 * time.Second
 	leaseMargin = 10
 	// renewEvery is how often the lease is renewed, renewPause the wait after a failure.
-	renewEvery = permitLease / 3
-	renewPause = 500 * time.Millisecond
+	renewEvery      = permitLease / 3
+	renewRetryDelay = 500 * time.Millisecond
 )
 
 // leaser is the part of the store in which permits are claimed.
@@ -55,7 +55,7 @@
 
 // named takes what an answer says of the limit of its target, and reports whether that is
 // new.
-func (l *limits) named(a permit.Response, now time.Time) bool {
+func (l *limits) observe(a permit.Response, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.Observe(a, now)
@@ -68,7 +68,7 @@
 	l.tracker.Restarted(id, born)
 }
 
-func (l *limits) gone(id string) {
+func (l *limits) remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.Remove(id)
@@ -83,7 +83,7 @@
 }
 
 // use counts a request that a target is sent.
-func (l *limits) use(id string, now time.Time) {
+func (l *limits) recordSent(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.RecordSent(id, now)
@@ -91,7 +91,7 @@
 
 // open adds a target to an opening that is left alone until a time, or takes a request by its
 // limit.
-func (l *limits) open(o *permit.Availability, id string, paused, now time.Time) {
+func (l *limits) addTo(o *permit.Availability, id string, paused, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at, rate, limited := l.tracker.ReadyAt(id, now)
@@ -106,7 +106,7 @@
 }
 
 // take takes what the store says under permit.Prefix.
-func (l *limits) take(items []kv.Item, whole bool) {
+func (l *limits) apply(items []kv.Item, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, err := range l.tracker.Apply(items, whole, time.Now()) {
@@ -130,18 +130,18 @@
 	if !needed || now.Before(l.renewAfter) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeWait)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	lasts, err := l.keep(ctx)
+	lasts, err := l.keepLease(ctx)
 	if err != nil {
-		l.renewAfter = time.Now().Add(renewPause)
+		l.renewAfter = time.Now().Add(renewRetryDelay)
 		l.log.Warn("lease of permits not renewed", "lease", l.lease, "left-ms", l.left().Milliseconds(), "error", err.Error())
 		return
 	}
 	l.renewAfter = now.Add(min(renewEvery, lasts/3))
 	// The store counts from when the call arrived, which is later than now.
 	l.leaseEnds = now.Add(lasts - lasts/leaseMargin)
-	l.leased()
+	l.setLease()
 }
 
 // left returns for how long the permits still count.
@@ -153,7 +153,7 @@
 }
 
 // keep renews the lease, or begins one if there is none any more.
-func (l *limits) keep(ctx context.Context) (lasts time.Duration, err error) {
+func (l *limits) keepLease(ctx context.Context) (lasts time.Duration, err error) {
 	if l.lease != 0 {
 		lasts, err = l.store.Keep(ctx, l.lease)
 		var status *kv.StatusError
@@ -162,7 +162,7 @@
 		}
 		l.log.Warn("lease of permits has ended", "lease", l.lease)
 		l.lease, l.leaseEnds = 0, time.Time{}
-		l.leased()
+		l.setLease()
 	}
 	lease, lasts, err := l.store.Grant(ctx, permitLease)
 	if err == nil {
@@ -172,7 +172,7 @@
 }
 
 // leased tells the tracker of the lease.
-func (l *limits) leased() {
+func (l *limits) setLease() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.SetLease(l.lease, l.leaseEnds)
@@ -186,7 +186,7 @@
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeWait)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	revision, err := l.store.Change(ctx, c.Change)
 	l.mu.Lock()
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -59,8 +59,8 @@
 	g.fleet.mu.Unlock()
 	for patience, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
 		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(patience)}}
-		is.Equal(c.turnIsNear(0), near)
-		is.Equal(c.comeback > 0, !near)
+		is.Equal(c.shouldWait(0), near)
+		is.Equal(c.retryAfter > 0, !near)
 	}
 }
 
@@ -110,14 +110,14 @@
 		defer stop()
 		go l.run(ctx)
 		rate := 2.0
-		l.named(permit.Response{Target: "t0", Service: "pool", Limit: &rate, Sent: time.Now()}, time.Now())
+		l.observe(permit.Response{Target: "t0", Service: "pool", Limit: &rate, Sent: time.Now()}, time.Now())
 		ready := func() bool { return !l.unready("pool", time.Now())["t0"] }
 		is.True(!ready())
 		uses := 0
 		wait := func(d time.Duration) {
 			for range d / limitsTick {
 				if ready() {
-					l.use("t0", time.Now())
+					l.recordSent("t0", time.Now())
 					uses++
 				}
 				time.Sleep(limitsTick)
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -155,13 +155,13 @@
 	at, ok := r.gateway.fleet.table.Lookup("t0")
 	is.True(ok)
 	r.gateway.fleet.mu.Lock()
-	fl := &flight{sent: sent{index: at, target: r.gateway.fleet.pools["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, heardAt: now.Add(-time.Second), end: func(error) {}}
-	r.gateway.fleet.flights.open[fl] = struct{}{}
-	r.gateway.fleet.flights.groups[groupKey{service: "pool"}] = now
+	st := &activeStream{sent: sent{index: at, target: r.gateway.fleet.pools["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, heardAt: now.Add(-time.Second), end: func(error) {}}
+	r.gateway.fleet.streams.open[st] = struct{}{}
+	r.gateway.fleet.streams.groups[groupKey{service: "pool"}] = now
 	r.gateway.fleet.watchSilence(now)
 	r.gateway.fleet.mu.Unlock()
 	c := &call{gateway: r.gateway, request: request{req: platform.Request{ID: "r1"}, arrived: now}}
-	c.ended("outcome", "broken-off", "reason", "answer broken in body: i/o timeout")
+	c.logOutcome("outcome", "broken-off", "reason", "answer broken in body: i/o timeout")
 	own := story.Of("r1", read())
 	is.Equal(own[0].Message, "target silent")
 	is.Equal(story.CauseOf("r1", own).Kind, story.ServerSilent)
--- a/gateway/main.go
+++ b/gateway/main.go
@@ -43,16 +43,16 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.OnChange(g.update)
 	f.OnLost(g.startup.Lost)
-	f.Listen(quarantine.Prefix, g.isolator.take)
-	f.ListenChanges(doubtsPrefix, g.doubts.take)
-	f.Listen(permit.Prefix, g.fleet.backpressure.limits.take)
+	f.Listen(quarantine.Prefix, g.isolator.apply)
+	f.ListenChanges(suspicionsPrefix, g.suspicions.apply)
+	f.Listen(permit.Prefix, g.fleet.backpressure.limits.apply)
 	g.digests.event, g.digests.hint = f.Event, f.Hint
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			go f.Run(ctx)
 			go g.run(ctx)
 			go g.isolator.run(ctx)
-			go g.doubts.run(ctx)
+			go g.suspicions.run(ctx)
 			go g.fleet.backpressure.limits.run(ctx)
 			return nil
 		},
@@ -75,18 +75,18 @@
 const (
 	// headerWait bounds how long a caller may take to send a header; callers
 	// stay within the configured limit, which is shorter.
-	headerWait = 10 * time.Second
+	headerTimeout = 10 * time.Second
 	// idleWait is how long an idle connection is kept: longer than callers do.
-	idleWait = 60 * time.Second
+	idleTimeout = 60 * time.Second
 	// outOfRotation is how long the balancer takes to send no new connections
 	// here: two checks, a second apart, and one for good measure.
-	outOfRotation = 2500 * time.Millisecond
+	rotationDelay = 2500 * time.Millisecond
 )
 
 // serve listens for callers. On a stop, the balancer is told first, by answerReady;
 // callers are served until it has heard, and answers in progress are ended.
 func serve(lc fx.Lifecycle, env instance.Env, g *gateway) {
-	server := &http.Server{Handler: g, ReadHeaderTimeout: headerWait, IdleTimeout: idleWait}
+	server := &http.Server{Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			l, err := net.Listen("tcp", env.Boot.Callers.String())
@@ -100,8 +100,8 @@
 			return nil
 		},
 		OnStop: func(ctx context.Context) error {
-			g.leaving.Store(true)
-			pause.For(ctx, outOfRotation)
+			g.shuttingDown.Store(true)
+			pause.For(ctx, rotationDelay)
 			return server.Shutdown(ctx)
 		},
 	})
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -17,7 +17,7 @@
 	// metricUnanswered counts plain requests whose target answered nothing while others did.
 	metricUnanswered = expvar.NewInt("requests-unanswered-by-targets")
 	// metricDoubts counts doubts of targets by their cause, those of other gateways as told.
-	metricDoubts = expvar.NewMap("target-doubts-by-cause")
+	metricSuspicions = expvar.NewMap("target-doubts-by-cause")
 	// metricRateLimits counts how often targets have named a limit, or another one.
 	metricRateLimits = expvar.NewInt("target-rate-limits-set")
 	// metricPauses counts refusals of targets that ask for a pause.
@@ -40,7 +40,7 @@
 	metricRunning        = expvar.NewMap("running")
 	metricLimit          = expvar.NewMap("running-limit")
 	metricWorks          = expvar.NewMap("group-works")
-	metricSteers         = expvar.NewMap("group-steward")
+	metricCoordinators   = expvar.NewMap("group-steward")
 	metricSkew           = expvar.NewMap("group-skew")
 	metricPass           = expvar.NewMap("group-pass-ms")
 )
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -149,9 +149,9 @@
 		}
 		r.Equal(len(leaving.Seen()), 1)
 		r.True(!r.gateway.fleet.serves(r.view.Targets["t0"])) // its end is no crash
-		later := r.view.Targets["t0"]
-		later.Born = 9
-		r.view.Targets = map[string]deployment.Target{"t0": later}
+		restarted := r.view.Targets["t0"]
+		restarted.Born = 9
+		r.view.Targets = map[string]deployment.Target{"t0": restarted}
 		r.gateway.update(&r.view)
 		_, got = r.ask()
 		r.Equal(got.Status, 200)
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -18,22 +18,22 @@
 	// mayMove says that another server may run the request.
 	mayMove bool
 	// doubted says that its target was found to answer nothing, answered that it has.
-	doubted, answered bool
-	end               context.CancelCauseFunc
+	suspected, answered bool
+	end                 context.CancelCauseFunc
 }
 
 // pendings watches the plain requests in progress. The fleet's lock guards it.
-type pendings struct {
+type pendingRequests struct {
 	open map[*pending]struct{}
 	// usual are the answers by route, targets when each target answered last, and services
 	// the newest answers of each service.
-	usual    map[string]*answers
+	baseline map[string]*answerStats
 	targets  map[string]time.Time
-	services map[string]*newest
+	services map[string]*lastAnswers
 }
 
 // answers is how long those of one kind of request take, and how often they are failures.
-type answers struct {
+type answerStats struct {
 	took     health.AnswerTime
 	failures health.FailureRate
 }
@@ -42,20 +42,20 @@
 const maxRoutes = 1024
 
 // newest are the last answers of a service: one by any target, and one by another.
-type newest struct {
+type lastAnswers struct {
 	target    string
 	at, other time.Time
 }
 
-func newPendings() pendings {
-	return pendings{
-		open: map[*pending]struct{}{}, usual: map[string]*answers{},
-		targets: map[string]time.Time{}, services: map[string]*newest{},
+func newPendingRequests() pendingRequests {
+	return pendingRequests{
+		open: map[*pending]struct{}{}, baseline: map[string]*answerStats{},
+		targets: map[string]time.Time{}, services: map[string]*lastAnswers{},
 	}
 }
 
 // answer records an answer of a target.
-func (n *newest) answer(target string, now time.Time) {
+func (n *lastAnswers) answer(target string, now time.Time) {
 	if target != n.target {
 		n.target, n.other = target, n.at
 	}
@@ -63,7 +63,7 @@
 }
 
 // without returns when a target other than the given one answered last.
-func (n *newest) without(target string) time.Time {
+func (n *lastAnswers) without(target string) time.Time {
 	if n == nil {
 		return time.Time{}
 	}
@@ -75,7 +75,7 @@
 
 // expect watches an attempt at a plain request: its context ends if the target answers
 // nothing and another server may run the request.
-func (f *fleet) expect(ctx context.Context, s sent, c *call) (context.Context, *pending) {
+func (f *fleet) trackPending(ctx context.Context, s sent, c *call) (context.Context, *pending) {
 	ctx, end := context.WithCancelCause(ctx)
 	p := &pending{
 		sent: s, id: c.req.ID, route: c.route.Name, service: c.service,
@@ -83,7 +83,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pendings.open[p] = struct{}{}
+	f.pending.open[p] = struct{}{}
 	return ctx, p
 }
 
@@ -94,45 +94,45 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p.answered = true
-	w := &f.pendings
+	w := &f.pending
 	w.targets[p.target.ID] = now
 	if w.services[p.service] == nil {
-		w.services[p.service] = &newest{}
+		w.services[p.service] = &lastAnswers{}
 	}
 	w.services[p.service].answer(p.target.ID, now)
 	if !ran {
 		return
 	}
-	kind := w.kind(p.route)
-	if failed && kind.failures.Rare() {
+	stats := w.stats(p.route)
+	if failed && stats.failures.Rare() {
 		f.strike(p.target, causeFailing, now)
 	}
-	kind.took.Observe(now.Sub(p.started))
-	kind.failures.Observe(failed)
+	stats.took.Observe(now.Sub(p.started))
+	stats.failures.Observe(failed)
 }
 
 // kind returns what is known of the answers on a route.
-func (w *pendings) kind(route string) *answers {
-	k := w.usual[route]
+func (w *pendingRequests) stats(route string) *answerStats {
+	k := w.baseline[route]
 	if k == nil {
-		if len(w.usual) >= maxRoutes {
-			clear(w.usual)
+		if len(w.baseline) >= maxRoutes {
+			clear(w.baseline)
 		}
-		k = &answers{}
-		w.usual[route] = k
+		k = &answerStats{}
+		w.baseline[route] = k
 	}
 	return k
 }
 
 // settle ends the watch. A request that ended unanswered counts against a target that was
 // doubted, however it ended: callers leave, and deadlines pass, before anything else fails.
-func (f *fleet) settle(p *pending) {
+func (f *fleet) untrackPending(p *pending) {
 	p.end(nil)
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.pendings.open, p)
-	if p.doubted && !p.answered {
+	delete(f.pending.open, p)
+	if p.suspected && !p.answered {
 		f.monitor.Fail(p.index, health.Hard, now)
 	}
 }
@@ -141,17 +141,17 @@
 // there that had better go on elsewhere. It is called with the lock held.
 func (f *fleet) watchPending(now time.Time) {
 	left := map[string]int{}
-	for p := range f.pendings.open {
+	for p := range f.pending.open {
 		if !f.unanswered(p, now) {
 			continue
 		}
-		if !p.doubted {
-			p.doubted = true
+		if !p.suspected {
+			p.suspected = true
 			metricUnanswered.Add(1)
 			f.log.Warn("target answers nothing", "id", p.id, "target", p.target.ID, "service", p.service, "ms", now.Sub(p.started).Milliseconds())
-			f.doubt(p.target, causeUnanswered, now)
+			f.suspect(p.target, causeUnanswered, now)
 		}
-		if p.mayMove && f.spend(left, p.service) {
+		if p.mayMove && f.spendRetry(left, p.service) {
 			p.mayMove = false
 			p.end(errUnanswered)
 		}
@@ -161,12 +161,12 @@
 // unanswered reports whether a request says that its target should be doubted. It is called
 // with the lock held.
 func (f *fleet) unanswered(p *pending, now time.Time) bool {
-	w := &f.pendings
-	usual := w.usual[p.route]
-	if usual == nil {
+	w := &f.pending
+	baseline := w.baseline[p.route]
+	if baseline == nil {
 		return false
 	}
-	patience, known := usual.took.Timeout()
+	patience, known := baseline.took.Timeout()
 	waits := health.Pending{Sent: p.started, Target: w.targets[p.target.ID], Others: w.services[p.service].without(p.target.ID), Timeout: patience}
 	return known && waits.Unanswered(now)
 }
--- a/gateway/heldback_test.go
+++ b/gateway/quarantine_test.go
@@ -79,8 +79,8 @@
 // hold has the calls of the rig held back.
 func (r *heldRig) hold(h quarantine.Hold) {
 	is := r.gateway.isolator
-	over := is.judge(r.print()).Revision
-	r.True(is.hold(r.t.Context(), r.print(), over, h))
+	over := is.decide(r.print()).Revision
+	r.True(is.writeHold(r.t.Context(), r.print(), over, h))
 }
 
 // Guards against holding or sending a request that crashes servers, and refusing its
@@ -179,7 +179,7 @@
 		_, answer := r.ask()
 		r.Equal(answer.Status, http.StatusOK)
 	}
-	r.True(r.gateway.isolator.tell(t.Context()))
+	r.True(r.gateway.isolator.writeReport(t.Context()))
 	items := r.shelf.all()
 	r.Equal(len(items), 1) // the hold is gone, the word to the others stands there
 	r.True(items[0].Key != quarantine.HoldKey(r.print()))
@@ -197,7 +197,7 @@
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	_, first := r.ask()
 	r.Equal(first.Status, http.StatusBadGateway)
-	time.Sleep(trialSettles + 100*time.Millisecond)
+	time.Sleep(probeSettleTime + 100*time.Millisecond)
 	_, second := r.ask()
 	r.Equal(second.Status, http.StatusServiceUnavailable)
 	r.True(second.Comeback() > time.Minute)
@@ -218,7 +218,7 @@
 			for range 5 {
 				_, answer := r.ask()
 				r.True(answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusBadGateway)
-				time.Sleep(trialSettles + 100*time.Millisecond)
+				time.Sleep(probeSettleTime + 100*time.Millisecond)
 			}
 			r.Equal(total(s), 3)
 		})
@@ -233,11 +233,11 @@
 	for _, target := range []string{"a", "b", "c"} {
 		s.crashed(quarantine.Crash{Target: target, Requests: []quarantine.Fingerprint{r.print()}})
 	}
-	r.True(!s.tell(t.Context()))
+	r.True(!s.writeReport(t.Context()))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go s.run(ctx)
-	for !s.judge(r.print()).Quarantined {
+	for !s.decide(r.print()).Quarantined {
 		time.Sleep(isolatorTick)
 	}
 	_, answer := r.ask()
@@ -262,7 +262,7 @@
 	s := r.gateway.isolator
 	r.Equal(len(s.unwritten.Crashes), maxUnwritten)
 	r.True(len(s.unwritten.Completed) <= maxUnwritten)
-	r.True(len(s.freed) <= maxUnwritten)
+	r.True(len(s.removedHolds) <= maxUnwritten)
 }
 
 // Guards against a trial by each gateway.
@@ -270,11 +270,11 @@
 	r := newHeldRig(t, deployment.Safe)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	other := newIsolator("front-2", r.shelf, r.gateway.log)
-	other.take(r.shelf.all(), true)
-	v := other.judge(r.print())
+	other.apply(r.shelf.all(), true)
+	v := other.decide(r.print())
 	r.True(v.Probe)
-	r.True(other.try(t.Context(), r.print(), v))
-	r.True(!r.gateway.isolator.try(t.Context(), r.print(), v))
+	r.True(other.claimProbe(t.Context(), r.print(), v))
+	r.True(!r.gateway.isolator.claimProbe(t.Context(), r.print(), v))
 }
 
 // Guards against holding a request again by old reports after an operator has freed it.
@@ -284,10 +284,10 @@
 	r.hold(quarantine.Hold{Crashes: 3})
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
-	r.gateway.isolator.take([]kv.Item{{Key: quarantine.HoldKey(r.print()), Revision: 9, Removed: true}}, false)
+	r.gateway.isolator.apply([]kv.Item{{Key: quarantine.HoldKey(r.print()), Revision: 9, Removed: true}}, false)
 	_, answer = r.ask()
 	r.Equal(answer.Status, http.StatusOK)
-	r.True(r.gateway.isolator.tell(t.Context()))
+	r.True(r.gateway.isolator.writeReport(t.Context()))
 	for _, it := range r.shelf.all() {
 		var told quarantine.Report
 		if json.Unmarshal(it.Value, &told) == nil && len(told.Completed) == 1 {
--- a/gateway/ranks.go
+++ b/gateway/ranks.go
@@ -18,7 +18,7 @@
 )
 
 // ranks is what a digest says of the targets of an expert group.
-type ranks struct {
+type groupLoad struct {
 	service string
 	// running and queued are the sums over the ranks.
 	running, queued int
@@ -29,24 +29,24 @@
 }
 
 // digest takes what a steward knows of the load of its ranks.
-func (f *fleet) digest(d *rankpeer.Digest, taken time.Time) ranks {
+func (f *fleet) digest(d *rankpeer.Digest, taken time.Time) groupLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := ranks{slow: map[string]bool{}}
+	r := groupLoad{slow: map[string]bool{}}
 	for k, id := range d.Targets {
 		i, ok := f.table.Lookup(id)
 		p := f.pools[id]
 		if !ok || p == nil {
 			continue
 		}
-		if p.Group.Name == "" && f.told[id] != d.Group.Name {
-			f.told[id], r.joined = d.Group.Name, true
+		if p.Group.Name == "" && f.reportedGroups[id] != d.Group.Name {
+			f.reportedGroups[id], r.joined = d.Group.Name, true
 		}
 		pace := max(float64(d.Pace[k])/rankpeer.PaceUnit, 1)
 		load := route.Load{Queued: float64(d.Queued[k]) * f.cost, Running: int(d.Running[k]), Rate: engineRate / pace}
 		f.table.Report(i, load, taken)
 		p.slow = pace > slowPace
-		f.avoid(p, taken)
+		f.updateAvoided(p, taken)
 		if health.SlowRank(pace) {
 			r.slow[id] = true
 		}
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -9,19 +9,19 @@
 // ended writes the line that says how the request has ended, with what it was
 // decided by: the version of the configuration, and the last target with the age
 // of the load by which it was picked.
-func (c *call) ended(attrs ...any) {
+func (c *call) logOutcome(attrs ...any) {
 	line := append(make([]any, 0, 48), "id", c.req.ID, "service", c.service, "config", c.version,
 		"ms", time.Since(c.arrived).Milliseconds(), "queued-ms", c.queued.Milliseconds(), "errors", c.attempts.Errors,
 		"patience-ms", c.req.Patience.Milliseconds(), "workspace", c.workspaceName(), "route", c.routeName())
 	if n := c.req.PromptTokens + c.req.AnswerTokens; n > 0 {
 		line = append(line, "tokens", n)
 	}
-	if held := c.held.Milliseconds(); held > 0 {
+	if held := c.startupWait.Milliseconds(); held > 0 {
 		line = append(line, "held-ms", held)
 	}
-	line = append(line, c.chosen()...)
-	line = append(line, c.pacing()...)
-	line = append(line, c.sameness()...)
+	line = append(line, c.targetAttrs()...)
+	line = append(line, c.streamAttrs()...)
+	line = append(line, c.fingerprintAttrs()...)
 	c.log.Info("request", append(line, attrs...)...)
 }
 
@@ -53,7 +53,7 @@
 
 // pacing returns when a stream began and its longest pause, by which it was on time
 // or late, and whether its caller had been here before; nothing before an event.
-func (c *call) pacing() []any {
+func (c *call) streamAttrs() []any {
 	if c.eventAt.IsZero() {
 		return nil
 	}
@@ -62,16 +62,16 @@
 
 // chosen returns the last target with the age of the load by which it was picked,
 // and how many servers may have run the request; nothing if none was picked.
-func (c *call) chosen() []any {
+func (c *call) targetAttrs() []any {
 	if c.last.target == nil {
 		return nil
 	}
-	return []any{"target", c.last.target.ID, "group", c.place.group, "load-age-ms", c.last.loadAge.Milliseconds(), "ran", c.ran}
+	return []any{"target", c.last.target.ID, "group", c.slot.group, "load-age-ms", c.last.loadAge.Milliseconds(), "ran", c.ran}
 }
 
 // sameness returns what tells other calls with the same content; nothing for a call by
 // which no target may have crashed.
-func (c *call) sameness() []any {
+func (c *call) fingerprintAttrs() []any {
 	if !c.suspect {
 		return nil
 	}
@@ -83,8 +83,8 @@
 func (c *call) logRetry(reason string) {
 	line := append(make([]any, 0, 16), "id", c.req.ID, "service", c.service, "config", c.version,
 		"reason", reason, "errors", c.attempts.Errors)
-	line = append(line, c.chosen()...)
-	c.log.Info("retry", append(line, c.sameness()...)...)
+	line = append(line, c.targetAttrs()...)
+	c.log.Info("retry", append(line, c.fingerprintAttrs()...)...)
 }
 
 // routeName returns the name of the request's route, or "" before it is known.
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -24,8 +24,8 @@
 		n, err := reply.Read(buf)
 		ev.add(buf[:n])
 		for event := ev.next(); event != nil; event = ev.next() {
-			if c.flight != nil {
-				c.fleet.event(c.flight, time.Now())
+			if c.stream != nil {
+				c.fleet.event(c.stream, time.Now())
 			}
 			if first {
 				c.fleet.succeeded(s, time.Since(s.started), time.Now())
@@ -69,11 +69,11 @@
 	}
 	c.begin(reply)
 	if _, err := c.w.Write(event); err != nil {
-		c.notWritten(err)
+		c.logWriteError(err)
 		return false
 	}
 	if err := http.NewResponseController(c.w).Flush(); err != nil {
-		c.notWritten(err)
+		c.logWriteError(err)
 		return false
 	}
 	c.timeEvent(time.Now())
@@ -90,7 +90,7 @@
 		c.firstAfter = now.Sub(c.arrived)
 		metricFirst.Record(c.firstAfter.Milliseconds())
 		if c.admitter != nil {
-			c.admitter.began(c.place, c.firstAfter-c.queued)
+			c.admitter.observeFirstEvent(c.slot, c.firstAfter-c.queued)
 		}
 	} else {
 		pause := now.Sub(c.eventAt)
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -60,7 +60,7 @@
 func newRig(t *testing.T, route deployment.Route, servers ...*scripted.Server) *rig {
 	t.Helper()
 	env := instance.Env{Log: slog.New(slog.DiscardHandler)}
-	env.Boot.Bounds = boot.Bounds{RetryRatio: 0.2, RetrySlack: 90 * gatewaysUntold}
+	env.Boot.Bounds = boot.Bounds{RetryRatio: 0.2, RetrySlack: 90 * defaultGateways}
 	g := newGateway(env, noop.NewTracerProvider().Tracer("test"), nil)
 	r := &rig{I: is.New(t), t: t, gateway: g, view: mirror.View{
 		Config: &deployment.Config{
@@ -672,7 +672,7 @@
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	r.True(r.gateway.ready())
-	r.gateway.leaving.Store(true)
+	r.gateway.shuttingDown.Store(true)
 	r.True(!r.gateway.ready())
 	c := r.call()
 	c.Keep = true
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -37,8 +37,8 @@
 	catalog atomic.Pointer[catalog]
 	bounds  boot.Bounds
 	// leaving is set by SIGTERM: the balancer is told to send nothing more.
-	leaving atomic.Bool
-	started time.Time
+	shuttingDown atomic.Bool
+	started      time.Time
 	// startup holds requests until there is a configuration.
 	startup *startup.Gate
 
@@ -51,7 +51,7 @@
 	// isolator keeps requests that crash their targets from being sent.
 	isolator *isolator
 	// doubts are told to the other gateways.
-	doubts *doubts
+	suspicions *suspicionExchange
 	// patience tells by route which callers have been here before.
 	patience map[string]*retry.ReturnDetector
 	// admitters are those of services with engines, by name.
@@ -62,16 +62,16 @@
 	boot, log := env.Boot, env.Log
 	g := &gateway{
 		log: log, tracer: tracer, rng: newRand(), bounds: boot.Bounds, started: time.Now(),
-		startup:   startup.New(),
-		fleet:     newFleet(boot.Instance, boot.Zone, log),
-		budgets:   retry.NewBudgets(retryLimits(boot.Bounds)),
-		isolator:  newIsolator(boot.Instance, store, log),
-		doubts:    newDoubts(boot.Instance, store, log),
-		admitters: map[string]*admitter{},
-		patience:  map[string]*retry.ReturnDetector{},
+		startup:    startup.New(),
+		fleet:      newFleet(boot.Instance, boot.Zone, log),
+		budgets:    retry.NewBudgets(retryLimits(boot.Bounds)),
+		isolator:   newIsolator(boot.Instance, store, log),
+		suspicions: newSuspicionExchange(boot.Instance, store, log),
+		admitters:  map[string]*admitter{},
+		patience:   map[string]*retry.ReturnDetector{},
 	}
-	g.doubts.report = g.fleet.doubted
-	g.fleet.tellDoubt = g.doubts.tell
+	g.suspicions.report = g.fleet.addSuspicion
+	g.fleet.shareSuspicion = g.suspicions.share
 	g.fleet.backpressure.limits.store = store
 	g.fleet.crashes = crash.New(tcp.Dial, g.fleet.serves, log, g.isolator.crashed)
 	g.digests = newDigests(boot.Instance, log, g.digest)
@@ -82,20 +82,20 @@
 const (
 	// retryPart is the part of the deployment's retries that is used, since
 	// what a client sends again at another gateway is counted differently.
-	retryPart = 0.85
+	retryFraction = 0.85
 	// gateways is how many gateways the slack of the retries is shared among at least:
 	// restarted ones start with a new share.
-	gateways = 24
+	minGateways = 24
 	// gatewaysUntold is the same until somebody has told how many there are.
-	gatewaysUntold = 64
+	defaultGateways = 64
 )
 
 // retryLimits shares the retries of the whole deployment. The ratio needs no
 // sharing: each gateway keeps to it for its own requests.
 func retryLimits(b boot.Bounds) retry.Limits {
-	share := slackShare(b, gatewaysUntold)
+	share := slackShare(b, defaultGateways)
 	return retry.Limits{
-		Ratio: b.RetryRatio * retryPart, KeyBurst: share, HopBurst: share,
+		Ratio: b.RetryRatio * retryFraction, KeyBurst: share, HopBurst: share,
 		KeyStart: share / 2, HopStart: share / 2, Window: b.RetryWindow,
 	}
 }
@@ -103,7 +103,7 @@
 // slackShare is this gateway's part of the retries that all of them may make beside their
 // part of the requests.
 func slackShare(b boot.Bounds, among int) float64 {
-	return max(math.Floor(b.RetrySlack/float64(max(among, gateways))), 1)
+	return max(math.Floor(b.RetrySlack/float64(max(among, minGateways))), 1)
 }
 
 // shareRetries takes how many gateways there are, by those that ask a steward and its
@@ -119,17 +119,17 @@
 // update takes a new view of the store: configuration and targets together.
 func (g *gateway) update(v *mirror.View) {
 	g.fleet.update(v)
-	g.admitTo(v.Config)
+	g.updateAdmitters(v.Config)
 	g.digests.update(v)
 	if c := g.catalog.Load(); c == nil || c.config != v.Config {
 		g.catalog.Store(newCatalog(v.Config))
-		g.showBudgets(v.Config)
+		g.publishBudgets(v.Config)
 	}
 	g.startup.Open()
 }
 
 // showBudgets shows how many retries each service may get now.
-func (g *gateway) showBudgets(cfg *deployment.Config) {
+func (g *gateway) publishBudgets(cfg *deployment.Config) {
 	for i := range cfg.Services {
 		service := cfg.Services[i].Name
 		metricBudget.Set(service, expvar.Func(func() any {
@@ -139,7 +139,7 @@
 }
 
 // admitTo makes an admitter for each service with engines, and tells it their slots.
-func (g *gateway) admitTo(cfg *deployment.Config) {
+func (g *gateway) updateAdmitters(cfg *deployment.Config) {
 	slots := g.fleet.slots()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -160,23 +160,23 @@
 	g.shareRetries(d.Gateways)
 	r := g.fleet.digest(d, taken)
 	if cat := g.catalog.Load(); r.joined && cat != nil {
-		g.admitTo(cat.config)
+		g.updateAdmitters(cat.config)
 	}
 	if a := g.admitterOf(r.service); a != nil {
-		a.tell(admission.Load{Group: d.Group.Name, Complete: d.Open, Running: r.running, Queued: r.queued, PassTime: d.Pass, Entries: d.Gateways})
+		a.reportLoad(admission.Load{Group: d.Group.Name, Complete: d.Open, Running: r.running, Queued: r.queued, PassTime: d.Pass, Entries: d.Gateways})
 	}
 	if health.ShouldMoveStreams(len(r.slow), len(d.Targets)) {
-		g.fleet.leave(r.slow, g.spareRetries(r.service))
+		g.fleet.moveSlowStreams(r.slow, g.spareRetries(r.service))
 	}
 }
 
 // keptRetries is how many retries are kept for what fails by itself.
-const keptRetries = 1
+const reservedRetries = 1
 
 // spareRetries returns how many requests to a service may be moved now: each is a
 // retry, and one without would be broken off.
 func (g *gateway) spareRetries(service string) int {
-	return int(g.retriesLeft(service)) - keptRetries
+	return int(g.retriesLeft(service)) - reservedRetries
 }
 
 // retriesLeft returns how many retries a service may get now.
@@ -194,7 +194,7 @@
 }
 
 // comesBack reports whether a caller of a route has come back after an earlier try.
-func (g *gateway) comesBack(r *deployment.Route, patience time.Duration) bool {
+func (g *gateway) isReturning(r *deployment.Route, patience time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.patience[r.Name]
@@ -217,10 +217,10 @@
 func (g *gateway) tick(now time.Time) {
 	for _, s := range g.fleet.tick(now) {
 		if a := g.admitterOf(s.service); a != nil {
-			a.silent(s.group, now.Add(silentFor))
+			a.markStalled(s.group, now.Add(silenceHold))
 		}
 		if s.move {
-			g.fleet.leaveGroup(s.groupKey, g.spareRetries(s.service))
+			g.fleet.moveGroupStreams(s.groupKey, g.spareRetries(s.service))
 		}
 	}
 	g.mu.Lock()
@@ -231,7 +231,7 @@
 }
 
 // ready reports whether the balancer should send callers here.
-func (g *gateway) ready() bool { return g.catalog.Load() != nil && !g.leaving.Load() }
+func (g *gateway) ready() bool { return g.catalog.Load() != nil && !g.shuttingDown.Load() }
 
 // ServeHTTP serves one request.
 func (g *gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -240,21 +240,21 @@
 		return
 	}
 	cat := g.catalog.Load()
-	if g.leaving.Load() {
+	if g.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if !c.admit(cat) || c.refused() {
+	if !c.admit(cat) || c.refuseIfQuarantined() {
 		return
 	}
-	defer c.endTrial()
+	defer c.endProbe()
 	ctx, span := c.startSpan()
 	defer c.endSpan(span)
 	ctx, cancel := context.WithDeadlineCause(ctx, c.deadline, errDeadline)
 	defer cancel()
-	if c.admitter = g.admitterOf(c.service); c.admitter != nil && !c.enter(ctx) {
+	if c.admitter = g.admitterOf(c.service); c.admitter != nil && !c.acquireSlot(ctx) {
 		return
 	}
-	defer c.leave()
+	defer c.releaseSlot()
 	c.run(ctx)
 }
 
@@ -262,7 +262,7 @@
 // the request is not to wait any longer.
 func (c *call) started() bool {
 	err := c.startup.Wait(c.r.Context(), c.req.Patience)
-	c.held = time.Since(c.arrived)
+	c.startupWait = time.Since(c.arrived)
 	if err == nil {
 		return true
 	}
@@ -277,16 +277,16 @@
 
 // enter waits for a place at the engines. It answers and reports false if the request
 // goes no further.
-func (c *call) enter(ctx context.Context) bool {
+func (c *call) acquireSlot(ctx context.Context) bool {
 	_, wait := c.tracer.Start(ctx, spanWait)
-	at, refusal := c.admitter.enter(ctx, c)
+	at, refusal := c.admitter.acquire(ctx, c)
 	wait.End()
-	c.place = at
+	c.slot = at
 	c.queued = time.Since(c.arrived)
 	metricWait.Record(c.queued.Milliseconds())
 	if c.callerLeft() {
 		if at.id != "" {
-			c.admitter.leave(at, 0)
+			c.admitter.release(at, 0)
 		}
 		return false
 	}
@@ -298,8 +298,8 @@
 }
 
 // leave gives the place back.
-func (c *call) leave() {
+func (c *call) releaseSlot() {
 	if c.admitter != nil {
-		c.admitter.leave(c.place, c.cost())
+		c.admitter.release(c.slot, c.cost())
 	}
 }
--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -28,6 +28,6 @@
 	r.True(left()*2*all <= slack)
 	// A few gateways that have just restarted are not taken for all there are.
 	r.gateway.shareRetries(3)
-	r.True(left() <= slack/gateways)
-	r.True(slackShare(boot.Bounds{RetrySlack: slack}, gatewaysUntold)*all <= slack)
+	r.True(left() <= slack/minGateways)
+	r.True(slackShare(boot.Bounds{RetrySlack: slack}, defaultGateways)*all <= slack)
 }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -69,10 +69,10 @@
 func (r *rig) othersGoOn(now time.Time) int {
 	f := r.gateway.fleet
 	f.mu.Lock()
-	f.flights.groups[groupKey{service: "pool"}] = now
+	f.streams.groups[groupKey{service: "pool"}] = now
 	f.mu.Unlock()
 	r.gateway.tick(now)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.flights.open)
+	return len(f.streams.open)
 }
--- a/gateway/doubts.go
+++ b/gateway/suspicions.go
@@ -15,19 +15,19 @@
 )
 
 // doubtsPrefix begins the keys under which gateways tell each other which targets fail.
-const doubtsPrefix = "verbenashift/doubts/"
+const suspicionsPrefix = "verbenashift/doubts/"
 
 const (
 	// tellEvery bounds how often a gateway tells its doubts.
-	tellEvery = 300 * time.Millisecond
+	shareInterval = 300 * time.Millisecond
 	// tellCheck is how often it looks whether there are any.
-	tellCheck = 20 * time.Millisecond
+	shareCheckInterval = 20 * time.Millisecond
 	// maxTold bounds the doubts that are told at once.
-	maxTold = 16
+	maxShared = 16
 )
 
 // doubt is a gateway's word that a target fails while others do not.
-type doubt struct {
+type suspicion struct {
 	Target string `json:"target"`
 	// Born tells the lives of a target under one name apart.
 	Born  int64  `json:"born"`
@@ -35,77 +35,77 @@
 }
 
 // doubtKey returns the key for the doubts of a gateway.
-func doubtKey(instance string) string { return doubtsPrefix + kv.Short(instance) }
+func suspicionKey(instance string) string { return suspicionsPrefix + kv.Short(instance) }
 
 // doubts tells the other gateways which targets this one doubts, and takes what they say. It
 // is safe for concurrent use.
-type doubts struct {
+type suspicionExchange struct {
 	log   *slog.Logger
 	store changer
 	key   string
 	// report takes a doubt of another gateway.
-	report func(d doubt, source string, now time.Time)
+	report func(d suspicion, source string, now time.Time)
 
-	mu     sync.Mutex
-	untold []doubt
+	mu       sync.Mutex
+	unshared []suspicion
 }
 
-func newDoubts(instance string, store changer, log *slog.Logger) *doubts {
-	return &doubts{log: log, store: store, key: doubtKey(instance), report: func(doubt, string, time.Time) {}}
+func newSuspicionExchange(instance string, store changer, log *slog.Logger) *suspicionExchange {
+	return &suspicionExchange{log: log, store: store, key: suspicionKey(instance), report: func(suspicion, string, time.Time) {}}
 }
 
 // tell has the other gateways told of a doubt.
-func (s *doubts) tell(d doubt) {
+func (s *suspicionExchange) share(d suspicion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.untold) < maxTold {
-		s.untold = append(s.untold, d)
+	if len(s.unshared) < maxShared {
+		s.unshared = append(s.unshared, d)
 	}
 }
 
 // take takes what others write under doubtsPrefix, as it comes: what stands there is of a
 // time that is not known.
-func (s *doubts) take(items []kv.Item) {
+func (s *suspicionExchange) apply(items []kv.Item) {
 	now := time.Now()
 	for _, it := range items {
 		if it.Removed || it.Key == s.key {
 			continue
 		}
-		var told []doubt
-		if err := json.Unmarshal(it.Value, &told); err != nil {
+		var shared []suspicion
+		if err := json.Unmarshal(it.Value, &shared); err != nil {
 			s.log.Warn("item not understood", "key", it.Key, "revision", it.Revision, "error", err.Error())
 			continue
 		}
-		for _, d := range told[:min(len(told), maxTold)] {
-			s.report(d, strings.TrimPrefix(it.Key, doubtsPrefix), now)
+		for _, d := range shared[:min(len(shared), maxShared)] {
+			s.report(d, strings.TrimPrefix(it.Key, suspicionsPrefix), now)
 		}
 	}
 }
 
 // run tells doubts until the context ends. One that the store does not take is given up: it
 // would be old when it is told.
-func (s *doubts) run(ctx context.Context) {
-	for pause.For(ctx, tellCheck) {
+func (s *suspicionExchange) run(ctx context.Context) {
+	for pause.For(ctx, shareCheckInterval) {
 		s.mu.Lock()
-		told := s.untold
-		s.untold = nil
+		shared := s.unshared
+		s.unshared = nil
 		s.mu.Unlock()
-		if len(told) == 0 {
+		if len(shared) == 0 {
 			continue
 		}
-		if err := s.write(ctx, told); err != nil {
-			s.log.Warn("doubts not told", "targets", len(told), "error", err.Error())
+		if err := s.write(ctx, shared); err != nil {
+			s.log.Warn("doubts not told", "targets", len(shared), "error", err.Error())
 		}
-		pause.For(ctx, tellEvery)
+		pause.For(ctx, shareInterval)
 	}
 }
 
-func (s *doubts) write(ctx context.Context, told []doubt) error {
-	value, err := json.Marshal(told)
+func (s *suspicionExchange) write(ctx context.Context, shared []suspicion) error {
+	value, err := json.Marshal(shared)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, writeWait)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	_, err = s.store.Change(ctx, kv.Change{Puts: []kv.Write{{Key: s.key, Value: value}}})
 	return err
@@ -120,41 +120,41 @@
 
 // doubt has a target avoided by this gateway, and by the others once enough of them agree. It
 // is called with the lock held.
-func (f *fleet) doubt(p *pooled, cause string, now time.Time) {
-	known := f.doubts.Agreed(p.ID, now)
-	f.doubts.Report(p.ID, ownDoubt, true, now)
-	metricDoubts.Add(cause, 1)
+func (f *fleet) suspect(p *pooled, cause string, now time.Time) {
+	known := f.suspicions.Agreed(p.ID, now)
+	f.suspicions.Report(p.ID, ownSuspicion, true, now)
+	metricSuspicions.Add(cause, 1)
 	f.log.Warn("target doubted", "target", p.ID, "service", p.Service, "cause", cause, "by", "own requests", "known", known)
-	f.avoidDoubted(now)
-	f.avoid(p, now)
+	f.avoidSuspected(now)
+	f.updateAvoided(p, now)
 	if !known {
 		// Each word is read by all gateways.
-		f.tellDoubt(doubt{Target: p.ID, Born: p.Born, Cause: cause})
+		f.shareSuspicion(suspicion{Target: p.ID, Born: p.Born, Cause: cause})
 	}
 }
 
 // ownDoubt is the source of this gateway's own doubts.
-const ownDoubt = "own"
+const ownSuspicion = "own"
 
 // doubted takes the doubt of another gateway.
-func (f *fleet) doubted(d doubt, source string, now time.Time) {
+func (f *fleet) addSuspicion(d suspicion, source string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.pools[d.Target]
 	if p == nil || p.Born != d.Born {
 		return
 	}
-	f.doubts.Report(d.Target, source, false, now)
-	metricDoubts.Add("told", 1)
-	f.log.Info("target doubted", "target", d.Target, "service", p.Service, "cause", d.Cause, "by", source, "reports", f.doubts.Count(d.Target, now))
-	f.avoidDoubted(now)
-	f.avoid(p, now)
+	f.suspicions.Report(d.Target, source, false, now)
+	metricSuspicions.Add("told", 1)
+	f.log.Info("target doubted", "target", d.Target, "service", p.Service, "cause", d.Cause, "by", source, "reports", f.suspicions.Count(d.Target, now))
+	f.avoidSuspected(now)
+	f.updateAvoided(p, now)
 }
 
 // avoidDoubted has no requests sent to targets that are doubted, as far as their service has
 // enough others. It is called with the lock held.
-func (f *fleet) avoidDoubted(now time.Time) {
-	if !f.doubts.Any() {
+func (f *fleet) avoidSuspected(now time.Time) {
+	if !f.suspicions.Any() {
 		return
 	}
 	services := map[string][]string{}
@@ -162,26 +162,26 @@
 		services[p.Service] = append(services[p.Service], id)
 	}
 	for _, targets := range services {
-		for _, id := range f.doubts.Avoided(targets, now) {
-			f.pools[id].doubtedUntil = now.Add(doubtHold)
+		for _, id := range f.suspicions.Avoided(targets, now) {
+			f.pools[id].suspectedUntil = now.Add(suspicionHold)
 		}
 	}
-	f.doubts.Expire(now)
+	f.suspicions.Expire(now)
 }
 
 // doubtHold is how long a target is avoided by one look: until after the next.
-const doubtHold = 3 * tickEvery / 2
+const suspicionHold = 3 * tickEvery / 2
 
 // strike counts a failure that says something of its target. It is called with the lock
 // held.
 func (f *fleet) strike(p *pooled, cause string, now time.Time) {
 	if p.strikes.Add(now) {
-		f.doubt(p, cause, now)
+		f.suspect(p, cause, now)
 	}
 }
 
 // broke takes the end of a plain request without an answer.
-func (f *fleet) broke(p *pending, err error, now time.Time) {
+func (f *fleet) pendingBroke(p *pending, err error, now time.Time) {
 	if severityOf(err) == health.Hard || errors.Is(err, context.Canceled) {
 		return
 	}
--- a/gateway/doubts_test.go
+++ b/gateway/suspicions_test.go
@@ -37,20 +37,20 @@
 		is := is.New(t)
 		var store written
 		ctx, stop := context.WithCancel(t.Context())
-		tellers := []*doubts{newDoubts("front-1", &store, slog.New(slog.DiscardHandler)), newDoubts("front-2", &store, slog.New(slog.DiscardHandler))}
+		tellers := []*suspicionExchange{newSuspicionExchange("front-1", &store, slog.New(slog.DiscardHandler)), newSuspicionExchange("front-2", &store, slog.New(slog.DiscardHandler))}
 		for _, d := range tellers {
 			go d.run(ctx)
-			d.tell(doubt{Target: "t0", Born: 7, Cause: causeUnanswered})
-			time.Sleep(tellEvery)
+			d.share(suspicion{Target: "t0", Born: 7, Cause: causeUnanswered})
+			time.Sleep(shareInterval)
 		}
 		stop()
 		synctest.Wait()
 		is.Equal(len(store.changes), 2)
 
 		var heard []string
-		reader := newDoubts("front-3", &store, slog.New(slog.DiscardHandler))
-		reader.report = func(d doubt, source string, _ time.Time) { heard = append(heard, d.Target+" by "+source) }
-		reader.take([]kv.Item{store.item(0), store.item(1), {Key: doubtsPrefix + "x", Value: []byte("{")}})
+		reader := newSuspicionExchange("front-3", &store, slog.New(slog.DiscardHandler))
+		reader.report = func(d suspicion, source string, _ time.Time) { heard = append(heard, d.Target+" by "+source) }
+		reader.apply([]kv.Item{store.item(0), store.item(1), {Key: suspicionsPrefix + "x", Value: []byte("{")}})
 		is.Equal(len(heard), 2)
 		is.True(heard[0] != heard[1])
 	})
@@ -62,14 +62,14 @@
 	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), first, second)
 	now := time.Now()
-	r.gateway.fleet.doubted(doubt{Target: "t0", Born: 99}, "front-1", now)
-	r.gateway.fleet.doubted(doubt{Target: "t0", Born: 99}, "front-2", now)
-	r.gateway.fleet.doubted(doubt{Target: "t0"}, "front-1", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", Born: 99}, "front-1", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", Born: 99}, "front-2", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0"}, "front-1", now)
 	for range 30 {
 		r.ask()
 	}
 	r.True(len(first.Seen()) > 0)
-	r.gateway.fleet.doubted(doubt{Target: "t0"}, "front-2", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0"}, "front-2", now)
 	before := len(first.Seen())
 	for range 30 {
 		r.ask()
