--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -14,12 +14,11 @@
 	"verbenashift/core/request/queue"
 )
 
-// passPoll is how often a request that was refused looks whether it may go
-// again.
+// retryPoll is how often a refused request checks whether it may be sent again.
 const retryPoll = 40 * time.Millisecond
 
-// admitter lets requests through to the engines of one service: it carries what a
-// admission.Pool decides to the requests that wait. It is safe for concurrent use.
+// admitter admits requests to the engines of one service: it delivers the decisions of an
+// admission.Pool to the waiting requests. It is safe for concurrent use.
 type admitter struct {
 	log     *slog.Logger
 	service string
@@ -30,7 +29,7 @@
 	next    uint64
 }
 
-// newAdmitter returns the way to engines that are not known yet.
+// newAdmitter returns an admitter whose engines are not known yet.
 func newAdmitter(service string, log *slog.Logger) *admitter {
 	a := &admitter{
 		log: log, service: service,
@@ -41,7 +40,7 @@
 	return a
 }
 
-// locked runs a step of the pool and tells the requests what it has decided.
+// locked calls step with the pool and delivers the decisions that result.
 func (a *admitter) locked(step func(p *admission.Pool, now time.Time)) {
 	now := time.Now()
 	a.mu.Lock()
@@ -55,27 +54,27 @@
 	}
 }
 
-// resize takes the slots of the engines, by group.
+// resize sets the slots of the engines, by group.
 func (a *admitter) resize(slots map[string]int) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.SetGroups(slots, now) })
 }
 
-// tell takes the load of a group as its steward tells it.
+// reportLoad records the load of a group as reported by its coordinator.
 func (a *admitter) reportLoad(l admission.Load) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.ReportLoad(l, now) })
 }
 
-// silent tells that nothing comes from a group.
+// markStalled records that a group makes no progress.
 func (a *admitter) markStalled(group string, until time.Time) {
 	a.locked(func(p *admission.Pool, _ time.Time) { p.MarkStalled(group, until) })
 }
 
-// place is where a request runs. Its zero value is nowhere.
+// slot is where a request runs. Its zero value is no slot.
 type slot struct {
 	id, group string
 }
 
-// enter waits for a place. A refusal says that the request has not run.
+// acquire waits for a slot. A refusal means that the request has not run.
 func (a *admitter) acquire(ctx context.Context, c *call) (slot, *outcome.Error) {
 	id, ready, refusal := a.enqueue(c)
 	if refusal != nil {
@@ -90,7 +89,7 @@
 	}
 }
 
-// settled returns the place that a request has got, or its refusal.
+// resolve returns the slot that a request was given, or its refusal.
 func (a *admitter) resolve(c *call, s admission.Decision) (slot, *outcome.Error) {
 	if s.Refusal != nil {
 		a.setRetryAfter(c, s.Refusal)
@@ -99,8 +98,8 @@
 	return slot{id: s.ID, group: s.Group}, nil
 }
 
-// join puts a request into the queue and returns its key and where its turn will
-// be told, or refuses it at once.
+// enqueue adds a request to the queue and returns its key and the channel of its
+// decision, or refuses it at once.
 func (a *admitter) enqueue(c *call) (id string, ready <-chan admission.Decision, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		a.next++
@@ -114,7 +113,7 @@
 	return id, ready, refusal
 }
 
-// asked returns the call as a pool sees it.
+// admissionRequest returns the call as the request of an admission.Pool.
 func (c *call) admissionRequest(id string) admission.Request {
 	return admission.Request{
 		ID: id, Workspace: c.workspaceName(), Cost: int64(c.cost()), Objective: c.route.Objective,
@@ -122,7 +121,7 @@
 	}
 }
 
-// silence is how long the caller waits for the first part of its answer.
+// firstEventPatience returns how long the caller waits for the first part of its answer.
 func (c *call) firstEventPatience() time.Duration {
 	left := c.deadline.Sub(c.arrived)
 	if c.route.Silence > 0 {
@@ -131,7 +130,7 @@
 	return left
 }
 
-// withdraw takes back a request whose caller has left or whose time is over.
+// withdraw removes a request whose caller has left or whose deadline has passed.
 func (a *admitter) withdraw(id string, ready <-chan admission.Decision) (slot, *outcome.Error) {
 	waits := false
 	a.locked(func(p *admission.Pool, _ time.Time) {
@@ -149,7 +148,7 @@
 	return slot{id: s.ID, group: s.Group}, nil
 }
 
-// later sets in a refusal when the caller may come back, if the service is down.
+// setRetryAfter sets when the caller may retry after a refusal, if the service is down.
 func (a *admitter) setRetryAfter(c *call, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if wait, down := p.RetryAfter(c.deadline.Sub(now), now); down {
@@ -158,7 +157,7 @@
 	})
 }
 
-// refused tells that a target has refused the request at a place.
+// refused records that a target has refused the request in a slot.
 func (a *admitter) refused(at slot, target string) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if p.Refused(at.id, target, now) {
@@ -167,7 +166,7 @@
 	})
 }
 
-// accepted tells that a target has taken the request at a place.
+// accepted records that a target has accepted the request in a slot.
 func (a *admitter) accepted(at slot) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if p.Accepted(at.id, now) {
@@ -176,8 +175,8 @@
 	})
 }
 
-// move returns the place for another attempt of a request: its group may stand or be
-// lost while others work.
+// move returns the slot for another attempt of a request: its group may have stalled or
+// been removed while others work.
 func (a *admitter) move(at slot, requestID string) slot {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		group, moved := p.Move(at.id, now)
@@ -189,11 +188,11 @@
 	return at
 }
 
-// pass waits until a request that was refused may be sent again: a group takes requests,
-// and there is a retry for it. It reports false if the request had better be refused: the
-// service is down for long, or the time is over that a request waits for its place.
-// Without that bound a caller is held to its deadline. A caller that has a part of its
-// answer waits on, since nothing can be refused any more.
+// awaitRetry waits until a refused request may be sent again: a group accepts requests, and
+// the retry budget allows it. It reports false if the request should be refused, because the
+// service has been down for long or the longest wait for a slot is over. Without that bound
+// a caller would be held until its deadline. A caller that has received a part of its answer
+// keeps waiting, since its request can no longer be refused.
 func (a *admitter) awaitRetry(ctx context.Context, c *call) (waited, ok bool) {
 	until := c.arrived.Add(a.maxRetryWait(c))
 	for ctx.Err() == nil {
@@ -211,14 +210,14 @@
 	return waited, true
 }
 
-// longestAgain returns how long after its arrival a request may be sent once more.
+// maxRetryWait returns how long after its arrival a request may be sent once more.
 func (a *admitter) maxRetryWait(c *call) (longest time.Duration) {
 	a.locked(func(p *admission.Pool, now time.Time) { longest = p.MaxRetryWait(c.admissionRequest(c.slot.id), now) })
 	return longest
 }
 
-// mayPass reports whether the request at a place may be tried again now, if there is a
-// retry for it, and whether the service has been down for long.
+// mayRetry reports whether the request in a slot may be sent again now, given whether the
+// budget has a retry for it, and whether the service has been down for long.
 func (a *admitter) mayRetry(at slot, retry bool) (may, lasting bool) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		may = retry && p.MayRetry(at.id, now)
@@ -227,17 +226,17 @@
 	return may, lasting
 }
 
-// began tells how long after its start the request at a place got its first event.
+// observeFirstEvent records how long after its start the request in a slot got its first event.
 func (a *admitter) observeFirstEvent(at slot, after time.Duration) {
 	a.locked(func(p *admission.Pool, _ time.Time) { p.ObserveFirstEvent(at.id, after) })
 }
 
-// leave gives the place of a request back.
+// release returns the slot of a request.
 func (a *admitter) release(at slot, cost float64) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.Done(at.id, int64(cost), now) })
 }
 
-// tick lets time pass: requests that can no longer start in time are refused.
+// tick refuses the requests that can no longer start in time, and updates the metrics.
 func (a *admitter) tick() {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		p.Tick(now)
@@ -245,7 +244,7 @@
 	})
 }
 
-// show sets the metrics of the queue and, while somebody waits, writes a line.
+// show sets the metrics of the queue and, while requests wait, logs its state.
 func (a *admitter) show(p *admission.Pool, now time.Time) {
 	l := p.Load()
 	set(metricWaiting, a.service, l.Items)
@@ -270,7 +269,7 @@
 	m.Set(key, v)
 }
 
-// one is 1 for true.
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -24,7 +24,7 @@
 	return a
 }
 
-// refusedAdmitter is one of a service whose targets have all just refused, and the place
+// refusedAdmitter returns the admitter of a service whose targets have all just refused, and the slot
 // of the request that they have refused.
 func refusedAdmitter(t *testing.T) (*admitter, slot) {
 	t.Helper()
@@ -39,14 +39,14 @@
 	return a, probe
 }
 
-// limit is how many requests may be at the engines of an admitter with one group.
+// limit returns how many requests an admitter with one group may send to the engines.
 func limit(a *admitter) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.pool.Groups(time.Now())[0].Limit
 }
 
-// caller is a call that has just arrived.
+// caller returns a call that has just arrived.
 func caller(returning bool) *call {
 	now := time.Now()
 	return &call{
@@ -58,7 +58,7 @@
 	}
 }
 
-// enter starts callers at once and returns where their refusals will come.
+// enter starts callers at once and returns the channels of their refusals.
 func enter(ctx context.Context, a *admitter, callers ...*call) []chan *outcome.Error {
 	out := make([]chan *outcome.Error, len(callers))
 	for i, c := range callers {
@@ -72,8 +72,7 @@
 	return out
 }
 
-// Guards against sending callers away for a restart of all targets that is over in half a
-// second.
+// Guards against refusing callers during a restart of all targets that takes half a second.
 func TestCallersWaitForARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,12 +87,12 @@
 	})
 }
 
-// Guards against holding callers of a service that is down until their time is over.
+// Guards against holding callers of a service that is down until their deadline.
 func TestCallersOfAServiceThatIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, probe := refusedAdmitter(t)
-		// There is no place for a probe.
+		// There is no free slot for a probe.
 		a.reportLoad(admission.Load{Complete: true, Running: 10000})
 		c := caller(false)
 		waiting := enter(t.Context(), a, c)
@@ -119,7 +118,7 @@
 	})
 }
 
-// Guards against a wait that helps nobody, and a service that nobody finds to be back.
+// Guards against pointless waits, and against never detecting that a service has recovered.
 func TestServiceThatStaysDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -146,7 +145,7 @@
 	})
 }
 
-// Guards against holding a refused request until its time is over while other requests find out
+// Guards against holding a refused request until its deadline while other requests find out
 // that the service is down.
 func TestRefusedProbeIsNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -180,7 +179,7 @@
 	})
 }
 
-// Guards against ending a request for want of a retry while its caller would still wait.
+// Guards against failing a request because the retry budget is empty while its caller would still wait.
 func TestRefusedRequestWaitsForARetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -209,7 +208,7 @@
 	})
 }
 
-// Guards against a second refusal, which is mostly the last, while new callers are served.
+// Guards against a second refusal, which is usually the last attempt, while new callers are served.
 func TestReturningCallersGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -225,11 +224,11 @@
 		time.Sleep(2 * time.Second)
 		a.tick()
 		synctest.Wait()
-		is.True(<-waiting[0] != nil) // late by then, and told so
+		is.True(<-waiting[0] != nil) // late by then, and refused as such
 	})
 }
 
-// Guards against places that are kept for callers who have left.
+// Guards against slots that stay reserved for callers who have disconnected.
 func TestCallerLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -247,8 +246,8 @@
 	})
 }
 
-// Guards against requests that wait at full engines, and a limit that outlasts the word it
-// follows from.
+// Guards against requests that queue at full engines, and a limit that outlasts the digest it
+// is based on.
 func TestLimitByDigest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -265,7 +264,7 @@
 	})
 }
 
-// Guards against sending callers away for a change of the expert map.
+// Guards against refusing callers during a change of the expert map.
 func TestCallersWaitForAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -285,7 +284,7 @@
 	})
 }
 
-// Guards against a line in which all are late, since nobody is told that it can only be late.
+// Guards against a queue in which all requests are late because none that can only be late is refused.
 func TestWhoCannotBeOnTimeIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -15,7 +15,7 @@
 	"verbenashift/platform"
 )
 
-// answered takes the head of a server's answer.
+// answered handles the head of a server's answer.
 func (c *call) answered(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
 	now := time.Now()
 	a := platform.ParseAnswer(reply.Status, reply.Header)
@@ -42,7 +42,7 @@
 	return c.relayComplete(ctx, s, reply)
 }
 
-// whole passes on an answer that was read to its end.
+// relayComplete reads an answer to its end and passes it on.
 func (c *call) relayComplete(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
 	body, err := io.ReadAll(io.LimitReader(reply, maxAnswer+1))
 	if err != nil {
@@ -64,7 +64,7 @@
 	return 0, "", true
 }
 
-// pass sends the caller a whole answer of a server.
+// writeAnswer sends the caller the complete answer of a server.
 func (c *call) writeAnswer(a *answer) {
 	platform.CopyAnswerHeaders(c.w.Header(), a.header)
 	c.w.WriteHeader(a.status)
@@ -91,11 +91,11 @@
 	c.logOutcome(line...)
 }
 
-// giveUp ends a request that no server has answered.
+// fail ends a request that no server has answered.
 func (c *call) fail(e *outcome.Error, reason string) {
 	if c.begun {
-		// The caller has a part of the stream: only a broken connection tells
-		// it that the rest is missing.
+		// The caller has received a part of the stream: only aborting the
+		// connection shows it that the rest is missing.
 		metricBrokenOff.Add(1)
 		c.logOutcome("outcome", "broken-off", "reason", reason, "why", e.Reason, "last-event", c.lastEvent)
 		panic(http.ErrAbortHandler)
@@ -117,12 +117,12 @@
 	}
 }
 
-// refuse says that the request has not run and never will.
+// refuse answers that the request has not run and never will.
 func (c *call) refuse(reason string, retryAfter time.Duration) {
 	c.respond(platform.StatusNotRun, reason, retryAfter)
 }
 
-// end sends an answer of the gateway's own.
+// respond sends an answer that the gateway itself generates.
 func (c *call) respond(status int, reason string, retryAfter time.Duration) {
 	metricRequests.Add(strconv.Itoa(status), 1)
 	metricRefusals.Add(reasonClass(reason), 1)
@@ -132,7 +132,7 @@
 	c.logOutcome("status", status, "reason", reason, "retry-after-ms", retryAfter.Milliseconds())
 }
 
-// reasonClass cuts off of a reason what differs from request to request, such as
+// reasonClass returns a reason without the parts that differ between requests, such as
 // the name of a target.
 func reasonClass(reason string) string {
 	for _, class := range []string{"refused by", "failed by", "request not sent", "answer broken"} {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -18,8 +18,8 @@
 	"verbenashift/platform"
 )
 
-// attempt sends the request once. Done says that the caller has its answer, or
-// has left.
+// attempt sends the request once. Done reports that the caller has its answer, or
+// has disconnected.
 func (c *call) attempt(ctx context.Context) (kind retry.Kind, reason string, done bool) {
 	if ctx.Err() != nil {
 		return retry.RefusedAll, "deadline", c.callerLeft()
@@ -37,19 +37,19 @@
 	c.ran++
 	metricAttempts.Add(1)
 	ctx, span := c.startTarget(ctx, s)
-	// It ends with the hop also when the caller's connection is broken off.
+	// The deferred call ends the span also if the caller's connection is aborted.
 	defer func() { endTarget(span, reason) }()
 	return c.send(ctx, s)
 }
 
-// reasonNoTarget is why a request is refused that no target may take.
+// reasonNoTarget is the reason of a refusal when no target may take the request.
 const reasonNoTarget = "no target"
 
-// heldPoll is how often a request that waits for a target looks for one.
+// throttledPoll is how often a request that waits for a throttled target tries to pick one.
 const throttledPoll = 20 * time.Millisecond
 
-// pickInTime chooses a target. If those that could take the request have asked that nothing
-// be sent to them yet, it waits for its turn, as far as that is near.
+// pickOrWait picks a target. If all candidates are throttled, it waits for one, provided
+// that the expected wait is short.
 func (c *call) pickOrWait(ctx context.Context) (sent, bool) {
 	s, ok := c.pick()
 	if ok || !c.shouldWait(0) {
@@ -66,9 +66,9 @@
 	return s, ok
 }
 
-// turnIsNear reports whether a request that no target takes yet should wait for one. Otherwise
-// its caller is told when its turn would be. Own is 1 if the request is one of those that
-// wait already.
+// shouldWait reports whether a request whose candidates are all throttled should wait for one.
+// Otherwise it sets the time after which the caller may retry. Own is 1 if the request is
+// already counted as waiting.
 func (c *call) shouldWait(own int) bool {
 	now := time.Now()
 	o, held := c.fleet.availability(c.query(), now)
@@ -84,13 +84,13 @@
 	return false
 }
 
-// query asks for a target in the group where the request has its place.
+// query returns a query for a target in the group of the request's slot.
 func (c *call) query() *route.Query {
 	return &route.Query{Service: c.service, Group: c.slot.group, Cost: c.cost(), MayNotRepeat: c.attempts.MayNotRepeat, Exclude: c.exclude}
 }
 
-// pick chooses a target in the group where the request has its place, or elsewhere if
-// none there may take it.
+// pick chooses a target in the group of the request's slot, or in any group if none there
+// may take it.
 func (c *call) pick() (sent, bool) {
 	q := c.query()
 	s, ok := c.fleet.pick(q, time.Now())
@@ -101,7 +101,7 @@
 	return s, ok
 }
 
-// send sends the request to a target and takes its answer.
+// send sends the request to a target and handles its answer.
 func (c *call) send(ctx context.Context, s sent) (kind retry.Kind, reason string, done bool) {
 	watched := ctx
 	if c.route.Kind == deployment.Stream && c.route.Repeatable() {
@@ -136,8 +136,7 @@
 }
 
 // attemptFailed classifies an attempt without an answer. The context is that of
-// the attempt: an attempt that was ended because it was no longer wanted here says
-// nothing of its target.
+// the attempt: one that the gateway canceled itself says nothing about its target.
 func (c *call) attemptFailed(ctx context.Context, s sent, err error) (retry.Kind, string, bool) {
 	cause := context.Cause(ctx)
 	switch cause {
@@ -205,16 +204,16 @@
 	}
 }
 
-// again waits until a request that a target has refused may be sent once more. It
-// reports false if it had better be refused.
+// awaitRetry waits until a request that a target has refused may be sent once more. It
+// reports false if the request should be refused instead.
 func (c *call) awaitRetry(ctx context.Context) bool {
 	if c.admitter == nil {
 		return true
 	}
 	waited, ok := c.admitter.awaitRetry(ctx, c)
 	if waited && ok {
-		// All targets of its group have refused: that says nothing of the ones that it
-		// was sent to.
+		// All targets of the group have refused requests: that says nothing about those
+		// that this request was sent to.
 		c.exclude = route.Exclude{}
 		c.attempts.Errors = 0
 	}
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -9,17 +9,18 @@
 	"verbenashift/platform"
 )
 
-// backpressure is what targets have asked for in their answers: a rate limit, a pause, or no new
-// requests since they shut down. The fleet's lock guards it.
+// backpressure is what targets have requested in their answers: a rate limit, a pause, or no new
+// requests because they are shutting down. The fleet's lock guards it.
 type backpressure struct {
 	limits *limits
-	// paused is until when targets want nothing of this gateway.
+	// paused holds until when targets want no requests from this gateway.
 	paused map[string]time.Time
-	// held are the targets that take no request yet, whether for a limit or a pause.
+	// held holds the throttled targets: those that take no request now because of a limit or
+	// a pause.
 	held map[string]bool
 	// waiting counts the requests by service that wait for a held target.
 	waiting map[string]int
-	// refusing are the targets that are avoided since they refuse requests.
+	// refusing holds the targets that are avoided because they refuse requests.
 	refusing map[string]*pooled
 }
 
@@ -30,8 +31,8 @@
 	}
 }
 
-// drop forgets what an earlier start of a target has asked. Stays says that it has started
-// again, as one that was born at a time.
+// drop removes what an earlier incarnation of a target has requested. Stays reports that the
+// target has restarted; born identifies its new incarnation.
 func (b *backpressure) drop(id string, born int64, stays bool) {
 	delete(b.held, id)
 	delete(b.paused, id)
@@ -43,7 +44,7 @@
 	b.limits.remove(id)
 }
 
-// applyBackpressure takes what a target asks for in an answer. It is called with the lock held.
+// applyBackpressure applies what a target requests in an answer. It is called with the lock held.
 func (f *fleet) applyBackpressure(s sent, a platform.Answer, now time.Time) {
 	if a.Leaving && !s.target.announcedShutdown {
 		f.markLeaving(s, a.ID)
@@ -61,8 +62,8 @@
 	}
 }
 
-// markLeaving takes the word of a target that it leaves. Its entry in the store may never say so.
-// It is called with the lock held.
+// markLeaving records that a target has announced its shutdown in an answer. Its entry in the
+// store may never say so. It is called with the lock held.
 func (f *fleet) markLeaving(s sent, requestID string) {
 	p := s.target
 	p.announcedShutdown = true
@@ -73,8 +74,8 @@
 	}
 }
 
-// limited takes the limit that an answer names, or nil if it names none. It is called with
-// the lock held.
+// applyLimit records the rate limit that an answer states, or nil if it states none. It is
+// called with the lock held.
 func (f *fleet) applyLimit(s sent, requestID string, limit *float64, now time.Time) {
 	p := s.target
 	if !f.backpressure.limits.observe(permit.Response{Target: p.ID, Service: p.Service, StartedAt: p.Born, Limit: limit, Sent: s.started}, now) {
@@ -88,8 +89,8 @@
 	f.log.Info("target set a rate limit", "id", requestID, "target", p.ID, "service", p.Service, "requests-a-second", *limit)
 }
 
-// pause leaves a target alone for the time that it has asked for. It is called with the lock
-// held.
+// pause sends no requests to a target for the time that it has requested. It is called with the
+// lock held.
 func (f *fleet) pause(p *pooled, requestID string, d time.Duration, now time.Time) {
 	metricPauses.Add(1)
 	f.log.Info("target requested a pause", "id", requestID, "target", p.ID, "service", p.Service, "ms", d.Milliseconds())
@@ -102,8 +103,8 @@
 	f.setHeld(p.ID, true)
 }
 
-// refused takes the refusal of a target that has not asked for a pause, or a failure of it. It
-// is called with the lock held.
+// refused records a failure of a target, or a refusal without a requested pause. It is called
+// with the lock held.
 func (f *fleet) refused(p *pooled, now time.Time) {
 	if f.pools[p.ID] != p {
 		return // It has ended meanwhile.
@@ -113,8 +114,8 @@
 	f.updateAvoided(p, now)
 }
 
-// hold keeps requests for a service away from the targets that take none yet. It is called
-// with the lock held.
+// updateThrottled updates which targets are throttled, before a target is picked for a service.
+// It is called with the lock held.
 func (f *fleet) updateThrottled(service string, now time.Time) {
 	unready := f.backpressure.limits.unready(service, now)
 	if len(unready) == 0 && len(f.backpressure.held) == 0 {
@@ -137,7 +138,7 @@
 	}
 }
 
-// setHeld has no request sent to a target, or again. It is called with the lock held.
+// setHeld stops or resumes sending requests to a target. It is called with the lock held.
 func (f *fleet) setHeld(id string, held bool) {
 	if held {
 		f.backpressure.held[id] = true
@@ -149,8 +150,8 @@
 	}
 }
 
-// expireRefusals has requests sent again to targets that have refused some. It is called with the
-// lock held.
+// expireRefusals resumes sending requests to targets whose refusals are long enough ago. It is
+// called with the lock held.
 func (f *fleet) expireRefusals(now time.Time) {
 	for id, p := range f.backpressure.refusing {
 		if !p.refusals.Avoided(now) {
@@ -160,8 +161,8 @@
 	}
 }
 
-// opening returns what is known of the targets of a query that take no request yet, and false
-// if there are none.
+// availability returns when the throttled targets of a query are expected to take requests, and
+// false if none is throttled.
 func (f *fleet) availability(q *route.Query, now time.Time) (permit.Availability, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,7 +179,7 @@
 	return o, some
 }
 
-// wait counts a request that begins or ends to wait for a target of a service.
+// countWaiting adds change to the number of requests that wait for a target of a service.
 func (f *fleet) countWaiting(service string, change int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -12,11 +12,11 @@
 	"verbenashift/platform"
 )
 
-// maxAnswer is the longest answer that is read whole before its head is passed
-// on, so that one that breaks off can be replaced.
+// maxAnswer is the longest answer that is buffered completely before its head is passed
+// on, so that an answer that breaks off can be replaced.
 const maxAnswer = 1 << 20
 
-// call is one request of a caller on its way.
+// call is one request of a caller in progress.
 type call struct {
 	*gateway
 	w http.ResponseWriter
@@ -27,7 +27,7 @@
 	quarantineState
 }
 
-// request is what a call asks for. It does not change once the call was admitted.
+// request is what a call asks for. It does not change once the call is admitted.
 type request struct {
 	req     platform.Request
 	route   *deployment.Route
@@ -37,46 +37,46 @@
 	arrived time.Time
 	// deadline is the earlier of what the route and the caller allow.
 	deadline time.Time
-	// version is that of the configuration that the request was judged by.
+	// version is that of the configuration that applies to the request.
 	version int64
-	// returning says that the caller has been refused or has failed before.
+	// returning is set if the caller was refused or has failed before.
 	returning bool
 }
 
-// journey is where a call has been and where it is.
+// progress is the state of the attempts of a call.
 type progress struct {
 	attempts retry.Attempts
-	// held is how long it waited for the gateway to start, queued for a place; last is its
-	// last attempt.
+	// startupWait is how long the call waited for the gateway to start, queued how long it
+	// took until it got a slot; last is its last attempt.
 	startupWait time.Duration
 	queued      time.Duration
 	last        sent
 	// ran counts the servers that may have run it.
 	ran     int
 	exclude route.Exclude
-	// admitter is that of the service, if it has one; place is where the request runs.
+	// admitter is that of the service, if it has one; slot is where the request runs.
 	admitter *admitter
 	slot     slot
-	// flight is the watch over a stream that may go on elsewhere.
+	// stream tracks a stream that may be resumed at another target.
 	stream *activeStream
-	// pending is the watch over a plain request.
+	// pending tracks a plain request.
 	pending *pending
-	// failure is the server's own failure, passed on if nothing better comes.
+	// failure is a server's own error answer, passed on if no attempt succeeds.
 	failure *answer
-	// comeback is when a target takes the request that no target takes yet; 0 if that is
-	// not known.
+	// retryAfter is how long it takes until a throttled target may take the request; 0 if
+	// that is not known.
 	retryAfter time.Duration
 }
 
-// told is what the caller has got so far.
+// delivery is what the caller has received so far.
 type delivery struct {
-	// begun says that the head of the answer has gone out, served that a target's answer
-	// has gone out whole.
+	// begun is set once the head of the answer was sent, served once a target's answer was
+	// sent completely.
 	begun, served bool
 	lastEvent     string
 	lastID        int64
-	// eventAt is when the last event was passed on, firstAfter how long after its
-	// arrival the request got the first, longestPause the longest time between two.
+	// eventAt is when the last event was passed on, firstAfter the time from the arrival
+	// of the request to its first event, longestPause the longest time between two events.
 	eventAt      time.Time
 	firstAfter   time.Duration
 	longestPause time.Duration
@@ -91,22 +91,21 @@
 	}
 }
 
-// answer is one whole answer of a server.
+// answer is one complete answer of a server.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// defaultPatience is how long a caller is served that does not say how long it
-// waits.
+// defaultPatience is the time limit of a request whose caller does not state one.
 const defaultPatience = 60 * time.Second
 
-// errDeadline is why a request is ended that has taken all the time it had.
+// errDeadline is the cause when a request has reached its deadline.
 var errDeadline = errors.New("the time of the request is over")
 
-// admit finds the route and the workspace and reads the body. It answers and
-// reports false if the request goes no further.
+// admit finds the route and the workspace and reads the body. If the request cannot be
+// served, it answers the request and reports false.
 func (c *call) admit(cat *catalog) bool {
 	c.version = cat.config.Version
 	c.route = cat.route(c.r.Host, c.r.URL.Path)
@@ -155,11 +154,11 @@
 	return service(c.route, c.rng)
 }
 
-// key names the budget of retries that the request draws on.
+// key returns the key of the retry budget that the request draws on.
 func (c *call) key() retry.Key { return budgetOf(c.service) }
 
-// budgetOf names the budget of retries at a service: the platform bounds them by
-// service, not by workspace.
+// budgetOf returns the key of the retry budget of a service: the platform bounds retries
+// by service, not by workspace.
 func budgetOf(service string) retry.Key { return retry.Key{Workspace: service, Hop: service} }
 
 func (c *call) decide(kind retry.Kind) retry.Decision {
@@ -167,7 +166,7 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	if c.ran >= c.route.Attempts && kind != retry.Refused && kind != retry.NotSent {
-		// The operator bounds how many servers may run one request.
+		// The operator limits how many servers may run one request.
 		kind = retry.RefusedAll
 		if !c.attempts.HasFailed {
 			c.attempts.MayHaveRun = true
@@ -176,12 +175,12 @@
 	return retry.Decide(&c.attempts, kind, c.budgets.For(c.key()), &c.returns, c.deadline, now, c.rng)
 }
 
-// cost is the expected work of the request in tokens.
+// cost returns the expected work of the request in tokens.
 func (c *call) cost() float64 {
 	return float64(max(c.req.PromptTokens+c.req.AnswerTokens, 1))
 }
 
-// notWritten records that the answer could not be written to the caller.
+// logWriteError logs that the answer could not be written to the caller.
 func (c *call) logWriteError(err error) {
 	c.logOutcome("outcome", "caller-left", "error", err.Error())
 }
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -42,8 +42,8 @@
 	wg.Wait()
 }
 
-// Guards against a target that gets nothing any more after a restart under its name, since what
-// was decided on its earlier incarnation still holds in the table.
+// Guards against a target that gets no requests after a restart under its name because the
+// table still has the state of its earlier incarnation.
 func TestRestartedTargetIsSentRequests(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	other := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
--- a/gateway/catalog.go
+++ b/gateway/catalog.go
@@ -7,13 +7,12 @@
 	"verbenashift/core/configuration/deployment"
 )
 
-// catalog answers questions about one configuration. It is not changed after
-// it was made.
+// catalog indexes one configuration. It is immutable.
 type catalog struct {
 	config *deployment.Config
-	// routes are those of each host.
+	// routes holds the routes by host.
 	routes map[string][]*deployment.Route
-	// workspaces are found by key.
+	// workspaces holds the workspaces by key.
 	workspaces map[string]*deployment.Workspace
 }
 
@@ -32,8 +31,7 @@
 	return c
 }
 
-// route returns the route of a host with the longest prefix that begins the
-// path, or nil.
+// route returns the route of a host with the longest prefix of the path, or nil.
 func (c *catalog) route(host, path string) *deployment.Route {
 	var best *deployment.Route
 	for _, r := range c.routes[host] {
@@ -54,7 +52,7 @@
 	return w, w != nil || r.Public
 }
 
-// service draws one of the services that share a route.
+// service picks one of the services of a route at random, by weight.
 func service(r *deployment.Route, rng *rand.Rand) string {
 	total := 0
 	for _, s := range r.Split {
@@ -73,8 +71,8 @@
 	return r.Split[0].Service
 }
 
-// urgency is the rank of a request, 0 first. That of the workspace goes before
-// that of the route.
+// urgency returns the priority of a request; 0 is the highest. The priority of the workspace
+// overrides that of the route.
 func urgency(r *deployment.Route, w *deployment.Workspace) int {
 	if w != nil && w.Priority != nil {
 		return *w.Priority
--- a/gateway/catalog_test.go
+++ b/gateway/catalog_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// Guards against serving a key that was taken away, and refusing a public route.
+// Guards against accepting a removed key, and against refusing a public route.
 func TestKeys(t *testing.T) {
 	is := is.New(t)
 	c := testCatalog()
@@ -76,7 +76,7 @@
 	is.Equal(service(&deployment.Route{Split: []deployment.Share{{Service: "only"}}}, rng), "only")
 }
 
-// Guards against passing on a part of an event.
+// Guards against passing on an incomplete event.
 func TestEventsAreWhole(t *testing.T) {
 	is := is.New(t)
 	var e events
--- a/gateway/digests.go
+++ b/gateway/digests.go
@@ -17,24 +17,26 @@
 )
 
 const (
-	// digestEvery is how often a gateway asks a steward: about as often as the
-	// steward looks.
+	// digestInterval is how often a gateway polls a coordinator: about as often as the
+	// coordinator polls its ranks.
 	digestInterval = 200 * time.Millisecond
-	// digestWait bounds one ask inside a region.
+	// digestTimeout bounds one request inside a region.
 	digestTimeout = 150 * time.Millisecond
-	// digestPause is the mean pause after a failure: a steward that is gone is
-	// replaced in about a second.
+	// digestRetryDelay is the mean delay after a failure: a failed coordinator is replaced
+	// in about a second.
 	digestRetryDelay = 500 * time.Millisecond
-	// lifeValid is how long after the last digest of a group those of an earlier epoch
-	// or term are refused. A steward that was paused ends within a second of waking.
+	// digestVersionValid is how long after the last digest of a group those of an earlier
+	// epoch or term are rejected. A coordinator that was paused steps down within a second
+	// after it resumes.
 	digestVersionValid = 5 * time.Second
 )
 
-// digests learns how the ranks of all expert groups are loaded: from their stewards, or
-// from the relays that have a steward's view where there are some.
+// digests polls the load of the ranks of all expert groups: from their coordinators, or from
+// relays that have a coordinator's digest where there are some.
 type digests struct {
-	// instance is the gateway's; event returns the newest change of the store that it has
-	// seen, hint takes what others have, and whether they rely on this one.
+	// instance is the name of the gateway. Event returns the newest revision of the store that
+	// it has seen; hint receives the newest one that others have seen, and whether they rely
+	// on this gateway.
 	instance string
 	event    func() int64
 	hint     func(event int64, short bool)
@@ -42,16 +44,16 @@
 	use      func(*rankpeer.Digest, time.Time)
 
 	mu sync.Mutex
-	// stewards are where those of the groups listen.
+	// coordinators holds the addresses of the coordinators, by group.
 	coordinators map[string]string
-	// gaps are the longest pauses that callers of the groups are to see.
+	// gaps holds the longest pauses in a stream that callers should see, by group.
 	gaps map[string]time.Duration
-	// last are the epoch and the term of the newest digest of each group.
+	// last holds the version of the newest digest of each group.
 	last map[string]digestVersion
 }
 
-// life orders the digests of one group. It is of a time at, after which it counts for a
-// while: a group may be built anew under its name, with epochs that begin again.
+// digestVersion orders the digests of one group. It applies for a limited time after at,
+// since a group may be recreated under the same name, with epochs that start again.
 type digestVersion struct {
 	epoch, term int64
 	at          time.Time
@@ -61,7 +63,7 @@
 	return &digests{instance: instance, event: func() int64 { return 0 }, hint: func(int64, bool) {}, gaps: map[string]time.Duration{}, log: log, use: use, coordinators: map[string]string{}, last: map[string]digestVersion{}}
 }
 
-// update takes a new view: where the stewards are.
+// update applies the addresses of the coordinators in a new view of the store.
 func (d *digests) update(v *mirror.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,8 +83,8 @@
 	}
 }
 
-// gapsOf returns the longest pauses that callers of the groups are to see, for those whose
-// targets say which group is theirs.
+// gapsOf returns the longest pauses in a stream that callers should see, for the groups that
+// the entries of their targets name.
 func gapsOf(v *mirror.View) map[string]time.Duration {
 	gaps := map[string]time.Duration{}
 	for id := range v.Targets {
@@ -94,42 +96,44 @@
 	return gaps
 }
 
-// gap returns the longest pause that callers of a group are to see, or 0 if it is not known.
+// gap returns the longest pause that callers of a group should see, or 0 if it is not known.
 func (d *digests) gap(group string) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gaps[group]
 }
 
-// steward returns where the steward of a group listens.
+// coordinator returns the address of the coordinator of a group.
 func (d *digests) coordinator(group string) string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.coordinators[group]
 }
 
-// source is whom a gateway asks for the digests of one group.
+// source is the agent that a gateway polls for the digests of one group.
 type source struct {
 	client *rankpeer.Client
 	addr   string
-	// relays are the other agents that have the digest.
+	// relays holds the addresses of other agents that have the digest.
 	relays []string
-	// failures counts the asks in a row that brought nothing to use.
+	// failures counts consecutive requests without a usable digest.
 	failures int
 }
 
 const (
-	// digestValid is how old the digest of a relay may be: several rounds of a steward.
+	// maxDigestAge is how old the digest of a relay may be: several polling rounds of a
+	// coordinator.
 	maxDigestAge = time.Second
-	// relayTries is how many relays are asked before the steward is. While a steward is
-	// silent and the next one is not heard yet, all relays have an old digest; if all
-	// gateways went to the new steward then, its link would be full just when it looks
-	// for its ranks.
+	// relayTries is how many relays are polled before the coordinator is. While a coordinator
+	// is silent and the next one has not reported yet, all relays have an old digest. If all
+	// gateways then polled the new coordinator, they would saturate its link just when it
+	// contacts its ranks.
 	relayTries = 4
 )
 
-// next chooses whom to ask next: a relay, any one, as long as it answers; then other
-// relays; the steward if there is none, or if they bring nothing.
+// next chooses the agent to poll next: a random relay, which is kept as long as it answers;
+// after a failure another relay; the coordinator if there is no relay, or after relayTries
+// failures.
 func (s *source) next(ok bool, coordinator string) {
 	s.failures++
 	if ok {
@@ -146,7 +150,7 @@
 	}
 }
 
-// dial makes another agent the one that is asked.
+// dial switches to the agent at an address.
 func (s *source) dial(addr string) {
 	if addr == s.addr {
 		return
@@ -157,7 +161,7 @@
 	s.client, s.addr = rankpeer.NewClient(addr), addr
 }
 
-// follow asks for the digests of one group until the context ends.
+// follow polls the digests of one group until the context ends.
 func (d *digests) follow(ctx context.Context, group string) {
 	var from source
 	from.dial(d.coordinator(group))
@@ -189,8 +193,8 @@
 	}
 }
 
-// complete fills in the list of targets that the steward has left out, and keeps
-// a new one. It reports false if the digest does not fit its list.
+// complete fills in the list of targets if the coordinator has omitted it, and stores a new
+// one in list. It reports false if the digest does not match its list.
 func complete(d, list *rankpeer.Digest) bool {
 	if d.Targets == nil && d.List == list.List {
 		d.Targets = list.Targets
@@ -200,9 +204,9 @@
 	return len(d.Running) == n && len(d.Queued) == n && len(d.Pace) == n
 }
 
-// newest reports whether a digest is of the group that it was asked for, and not of an
-// earlier epoch or steward than the newest one: a steward that was paused, or whose
-// group was formed anew without it, still answers with what it knew.
+// isCurrent reports whether a digest is of the requested group, and not of an earlier epoch or
+// term than the newest one: a coordinator that was paused, or whose group was formed again
+// without it, still answers with its old state.
 func (d *digests) isCurrent(group string, got *rankpeer.Digest) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -226,6 +230,6 @@
 	if err := client.Connect(ctx, digestTimeout); err != nil {
 		return rankpeer.Response{}, err
 	}
-	ask := rankpeer.Request{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Announcement{Group: engine.GroupID{Name: group}}}
-	return client.Do(ask, digestTimeout)
+	req := rankpeer.Request{Digest: true, List: list, Gateway: d.instance, Event: d.event(), Gap: d.gap(group), Word: lockstep.Announcement{Group: engine.GroupID{Name: group}}}
+	return client.Do(req, digestTimeout)
 }
--- a/gateway/digests_test.go
+++ b/gateway/digests_test.go
@@ -29,12 +29,12 @@
 		is.True(d.isCurrent("g", digest("g", 3, 20)))
 		is.True(d.isCurrent("h", digest("h", 1, 1)))
 		time.Sleep(digestVersionValid)
-		// The group has been built anew, and counts its epochs from the start.
+		// The group was recreated, and its epochs start again.
 		is.True(d.isCurrent("g", digest("g", 0, 40)))
 	})
 }
 
-// Guards against filling the link of a new steward with all gateways' questions.
+// Guards against saturating the link of a new coordinator with the requests of all gateways.
 func TestGatewaysStayWithRelays(t *testing.T) {
 	is := is.New(t)
 	var from source
@@ -46,13 +46,13 @@
 	relay := from.addr
 	is.True(slices.Contains(from.relays, relay))
 	from.next(true, "steward-2")
-	is.Equal(from.addr, relay) // it answers, whoever the steward is
+	is.Equal(from.addr, relay) // it answers, whoever the coordinator is
 	for range relayTries - 1 {
 		from.next(false, "steward-2")
 		is.True(slices.Contains(from.relays, from.addr))
 	}
 	from.next(true, "steward-2")
-	is.True(slices.Contains(from.relays, from.addr)) // the next steward's view has come
+	is.True(slices.Contains(from.relays, from.addr)) // the next coordinator's digest has arrived
 	for range relayTries {
 		from.next(false, "steward-2")
 	}
--- a/gateway/events.go
+++ b/gateway/events.go
@@ -5,20 +5,20 @@
 	"strconv"
 )
 
-// eventEnd ends an event of a stream.
+// eventEnd is the delimiter after an event of a stream.
 var eventEnd = []byte("\n\n")
 
-// events cuts a stream into whole events. A server may stop in the middle of
-// one: only whole events reach the caller, so that another server can go on.
+// events splits a stream into complete events. A server may stop in the middle of
+// one: only complete events reach the caller, so that another server can resume the stream.
 type events struct {
 	buf []byte
 }
 
-// add takes bytes of the stream.
+// add appends bytes of the stream.
 func (e *events) add(b []byte) { e.buf = append(e.buf, b...) }
 
-// next returns the next whole event with its end, or nil. It is valid until the
-// next call of add.
+// next returns the next complete event with its delimiter, or nil. The event is valid
+// until the next call of add.
 func (e *events) next() []byte {
 	i := bytes.Index(e.buf, eventEnd)
 	if i < 0 {
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -20,32 +20,32 @@
 	"verbenashift/platform"
 )
 
-// fleet is the targets as the gateway knows them: where they are, how they are
-// loaded, and how they have behaved. It is safe for concurrent use.
+// fleet is the gateway's state of the targets: their addresses, load and health. It is safe
+// for concurrent use.
 type fleet struct {
 	log *slog.Logger
-	// spare returns how many requests to a service may be sent once more now. It is
-	// called with the lock held.
+	// spare returns how many requests to a service may be sent again now. It is called with
+	// the lock held.
 	spare func(service string) int
 
 	mu      sync.Mutex
 	table   *route.Table
 	monitor *health.Monitor
 	pools   map[string]*pooled
-	// gone are targets whose address answered for another server, until their
-	// entry is removed or says that they have started again.
+	// misdirected holds the targets at whose address another server has answered, until
+	// their entry is removed or shows a restart.
 	misdirected map[string]bool
-	// told are the groups of targets as stewards tell them, for targets whose entry
-	// does not say.
+	// reportedGroups holds the groups of targets as reported by coordinators, for targets
+	// whose entry names none.
 	reportedGroups map[string]string
 	rng            *rand.Rand
 	streams        activeStreams
-	// pendings are the plain requests in progress, doubts the targets that fail while their
-	// peers do not; tellDoubt tells the other gateways.
+	// pending tracks the plain requests in progress, suspicions the targets that fail while
+	// their peers do not; shareSuspicion reports one to the other gateways.
 	pending        pendingRequests
 	suspicions     health.Suspicions
 	shareSuspicion func(suspicion)
-	// crashes tells targets that have crashed from answers that broke off.
+	// crashes distinguishes crashed targets from answers that merely broke off.
 	crashes      *crash.Detector
 	backpressure backpressure
 	// cost is the moving mean of the requests' costs in tokens.
@@ -59,25 +59,26 @@
 type pooled struct {
 	deployment.Target
 	pool *upstream.Pool
-	// slow says that it lengthens the passes of its group; silentUntil is until
-	// when it is taken for silent.
+	// slow is set if it lengthens the forward passes of its group; silentUntil is until
+	// when it is considered silent.
 	slow        bool
 	silentUntil time.Time
-	// doubtedUntil is until when it is avoided since it fails while its peers do not, and
-	// strikes are its failures of late.
+	// suspectedUntil is until when it is avoided because it fails while its peers do not;
+	// strikes counts its recent failures.
 	suspectedUntil time.Time
 	strikes        health.Strikes
 	refusals       health.Refusals
-	// leaving says that it has said in an answer that it leaves.
+	// announcedShutdown is set once it has announced in an answer that it is shutting down.
 	announcedShutdown bool
 }
 
-// shuttingDown reports whether the target takes no new requests, by the store or its own word.
+// shuttingDown reports whether the target takes no new requests, by its entry in the store or
+// its own announcement.
 func (p *pooled) shuttingDown() bool { return p.Draining || p.announcedShutdown }
 
-// choices is how many targets are compared for a request. With a handful of
-// gateways before a few dozen targets, comparing several finds an idle one, and
-// random ones keep the gateways from all taking the same.
+// choices is how many random targets are compared for a request. With a handful of
+// gateways and a few dozen targets, comparing several finds an idle one, and random
+// candidates keep the gateways from all picking the same target.
 const choices = 6
 
 func newFleet(instance, zone string, log *slog.Logger) *fleet {
@@ -95,8 +96,8 @@
 	}
 }
 
-// serves reports whether a target is registered in the life that was given, and not about to
-// leave.
+// serves reports whether a target is registered with the given incarnation and not shutting
+// down.
 func (f *fleet) serves(t deployment.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +105,7 @@
 	return p != nil && p.Born == t.Born && !p.shuttingDown()
 }
 
-// update takes a new view of the targets.
+// update applies a new view of the targets.
 func (f *fleet) update(v *mirror.View) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,8 +122,8 @@
 	f.monitor.Update(f.watched())
 }
 
-// drop forgets the targets that are gone or have started again: connections, failures
-// and silences of an earlier life say nothing of this one.
+// drop removes the state of targets that were removed or have restarted: connections,
+// failures and silences of an earlier incarnation do not apply to the new one.
 func (f *fleet) drop(now map[string]deployment.Target) {
 	for id := range f.misdirected {
 		if _, ok := now[id]; !ok {
@@ -150,11 +151,11 @@
 			f.log.Info("target has started again", "target", id, "addr", t.Addr.String(), "born", t.Born, "born-before", p.Born)
 		}
 	}
-	// What the monitor knows of those that stay under their name goes as well.
+	// This also resets the monitor's state of targets that keep their name.
 	f.monitor.Update(f.watched())
 }
 
-// listensAt reports whether one of the targets has an address.
+// listensAt reports whether one of the targets has the given address.
 func listensAt(targets map[string]deployment.Target, addr netip.AddrPort) bool {
 	for _, t := range targets {
 		if t.Addr == addr {
@@ -164,8 +165,8 @@
 	return false
 }
 
-// ended tells of a target whose life is over, by the store. One that had said that it leaves has
-// not crashed.
+// reportTermination reports to the crash detector that an incarnation of a target has ended,
+// according to the store. A target that had announced its shutdown has not crashed.
 func (f *fleet) reportTermination(p *pooled, replaced bool) {
 	switch {
 	case p.shuttingDown():
@@ -176,7 +177,7 @@
 	}
 }
 
-// watched returns the targets whose health is watched: those with connections.
+// watched returns the targets whose health is monitored: those with connections.
 func (f *fleet) watched() []health.Member {
 	members := make([]health.Member, f.table.Len())
 	for i := range members {
@@ -188,7 +189,7 @@
 	return members
 }
 
-// routed returns a target as the table knows it.
+// routed returns a target as an entry of the routing table.
 func (f *fleet) routed(t *deployment.Target) route.Target {
 	return route.Target{
 		Name: t.ID, Zone: t.Zone, Service: t.Service, Group: f.groupOf(t),
@@ -218,8 +219,8 @@
 	return slots
 }
 
-// answersTo tells the answer to a request by the identifier that it echoes. A
-// refusal may come without one.
+// answersTo reports whether an answer belongs to the request with an identifier, by the
+// identifier that it echoes. A refusal may lack one.
 func answersTo(status int, h http.Header, id string) bool {
 	a := platform.ParseAnswer(status, h)
 	return a.ID == id || a.ID == "" && status >= http.StatusBadRequest
@@ -231,10 +232,10 @@
 	cost    float64
 	started time.Time
 	target  *pooled
-	// seen is what was known of the target when it was picked.
+	// seen is the target's entry when it was picked.
 	seen deployment.Target
-	// loadAge is how old the load of the target was when it was picked; negative
-	// if none was known.
+	// loadAge is the age of the target's load report when it was picked; negative if there
+	// was none.
 	loadAge time.Duration
 }
 
@@ -267,14 +268,14 @@
 	f.table.End(s.index, s.cost, s.started)
 }
 
-// heard takes what an answer says of its target.
+// observeAnswer records what an answer states about its target.
 func (f *fleet) observeAnswer(s sent, a platform.Answer, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a.Misdirected && !f.misdirected[s.target.ID] {
 		f.misdirected[s.target.ID] = true
-		// Every request that is sent there costs a retry. The next view of the
-		// store may be seconds away.
+		// Each request that is sent there costs a retry, and the next view of the store
+		// may be seconds away.
 		f.table.SetLeaving(s.index, true)
 		f.log.Info("target gone", "target", s.target.ID, "reason", "another server answers at its address")
 	}
@@ -298,15 +299,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.monitor.Fail(s.index, severity, now)
-	// Otherwise it would look idle beside targets that are avoided since they refuse.
+	// Otherwise it would look idle compared to targets that are avoided because they refuse
+	// requests.
 	f.refused(s.target, now)
 }
 
-// tickEvery is how often ejections and idle connections are looked at.
+// tickEvery is how often ejections and idle connections are checked.
 const tickEvery = 100 * time.Millisecond
 
-// tick lets time pass for the health of the targets, and returns the groups that stand
-// still.
+// tick updates the health of the targets, and returns the groups that have stalled.
 func (f *fleet) tick(now time.Time) []silentGroup {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -324,7 +325,7 @@
 	return f.silentGroups(now)
 }
 
-// severityOf says how sure a failed attempt is the target's fault.
+// severityOf returns how certain it is that a failed attempt is the target's fault.
 func severityOf(err error) health.Severity {
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
--- a/gateway/isolator.go
+++ b/gateway/isolator.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	// isolatorTick is how often the isolator looks whether there is something to decide or
-	// to write. It is a small part of the time in which all gateways are to know of a crash.
+	// isolatorTick is how often the isolator checks whether there is something to decide or to
+	// write. It is a small part of the time within which all gateways must know of a crash.
 	isolatorTick = 100 * time.Millisecond
-	// holdJitter spreads the gateways that have found out the same: one writes, the others
-	// see it.
+	// holdJitter spreads the writes of gateways that have come to the same decision: one
+	// writes, the others see it.
 	holdJitter = 300 * time.Millisecond
-	// writeWait is how long the store may take to answer a write, and writePause how long
-	// the next one waits after a failure.
+	// writeTimeout is how long the store may take to answer a write, and writeRetryDelay the
+	// delay of the next write after a failure.
 	writeTimeout    = 900 * time.Millisecond
 	writeRetryDelay = 500 * time.Millisecond
-	// trialSettles is how long it takes at most to know whether the target of a broken answer
-	// has crashed.
+	// probeSettleTime is the longest time until it is known whether the target of a broken
+	// answer has crashed.
 	probeSettleTime = time.Second
-	// maxUnwritten bounds what is kept for the store while it is away.
+	// maxUnwritten bounds what is buffered while the store is unavailable.
 	maxUnwritten = 64
 )
 
@@ -37,9 +37,9 @@
 	Change(ctx context.Context, c kv.Change) (int64, error)
 }
 
-// isolator keeps requests that crash their targets from being sent. It tells the other
-// gateways through the store what this one has seen, and takes what they have. It is safe
-// for concurrent use.
+// isolator quarantines requests that crash their targets. It shares the observations of this
+// gateway with the others through the store, and applies theirs. It is safe for concurrent
+// use.
 type isolator struct {
 	log      *slog.Logger
 	store    changer
@@ -47,11 +47,11 @@
 
 	mu       sync.Mutex
 	register *quarantine.Register
-	// unwritten is what the other gateways are still to be told, and freed the holds that
-	// are to be removed from the store.
+	// unwritten is the report that is not in the store yet, and removedHolds lists the holds
+	// to be removed from the store.
 	unwritten    quarantine.Report
 	removedHolds []quarantine.Fingerprint
-	// reports counts those that were written.
+	// reports counts the reports that were written.
 	reports int
 }
 
@@ -59,7 +59,7 @@
 	return &isolator{log: log, store: store, instance: instance, register: quarantine.New()}
 }
 
-// crashed takes a crash that this gateway has seen.
+// crashed records a crash that this gateway has observed.
 func (s *isolator) crashed(c quarantine.Crash) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,22 +70,22 @@
 	}
 }
 
-// completed takes the word that a target has answered a request whole.
+// completed records that a target has answered a request completely.
 func (s *isolator) completed(p quarantine.Fingerprint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.register.Completed(p) {
 		return
 	}
-	s.log.Info("request cleared", "print", p.Short(), "reason", "answered whole")
+	s.log.Info("request cleared", "print", p.Short(), "reason", "answered completely")
 	s.queueCompleted([]quarantine.Fingerprint{p})
 	if len(s.removedHolds) < maxUnwritten {
 		s.removedHolds = append(s.removedHolds, p)
 	}
 }
 
-// innocent has the other gateways told of requests that have been answered whole. It is
-// called with the lock held.
+// queueCompleted queues requests that were answered completely for the next report. It is called
+// with the lock held.
 func (s *isolator) queueCompleted(prints []quarantine.Fingerprint) {
 	for _, p := range prints {
 		if len(s.unwritten.Completed) < maxUnwritten {
@@ -94,7 +94,7 @@
 	}
 }
 
-// take takes what the store says under quarantine.Prefix.
+// apply applies the items of the store under quarantine.Prefix.
 func (s *isolator) apply(items []kv.Item, whole bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,26 +121,25 @@
 	s.show()
 }
 
-// show sets the metric of the requests that are held back. It is called with the lock held.
+// show sets the metric of the quarantined requests. It is called with the lock held.
 func (s *isolator) show() { metricHeld.Set(int64(s.register.Quarantined())) }
 
-// holds reports whether any request is held back.
+// hasQuarantined reports whether any request is quarantined.
 func (s *isolator) hasQuarantined() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.register.Quarantined() > 0
 }
 
-// judge decides on a request that is about to be sent.
+// decide returns the decision on a request that is about to be sent.
 func (s *isolator) decide(p quarantine.Fingerprint) quarantine.Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.register.Decide(p, time.Now())
 }
 
-// try reports whether this gateway is the one that sends a request that is held back to
-// find out whether it still crashes targets. No other gateway does once the store has
-// taken the word.
+// claimProbe reports whether this gateway may send a quarantined request to find out whether it
+// still crashes targets. Once the store has accepted the claim, no other gateway sends one.
 func (s *isolator) claimProbe(ctx context.Context, p quarantine.Fingerprint, v quarantine.Decision) bool {
 	if !s.writeHold(ctx, p, v.Revision, v.Hold.WithProbe()) {
 		return false
@@ -149,28 +148,28 @@
 	return true
 }
 
-// tried waits for the word on the target of a trial without a whole answer. If it has not
-// crashed, the trial has told nothing, and the next one need not wait.
+// concludeProbe waits until it is known whether the target of a probe without a complete answer
+// has crashed. If it has not, the probe is inconclusive, and the next one need not wait.
 func (s *isolator) concludeProbe(p quarantine.Fingerprint, before int) {
 	pause.For(context.Background(), probeSettleTime)
 	if s.crashes(p) > before {
 		return
 	}
 	if v := s.decide(p); v.Quarantined && v.Revision > 0 {
-		s.log.Info("trial has told nothing", "print", p.Short(), "trials", v.Hold.Probes)
+		s.log.Info("probe was inconclusive", "print", p.Short(), "trials", v.Hold.Probes)
 		s.writeHold(context.Background(), p, v.Revision, v.Hold.WithInconclusiveProbe())
 	}
 }
 
-// crashes returns how many targets have crashed while a request was under way.
+// crashes returns how many targets have crashed while a request was in progress.
 func (s *isolator) crashes(p quarantine.Fingerprint) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.register.Crashes(p)
 }
 
-// hold writes that a request is held back over what stands in the store, and reports whether
-// it did.
+// writeHold writes the hold of a request if the store still has revision over, and reports
+// whether it did.
 func (s *isolator) writeHold(ctx context.Context, p quarantine.Fingerprint, over int64, h quarantine.Hold) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -187,8 +186,7 @@
 	return true
 }
 
-// notWritten writes the line of a write that has failed; that another gateway was faster
-// is none.
+// logWriteError logs a failed write, except for a conflict with a faster gateway.
 func (s *isolator) logWriteError(err error) {
 	var status *kv.StatusError
 	if errors.As(err, &status) && status.Conflict() {
@@ -197,7 +195,7 @@
 	s.log.Warn("crashes not told", "error", err.Error())
 }
 
-// run decides and writes until the context ends.
+// run writes reports and holds until the context ends.
 func (s *isolator) run(ctx context.Context) {
 	for pause.For(ctx, isolatorTick) {
 		if !s.writeReport(ctx) {
@@ -207,8 +205,8 @@
 	}
 }
 
-// tell writes what the other gateways are still to be told. It reports false if the store
-// has not taken it.
+// writeReport writes what the other gateways do not know yet. It reports false if the write has
+// failed.
 func (s *isolator) writeReport(ctx context.Context) bool {
 	s.mu.Lock()
 	report, removedHolds, surplus := s.unwritten, s.removedHolds, s.register.Surplus()
@@ -238,7 +236,7 @@
 	return true
 }
 
-// holdBack holds back the requests that have been found to crash their targets.
+// writeHolds quarantines the requests that were found to crash their targets.
 func (s *isolator) writeHolds(ctx context.Context) {
 	s.mu.Lock()
 	due := s.register.PendingWrites(time.Now())
@@ -258,8 +256,8 @@
 	}
 }
 
-// metricHeld is how many requests are held back, and metricHeldCalls how many calls were
-// refused for it.
+// metricHeld is how many requests are quarantined, and metricHeldCalls how many calls were
+// refused because of it.
 var (
 	metricHeld      = expvar.NewInt("requests-held-back")
 	metricHeldCalls = expvar.NewInt("calls-held-back")
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -15,13 +15,13 @@
 )
 
 const (
-	// limitsTick is how often it is looked whether the store is to be changed.
+	// limitsTick is how often the permits are checked for a change to write.
 	limitsTick = 50 * time.Millisecond
-	// permitLease is the time after which the permits of a gateway that is gone are free
-	// again, and leaseMargin the part of it by which this gateway stops before.
+	// permitLease is the time after which the permits of a terminated gateway are free again.
+	// This gateway stops using its permits earlier, by one leaseMargin-th of it.
 	permitLease = 12 * time.Second
 	leaseMargin = 10
-	// renewEvery is how often the lease is renewed, renewPause the wait after a failure.
+	// renewEvery is how often the lease is renewed, renewRetryDelay the delay after a failure.
 	renewEvery      = permitLease / 3
 	renewRetryDelay = 500 * time.Millisecond
 )
@@ -33,8 +33,8 @@
 	Keep(ctx context.Context, lease int64) (lasts time.Duration, err error)
 }
 
-// limits keeps to what targets take from all gateways together. It is safe for concurrent
-// use.
+// limits enforces the rate limits that targets set for all gateways together. It is safe for
+// concurrent use.
 type limits struct {
 	log   *slog.Logger
 	store leaser
@@ -42,7 +42,7 @@
 	mu      sync.Mutex
 	tracker *permit.Tracker
 
-	// What follows is used by run alone.
+	// The following fields are used by run alone.
 	lease      int64
 	leaseEnds  time.Time
 	renewAfter time.Time
@@ -53,43 +53,44 @@
 	return &limits{log: log, tracker: permit.NewTracker(instance, start, newRand())}
 }
 
-// named takes what an answer says of the limit of its target, and reports whether that is
-// new.
+// observe records what an answer states about the limit of its target, and reports whether
+// that has changed.
 func (l *limits) observe(a permit.Response, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.Observe(a, now)
 }
 
-// restarted voids the limit of an earlier start of a target, gone that of one that is no more.
+// restarted removes the limit of an earlier incarnation of a target.
 func (l *limits) restarted(id string, born int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.Restarted(id, born)
 }
 
+// remove removes the limit of a target that no longer exists.
 func (l *limits) remove(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.Remove(id)
 }
 
-// unready returns the targets that may not be sent a request now, of those that name limits.
-// Service is the one that a request wants.
+// unready returns the rate-limited targets that may not be sent a request now. It records the
+// demand of a request for the given service.
 func (l *limits) unready(service string, now time.Time) map[string]bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tracker.RecordDemand(service, now)
 }
 
-// use counts a request that a target is sent.
+// recordSent counts a request that is sent to a target.
 func (l *limits) recordSent(id string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.RecordSent(id, now)
 }
 
-// open adds a target to an opening that is left alone until a time, or takes a request by its
+// addTo adds to an availability when a target takes a request: after its pause, or by its rate
 // limit.
 func (l *limits) addTo(o *permit.Availability, id string, paused, now time.Time) {
 	l.mu.Lock()
@@ -105,16 +106,16 @@
 	o.Add(at, rate)
 }
 
-// take takes what the store says under permit.Prefix.
+// apply applies the items of the store under permit.Prefix.
 func (l *limits) apply(items []kv.Item, whole bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, err := range l.tracker.Apply(items, whole, time.Now()) {
-		l.log.Warn("permit not understood", "error", err.Error())
+		l.log.Warn("invalid permit in the store", "error", err.Error())
 	}
 }
 
-// run claims and gives back permits until the context ends.
+// run claims and releases permits until the context ends.
 func (l *limits) run(ctx context.Context) {
 	for pause.For(ctx, limitsTick) {
 		l.renew(ctx, time.Now())
@@ -139,12 +140,12 @@
 		return
 	}
 	l.renewAfter = now.Add(min(renewEvery, lasts/3))
-	// The store counts from when the call arrived, which is later than now.
+	// The store measures the lease from the arrival of the call, which is later than now.
 	l.leaseEnds = now.Add(lasts - lasts/leaseMargin)
 	l.setLease()
 }
 
-// left returns for how long the permits still count.
+// left returns for how long the permits are still valid.
 func (l *limits) left() time.Duration {
 	if l.lease == 0 {
 		return 0
@@ -152,7 +153,7 @@
 	return max(time.Until(l.leaseEnds), 0)
 }
 
-// keep renews the lease, or begins one if there is none any more.
+// keepLease renews the lease, or acquires a new one if it has expired.
 func (l *limits) keepLease(ctx context.Context) (lasts time.Duration, err error) {
 	if l.lease != 0 {
 		lasts, err = l.store.Keep(ctx, l.lease)
@@ -171,14 +172,14 @@
 	return lasts, err
 }
 
-// leased tells the tracker of the lease.
+// setLease sets the lease in the tracker.
 func (l *limits) setLease() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.tracker.SetLease(l.lease, l.leaseEnds)
 }
 
-// change makes the change of the store that is wanted most.
+// change writes the most urgent change of permits to the store.
 func (l *limits) change(ctx context.Context) {
 	l.mu.Lock()
 	c, ok := l.tracker.NextChange(time.Now())
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -18,7 +18,7 @@
 	"verbenashift/standin/scripted"
 )
 
-// Guards against requests to a server that has named a limit, from a gateway without a permit.
+// Guards against requests to a server that has set a limit, from a gateway without a permit.
 func TestLimitedTargetGetsNothingWithoutAPermit(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		limited := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("1", "ok") })
@@ -32,7 +32,7 @@
 	}
 }
 
-// Guards against callers that are held, or told nothing, when all targets have named limits.
+// Guards against callers that are held, or get no retry time, when all targets have set limits.
 func TestAllTargetsLimited(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("0.5", "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
@@ -46,7 +46,7 @@
 	r.Equal(len(s.Seen()), 1)
 }
 
-// Guards against holding callers whose turn is not near, and against refusing others.
+// Guards against holding callers whose expected wait is long, and against refusing others.
 func TestOnlyNearTurnsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	g := &gateway{fleet: newFleet("front-1", "z1", slog.New(slog.DiscardHandler))}
@@ -64,16 +64,16 @@
 	}
 }
 
-// leasing is a store that grants one lease and keeps what it is told, until it is down.
-type leasing struct {
-	written
+// leasingStore is a store that grants one lease and records all changes, until it is down.
+type leasingStore struct {
+	recordingStore
 	down    bool
 	granted int64
 }
 
 var errAway = errors.New("no answer")
 
-func (s *leasing) Grant(context.Context, time.Duration) (int64, time.Duration, error) {
+func (s *leasingStore) Grant(context.Context, time.Duration) (int64, time.Duration, error) {
 	if s.down {
 		return 0, 0, errAway
 	}
@@ -81,7 +81,7 @@
 	return s.granted, permitLease, nil
 }
 
-func (s *leasing) Keep(_ context.Context, lease int64) (time.Duration, error) {
+func (s *leasingStore) Keep(_ context.Context, lease int64) (time.Duration, error) {
 	if s.down {
 		return 0, errAway
 	}
@@ -91,19 +91,19 @@
 	return permitLease, nil
 }
 
-func (s *leasing) Change(ctx context.Context, c kv.Change) (int64, error) {
+func (s *leasingStore) Change(ctx context.Context, c kv.Change) (int64, error) {
 	if s.down {
 		return 0, errAway
 	}
-	return s.written.Change(ctx, c)
+	return s.recordingStore.Change(ctx, c)
 }
 
-// Guards against a gateway that goes on under permits which others may have claimed, since the
+// Guards against a gateway that keeps using permits which others may have claimed, after the
 // store has not renewed its lease.
 func TestPermitsEndWithTheirLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var store leasing
+		var store leasingStore
 		l := newLimits("front-1", slog.New(slog.DiscardHandler))
 		l.store = &store
 		ctx, stop := context.WithCancel(t.Context())
@@ -137,7 +137,7 @@
 		wait(permitLease)
 		is.Equal(sent(10*time.Second), 0)
 		store.down = false
-		is.True(sent(10*time.Second) > 0) // its permits were still its own
+		is.True(sent(10*time.Second) > 0) // its permits were still valid
 		store.granted++                   // its lease has ended
 		claims := len(store.changes)
 		wait(10 * time.Second)
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -20,7 +20,7 @@
 	"verbenashift/standin/scripted"
 )
 
-// logged gives a rig a log and returns how to read it.
+// logged gives a rig a log and returns a function that reads it.
 func (r *rig) logged() func() []story.Line {
 	var out bytes.Buffer
 	log, stop := eventlog.New(&out, "gateway", "front-1", slog.LevelInfo)
@@ -34,18 +34,18 @@
 	}
 }
 
-// failing is a failure that a caller may complain about.
-type failing struct {
+// failureCase is a failure that a caller may report.
+type failureCase struct {
 	kind   deployment.RouteKind
 	script func(*scripted.Exchange)
-	// change makes the call, or the gateway, what fails.
+	// change modifies the call or the gateway so that the call fails.
 	change func(*rig, *scripted.Call)
-	// group is a line that the steward has written meanwhile.
+	// group is a log line that the coordinator has written meanwhile.
 	group string
 	want  story.Kind
 }
 
-func failures() map[string]failing {
+func failures() map[string]failureCase {
 	ok := func(x *scripted.Exchange) { x.Whole(200, "ok") }
 	hang := func(x *scripted.Exchange) { x.WaitForClose(time.Minute) }
 	group := func(known int, pace, skew float64) string {
@@ -53,7 +53,7 @@
 			time.Now().Format(time.RFC3339Nano), known, pace, skew)
 	}
 	short := func(_ *rig, c *scripted.Call) { c.Patience = 100 * time.Millisecond }
-	return map[string]failing{
+	return map[string]failureCase{
 		"served":              {kind: deployment.Safe, script: ok, want: story.Served},
 		"no such route":       {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Path = "/none/" }, want: story.NotAllowed},
 		"key taken away":      {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Key = "old" }, want: story.NotAllowed},
@@ -76,7 +76,7 @@
 	x.Close()
 }
 
-// Guards against a wrong or missing cause where only an identifier and the logs are known.
+// Guards against a wrong or missing cause when only an identifier and the logs are known.
 func TestCauseFromTheLogAlone(t *testing.T) {
 	for name, tt := range failures() {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// Guards against blaming the gateway for a caller that hung up.
+// Guards against attributing a disconnected caller to the gateway.
 func TestCauseOfACallerThatLeft(t *testing.T) {
 	is := is.New(t)
 	ctx, leave := context.WithCancel(t.Context())
@@ -114,7 +114,7 @@
 	is.Equal(story.CauseOf(c.ID, story.Of(c.ID, read())).Kind, story.CallerLeft)
 }
 
-// Guards against a refusal that does not name the queue that it met.
+// Guards against a refusal that does not name its queue.
 func TestCauseOfOverload(t *testing.T) {
 	is := is.New(t)
 	hold := make(chan struct{})
@@ -123,7 +123,7 @@
 		x.Whole(200, "ok")
 	})
 	route := routeOf(deployment.Safe)
-	route.Objective = time.Millisecond // no patience for a place
+	route.Objective = time.Millisecond // too short to wait for a slot
 	r := newRig(t, route, s)
 	read := r.logged()
 	r.view.Config.Services[0].Engine = &deployment.Engine{Slots: 1}
@@ -145,7 +145,7 @@
 	is.Equal(story.CauseOf(c.ID, story.Of(c.ID, read())).Kind, story.Overload)
 }
 
-// Guards against a story that lacks a line on why a draft went on elsewhere.
+// Guards against a request history that lacks the reason why a stream was moved.
 func TestStoryOfAMovedStream(t *testing.T) {
 	is := is.New(t)
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
@@ -167,7 +167,7 @@
 	is.Equal(story.CauseOf("r1", own).Kind, story.ServerSilent)
 }
 
-// Guards against lines that do not say how old the load was by which a target was picked.
+// Guards against log lines without the age of the load report by which a target was picked.
 func TestLineNamesTheAgeOfTheLoad(t *testing.T) {
 	is := is.New(t)
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
--- a/gateway/main.go
+++ b/gateway/main.go
@@ -1,10 +1,9 @@
 // Command gateway serves callers on an instance of the users' platform: it
-// admits their requests, passes them on to servers and carries the answers back
-// whole.
+// admits their requests, forwards them to servers and returns complete answers.
 //
 // # Usage
 //
-//	gateway              run with the settings that the platform has named
+//	gateway              run with the settings that the platform names
 //	gateway -check FILE  check a settings file and exit
 package main
 
@@ -38,7 +37,7 @@
 	return mirror.NewFollower(store, platform.Formats(), env.Log)
 }
 
-// follow keeps the gateway at what the store says, and lets time pass for it.
+// follow subscribes the gateway to the store and runs its periodic work.
 func follow(lc fx.Lifecycle, f *mirror.Follower, g *gateway) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.OnChange(g.update)
@@ -63,7 +62,7 @@
 	})
 }
 
-// answerReady answers the balancer's checks.
+// answerReady answers the readiness checks of the load balancer.
 func answerReady(lc fx.Lifecycle, env instance.Env, g *gateway) {
 	instance.Serve(lc, env.Log, env.Boot.Ready, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if !g.ready() {
@@ -73,18 +72,20 @@
 }
 
 const (
-	// headerWait bounds how long a caller may take to send a header; callers
+	// headerTimeout bounds how long a caller may take to send a header. Callers
 	// stay within the configured limit, which is shorter.
 	headerTimeout = 10 * time.Second
-	// idleWait is how long an idle connection is kept: longer than callers do.
+	// idleTimeout is how long an idle connection is kept, which is longer than
+	// callers keep theirs.
 	idleTimeout = 60 * time.Second
-	// outOfRotation is how long the balancer takes to send no new connections
-	// here: two checks, a second apart, and one for good measure.
+	// rotationDelay is how long the load balancer takes to stop sending new
+	// connections: two checks, a second apart, plus a margin.
 	rotationDelay = 2500 * time.Millisecond
 )
 
-// serve listens for callers. On a stop, the balancer is told first, by answerReady;
-// callers are served until it has heard, and answers in progress are ended.
+// serve listens for callers. On shutdown, answerReady fails the load balancer's checks
+// first. Callers are served until the balancer has noticed, and answers in progress are
+// completed.
 func serve(lc fx.Lifecycle, env instance.Env, g *gateway) {
 	server := &http.Server{Handler: g, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
 	lc.Append(fx.Hook{
@@ -94,7 +95,7 @@
 				return err
 			}
 			go func() {
-				// It ends when the server is shut down.
+				// Serve returns when the server is shut down.
 				_ = server.Serve(l)
 			}()
 			return nil
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -6,7 +6,7 @@
 	"verbenashift/core/plumbing/histogram"
 )
 
-// The metrics of a gateway beside those of package mirror; docs/OPERATIONS.md has the table with units.
+// The metrics of a gateway in addition to those of package mirror; docs/OPERATIONS.md has the table with units.
 var (
 	metricRequests = expvar.NewMap("requests-by-status")
 	metricRefusals = expvar.NewMap("refusals-by-reason")
@@ -14,19 +14,20 @@
 	metricRetries  = expvar.NewInt("retries")
 	metricNoRetry  = expvar.NewMap("no-retry-by-reason")
 	metricBudget   = expvar.NewMap("retry-budget-left")
-	// metricUnanswered counts plain requests whose target answered nothing while others did.
+	// metricUnanswered counts plain requests whose target did not answer while others did.
 	metricUnanswered = expvar.NewInt("requests-unanswered-by-targets")
-	// metricDoubts counts doubts of targets by their cause, those of other gateways as told.
+	// metricSuspicions counts suspected targets by cause; the cause "told" counts reports of
+	// other gateways.
 	metricSuspicions = expvar.NewMap("target-doubts-by-cause")
-	// metricRateLimits counts how often targets have named a limit, or another one.
+	// metricRateLimits counts how often targets have set or changed a limit.
 	metricRateLimits = expvar.NewInt("target-rate-limits-set")
-	// metricPauses counts refusals of targets that ask for a pause.
+	// metricPauses counts refusals that request a pause.
 	metricPauses = expvar.NewInt("target-pauses-requested")
-	// metricLeaving counts targets that have said in an answer that they leave.
+	// metricLeaving counts targets that have announced their shutdown in an answer.
 	metricLeaving = expvar.NewInt("targets-shutting-down")
 	// metricPermits counts changes of permits by kind.
 	metricPermits = expvar.NewMap("permit-changes")
-	// metricThrottledWaits counts requests that have waited for a target that takes none yet.
+	// metricThrottledWaits counts requests that have waited for a throttled target.
 	metricThrottledWaits = expvar.NewInt("requests-waited-for-throttled-targets")
 	metricSilent         = expvar.NewInt("streams-moved-from-silent-targets")
 	metricSlow           = expvar.NewInt("streams-moved-from-slow-targets")
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -15,8 +15,8 @@
 	"verbenashift/standin/scripted"
 )
 
-// resting refuses and asks for a pause of so many seconds, as long as it is told to.
-func resting(seconds string, on *atomic.Bool) func(x *scripted.Exchange) {
+// pausing refuses requests and requests a pause of the given seconds while on is set.
+func pausing(seconds string, on *atomic.Bool) func(x *scripted.Exchange) {
 	return func(x *scripted.Exchange) {
 		if !on.Load() {
 			x.Whole(200, "ok")
@@ -26,30 +26,30 @@
 	}
 }
 
-// Guards against requests to a server in the time for which it has asked to be left alone.
+// Guards against requests to a server during the pause that it has requested.
 func TestTargetIsLeftAlone(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		var on atomic.Bool
 		on.Store(true)
-		pausing := scripted.Serve(t, resting("60", &on))
+		paused := scripted.Serve(t, pausing("60", &on))
 		other := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
-		r := newRig(t, routeOf(kind), pausing, other)
+		r := newRig(t, routeOf(kind), paused, other)
 		for range 40 {
 			_, got := r.ask()
 			r.Equal(got.Status, 200)
 		}
-		r.Equal(len(pausing.Seen()), 1)
+		r.Equal(len(paused.Seen()), 1)
 	}
 }
 
-// pair returns a fleet of two targets, of which the first is the one given.
+// pair returns a fleet of two targets, and the first of them.
 func pair() (f *fleet, first *pooled) {
 	f = newFleet("front-1", "z1", slog.New(slog.DiscardHandler))
 	f.update(&mirror.View{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}, "t1": {ID: "t1", Service: "pool", Slots: 1}}})
 	return f, f.pools["t0"]
 }
 
-// picked counts how many of forty requests at a time go to a target.
+// picked returns how many of forty requests at the given time go to a target.
 func (f *fleet) picked(id string, exclude route.Exclude, now time.Time) (n int) {
 	for range 40 {
 		if s, ok := f.pick(&route.Query{Service: "pool", Cost: 1, Exclude: exclude}, now); ok {
@@ -62,7 +62,7 @@
 	return n
 }
 
-// Guards against leaving a target alone for less or more than it has asked for.
+// Guards against a pause that is shorter or longer than requested.
 func TestPauseEnds(t *testing.T) {
 	is := is.New(t)
 	f, first := pair()
@@ -75,8 +75,8 @@
 	is.True(f.picked("t0", route.Exclude{}, now.Add(3*time.Second)) > 0)
 }
 
-// Guards against spending retries on a target that refuses everything while another has room,
-// and against keeping requests from the only one that is left.
+// Guards against spending retries on a target that refuses everything while another has
+// capacity, and against avoiding the only one that is left.
 func TestRefusingTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	f, first := pair()
@@ -92,8 +92,8 @@
 	is.True(f.picked("t0", route.Exclude{}, now.Add(time.Second)) > 0)
 }
 
-// Guards against sending what its peers refuse to a target that breaks all answers off, since it
-// alone is not avoided.
+// Guards against sending the requests that its peers refuse to a target that breaks off all
+// answers, because it alone is not avoided.
 func TestBrokenTargetIsAvoided(t *testing.T) {
 	is := is.New(t)
 	f, first := pair()
@@ -108,12 +108,12 @@
 	is.True(got > 0 && got < 40) // both are tried if no other is left
 }
 
-// Guards against callers that are held, or told the wrong time, when all servers have asked to be
-// left alone.
+// Guards against callers that are held, or get the wrong retry time, when all servers have
+// requested a pause.
 func TestAllTargetsPause(t *testing.T) {
 	var on atomic.Bool
 	on.Store(true)
-	s := scripted.Serve(t, resting("3", &on))
+	s := scripted.Serve(t, pausing("3", &on))
 	r := newRig(t, routeOf(deployment.Unsafe), s)
 	r.ask()
 	_, got := r.ask()
@@ -126,7 +126,7 @@
 func TestShortPauseIsWaitedFor(t *testing.T) {
 	var on atomic.Bool
 	on.Store(true)
-	s := scripted.Serve(t, resting("0.5", &on))
+	s := scripted.Serve(t, pausing("0.5", &on))
 	r := newRig(t, routeOf(deployment.Unsafe), s)
 	r.ask()
 	on.Store(false)
@@ -134,8 +134,9 @@
 	r.Equal(got.Status, 200)
 }
 
-// Guards against new requests to a server that has said that it leaves, also when it is the only
-// one, after a new view of the store, and against taking its later start for leaving.
+// Guards against new requests to a server that has announced its shutdown, also when it is the
+// only one or after a new view of the store, and against treating its next incarnation as
+// shutting down.
 func TestTargetThatSaysThatItLeaves(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		leaving := scripted.Serve(t, func(x *scripted.Exchange) { x.Leaving("ok") })
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -8,31 +8,32 @@
 	"verbenashift/core/membership/health"
 )
 
-// errUnanswered is why an attempt is ended whose target answers nothing while others do.
-var errUnanswered = errors.New("target answers nothing while others do")
+// errUnanswered is the cause when an attempt is canceled because its target does not answer
+// while others do.
+var errUnanswered = errors.New("target does not answer while others do")
 
 // pending is a plain request in progress.
 type pending struct {
 	sent
 	id, route, service string
-	// mayMove says that another server may run the request.
+	// mayMove is set if another server may run the request.
 	mayMove bool
-	// doubted says that its target was found to answer nothing, answered that it has.
+	// suspected is set once its target was found not to answer, answered once it has.
 	suspected, answered bool
 	end                 context.CancelCauseFunc
 }
 
-// pendings watches the plain requests in progress. The fleet's lock guards it.
+// pendingRequests tracks the plain requests in progress. The fleet's lock guards it.
 type pendingRequests struct {
 	open map[*pending]struct{}
-	// usual are the answers by route, targets when each target answered last, and services
-	// the newest answers of each service.
+	// baseline holds the statistics of answers by route, targets when each target answered
+	// last, and services the last answers of each service.
 	baseline map[string]*answerStats
 	targets  map[string]time.Time
 	services map[string]*lastAnswers
 }
 
-// answers is how long those of one kind of request take, and how often they are failures.
+// answerStats is how long the answers on one route take, and how often they are failures.
 type answerStats struct {
 	took     health.AnswerTime
 	failures health.FailureRate
@@ -41,7 +42,8 @@
 // maxRoutes bounds the routes whose answers are remembered.
 const maxRoutes = 1024
 
-// newest are the last answers of a service: one by any target, and one by another.
+// lastAnswers holds the times of the last answer of a service and of the last one by
+// another target.
 type lastAnswers struct {
 	target    string
 	at, other time.Time
@@ -73,8 +75,8 @@
 	return n.at
 }
 
-// expect watches an attempt at a plain request: its context ends if the target answers
-// nothing and another server may run the request.
+// trackPending tracks an attempt at a plain request: its context is canceled if the target
+// does not answer and another server may run the request.
 func (f *fleet) trackPending(ctx context.Context, s sent, c *call) (context.Context, *pending) {
 	ctx, end := context.WithCancelCause(ctx)
 	p := &pending{
@@ -87,9 +89,9 @@
 	return ctx, p
 }
 
-// answered takes the head of the answer to a plain request. A refusal, which has not run,
-// tells nothing but that its target speaks; failed says that the answer is the server's own
-// failure.
+// answered records the head of the answer to a plain request. A refusal, which has not run,
+// shows only that its target responds. Failed is set if the answer is the server's own
+// error.
 func (f *fleet) answered(p *pending, ran, failed bool, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -111,7 +113,7 @@
 	stats.failures.Observe(failed)
 }
 
-// kind returns what is known of the answers on a route.
+// stats returns the statistics of the answers on a route.
 func (w *pendingRequests) stats(route string) *answerStats {
 	k := w.baseline[route]
 	if k == nil {
@@ -124,8 +126,9 @@
 	return k
 }
 
-// settle ends the watch. A request that ended unanswered counts against a target that was
-// doubted, however it ended: callers leave, and deadlines pass, before anything else fails.
+// untrackPending ends the tracking. A request that ended unanswered counts as a failure of a
+// suspected target, however it ended: callers disconnect and deadlines pass before anything
+// else fails.
 func (f *fleet) untrackPending(p *pending) {
 	p.end(nil)
 	now := time.Now()
@@ -137,8 +140,8 @@
 	}
 }
 
-// watchPending has no requests sent to targets that answer nothing, and ends the attempts
-// there that had better go on elsewhere. It is called with the lock held.
+// watchPending marks targets that do not answer as suspected, and cancels the attempts
+// there that should be repeated elsewhere. It is called with the lock held.
 func (f *fleet) watchPending(now time.Time) {
 	left := map[string]int{}
 	for p := range f.pending.open {
@@ -158,8 +161,8 @@
 	}
 }
 
-// unanswered reports whether a request says that its target should be doubted. It is called
-// with the lock held.
+// unanswered reports whether a pending request makes its target suspect. It is called with
+// the lock held.
 func (f *fleet) unanswered(p *pending, now time.Time) bool {
 	w := &f.pending
 	baseline := w.baseline[p.route]
--- a/gateway/pending_test.go
+++ b/gateway/pending_test.go
@@ -13,8 +13,8 @@
 	"verbenashift/standin/scripted"
 )
 
-// newHangingRig starts a gateway before two servers, the first of which answers nothing any
-// more, and sends requests until the gateway has learned how long both take.
+// newHangingRig starts a gateway with two servers and sends requests until the gateway has
+// learned how long both take. The first server does not answer any more after that.
 func newHangingRig(t *testing.T, kind deployment.RouteKind, timeout time.Duration) (r *rig, hangs, answers *scripted.Server) {
 	t.Helper()
 	var hang atomic.Bool
@@ -41,9 +41,9 @@
 	}
 }
 
-// traffic sends an attempt each few milliseconds until the test has ended: a gateway knows
-// by the answers to others that the path to the servers is well. It returns how many have
-// failed so far.
+// traffic sends an attempt every few milliseconds until the test has ended: their answers show
+// the gateway that the path to the servers works. It returns a function that returns how many
+// have failed so far.
 func (r *rig) traffic() (failed func() int64) {
 	ctx, stop := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -65,9 +65,9 @@
 	return failures.Load
 }
 
-// Guards against losing each request that is sent to a server which takes requests, answers
-// nothing and says that it is well: requests that may be repeated go on elsewhere, and the
-// server gets no new ones.
+// Guards against losing each request to a server which accepts requests, does not answer and
+// reports that it is healthy: repeatable requests are sent elsewhere, and the server gets no
+// new ones.
 func TestLookupLeavesAServerThatAnswersNothing(t *testing.T) {
 	const timeout = 1500 * time.Millisecond
 	r, first, second := newHangingRig(t, deployment.Safe, timeout)
@@ -76,7 +76,7 @@
 		_, got := r.ask()
 		r.Equal(got.Status, http.StatusOK)
 	}
-	// It is known by now, and gets a probe now and then at most.
+	// It is suspected by now, and gets at most an occasional probe.
 	before, all := len(first.Seen()), len(second.Seen())
 	for range 40 {
 		r.ask()
@@ -86,8 +86,8 @@
 	r.Equal(failed(), int64(0))
 }
 
-// Guards against a second run of a request that may run once, and against sending more of
-// them to a server that answers nothing.
+// Guards against a second run of a request that may run only once, and against sending more of
+// them to a server that does not answer.
 func TestBookingStaysWithAServerThatAnswersNothing(t *testing.T) {
 	r, first, second := newHangingRig(t, deployment.Unsafe, 500*time.Millisecond)
 	r.traffic()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -7,19 +7,19 @@
 	"verbenashift/core/request/quarantine"
 )
 
-// history is what is known of calls with the same content.
+// quarantineState is what is known about calls with the same content.
 type quarantineState struct {
-	// print is the fingerprint of the request, once somebody has asked for it; suspect
-	// says that a target may have crashed under it.
+	// cachedPrint is the fingerprint of the request once it was computed; suspect is set if a
+	// target may have crashed while running it.
 	cachedPrint quarantine.Fingerprint
 	suspect     bool
-	// trial says that the request was held back and is sent to find out whether it still
+	// probe is set if the request is quarantined and is sent to find out whether it still
 	// crashes targets; crashes is how many had crashed before.
 	probe   bool
 	crashes int
 }
 
-// fingerprint returns what the request has in common with others of the same content.
+// fingerprint returns the fingerprint that the request shares with others of the same content.
 func (c *call) fingerprint() quarantine.Fingerprint {
 	if c.cachedPrint == (quarantine.Fingerprint{}) {
 		content := quarantine.Content{
@@ -30,8 +30,9 @@
 	return c.cachedPrint
 }
 
-// refused refuses the request at once if it is held back and nobody may try it now, and
-// reports whether it did. It has not waited for a place then, which others need.
+// refuseIfQuarantined refuses the request at once if it is quarantined and no probe is due, and
+// reports whether it did. The request then does not occupy a place in the queue, which others
+// need.
 func (c *call) refuseIfQuarantined() bool {
 	if !c.isolator.hasQuarantined() {
 		return false
@@ -44,9 +45,9 @@
 	return true
 }
 
-// heldBack returns why the request may not be sent now, or nil. Without it a request that
-// crashes each server that begins to run it took one server after the other, with all that
-// ran beside it, for as long as it came again.
+// checkQuarantine returns why the request may not be sent now, or nil. Without it, a request that
+// crashes each server that begins to run it takes down one server after the other, with all
+// requests that run there, for as long as the caller repeats it.
 func (c *call) checkQuarantine(ctx context.Context) *outcome.Error {
 	if !c.isolator.hasQuarantined() {
 		return nil
@@ -56,7 +57,7 @@
 	case !v.Quarantined:
 		return nil
 	case c.probe && c.attempts.Errors == 0:
-		return nil // This is the attempt that was let through.
+		return nil // This is the probe.
 	case v.Probe && !c.probe && c.isolator.claimProbe(ctx, c.fingerprint(), v):
 		c.probe, c.crashes = true, c.isolator.crashes(c.fingerprint())
 		return nil
@@ -64,15 +65,15 @@
 	return c.quarantineRefusal(v)
 }
 
-// refusal says what is known of a request that is held back, and when it will be tried
-// again.
+// quarantineRefusal returns the refusal of a quarantined request, with its outcome so far and
+// when the caller may retry.
 func (c *call) quarantineRefusal(v quarantine.Decision) *outcome.Error {
 	c.suspect = true
 	metricHeldCalls.Add(1)
 	return &outcome.Error{Outcome: c.attempts.Outcome(), Reason: quarantine.ReasonQuarantined, RetryAfter: v.RetryAfter}
 }
 
-// endTrial follows up a trial that has brought no whole answer.
+// endProbe follows up a probe that has not received a complete answer.
 func (c *call) endProbe() {
 	if c.probe && !c.served {
 		go c.isolator.concludeProbe(c.fingerprint(), c.crashes)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -15,8 +15,8 @@
 	"verbenashift/standin/scripted"
 )
 
-// shelf is a store that an isolator writes to and hears from.
-type shelf struct {
+// fakeStore is a store that an isolator writes to and watches.
+type fakeStore struct {
 	mu       sync.Mutex
 	down     bool
 	revision int64
@@ -24,7 +24,7 @@
 	changes  int
 }
 
-func (s *shelf) Change(_ context.Context, c kv.Change) (int64, error) {
+func (s *fakeStore) Change(_ context.Context, c kv.Change) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -46,8 +46,8 @@
 	return s.revision, nil
 }
 
-// all returns what stands there.
-func (s *shelf) all() []kv.Item {
+// all returns the items of the store.
+func (s *fakeStore) all() []kv.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var items []kv.Item
@@ -57,39 +57,39 @@
 	return items
 }
 
-// heldRig is a rig whose gateway has a store for what is held back.
-type heldRig struct {
+// quarantineRig is a rig whose gateway has a store for quarantined requests.
+type quarantineRig struct {
 	*rig
-	shelf *shelf
+	store *fakeStore
 }
 
-func newHeldRig(t *testing.T, kind deployment.RouteKind, servers ...*scripted.Server) *heldRig {
+func newQuarantineRig(t *testing.T, kind deployment.RouteKind, servers ...*scripted.Server) *quarantineRig {
 	r := newRig(t, routeOf(kind), servers...)
-	s := &shelf{items: map[string]kv.Item{}}
+	s := &fakeStore{items: map[string]kv.Item{}}
 	r.gateway.isolator.store = s
-	return &heldRig{r, s}
+	return &quarantineRig{r, s}
 }
 
-// print is the fingerprint of the calls of a rig.
-func (r *heldRig) print() quarantine.Fingerprint {
+// print returns the fingerprint of the calls of a rig.
+func (r *quarantineRig) print() quarantine.Fingerprint {
 	c := quarantine.Content{Method: http.MethodPost, Host: rigHost, Target: r.call().Path, Workspace: rigSpace, Body: []byte(rigBody)}
 	return c.Fingerprint()
 }
 
-// hold has the calls of the rig held back.
-func (r *heldRig) hold(h quarantine.Hold) {
+// hold quarantines the calls of the rig.
+func (r *quarantineRig) hold(h quarantine.Hold) {
 	is := r.gateway.isolator
 	over := is.decide(r.print()).Revision
 	r.True(is.writeHold(r.t.Context(), r.print(), over, h))
 }
 
-// Guards against holding or sending a request that crashes servers, and refusing its
-// neighbours.
+// Guards against queueing or sending a request that crashes servers, and against refusing
+// others.
 func TestHeldBackIsRefusedAtOnce(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe, deployment.Stream} {
 		t.Run(string(kind), func(t *testing.T) {
 			s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
-			r := newHeldRig(t, kind, s)
+			r := newQuarantineRig(t, kind, s)
 			r.hold(quarantine.Hold{Crashes: 3})
 			_, answer := r.ask()
 			r.Equal(answer.Status, http.StatusServiceUnavailable)
@@ -109,14 +109,14 @@
 	}
 }
 
-// Guards against a request that crashes servers and waits for a place.
+// Guards against a request that crashes servers and waits for a slot.
 func TestHeldBackInAFullQueue(t *testing.T) {
 	hold := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
 		<-hold
 		x.Whole(200, "ok")
 	})
-	r := newHeldRig(t, deployment.Safe, s)
+	r := newQuarantineRig(t, deployment.Safe, s)
 	read := r.logged()
 	r.view.Config.Services[0].Engine = &deployment.Engine{Slots: 1}
 	r.gateway.update(&r.view)
@@ -131,31 +131,31 @@
 	r.hold(quarantine.Hold{Crashes: 3})
 	c, answer := r.ask()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
-	r.True(answer.Comeback() > 9*time.Minute) // the word on the hold, not on the queue
+	r.True(answer.Comeback() > 9*time.Minute) // that of the hold, not of the queue
 	close(hold)
 	r.Equal((<-served).Status, http.StatusOK)
 	own := story.Of(c.ID, read())
 	r.Equal(story.CauseOf(c.ID, own), story.Cause{Kind: story.HeldBack, Detail: "print " + r.print().Short()})
 }
 
-// Guards against calling a request "not run" that has crashed a server.
+// Guards against the outcome "not run" for a request that has crashed a server.
 func TestHeldBackAfterAnAttemptHasRun(t *testing.T) {
-	var r *heldRig
+	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
 		r.hold(quarantine.Hold{Crashes: 3})
 		x.Close()
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
-	r = newHeldRig(t, deployment.Safe, s0, s1)
+	r = newQuarantineRig(t, deployment.Safe, s0, s1)
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusBadGateway)
 	r.Equal(answer.Comeback(), time.Duration(0))
 	r.Equal(total(s0, s1), 1)
 }
 
-// Guards against a part of a draft that looks whole when its request is held back.
+// Guards against a partial stream that looks complete when its request is quarantined.
 func TestHeldBackInTheMiddleOfAStream(t *testing.T) {
-	var r *heldRig
+	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
 		x.Stream()
 		x.Chunk(scripted.Event(1))
@@ -163,37 +163,37 @@
 		x.Close()
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
-	r = newHeldRig(t, deployment.Stream, s0, s1)
+	r = newQuarantineRig(t, deployment.Stream, s0, s1)
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusOK)
 	r.True(!answer.Whole)
 	r.Equal(total(s0, s1), 1)
 }
 
-// Guards against keeping a neighbour back that one whole answer clears.
+// Guards against keeping a request in quarantine that one complete answer clears.
 func TestTrialIsServed(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
-	r := newHeldRig(t, deployment.Unsafe, s)
+	r := newQuarantineRig(t, deployment.Unsafe, s)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	for range 3 {
 		_, answer := r.ask()
 		r.Equal(answer.Status, http.StatusOK)
 	}
 	r.True(r.gateway.isolator.writeReport(t.Context()))
-	items := r.shelf.all()
-	r.Equal(len(items), 1) // the hold is gone, the word to the others stands there
+	items := r.store.all()
+	r.Equal(len(items), 1) // the hold is removed, the report to the others is there
 	r.True(items[0].Key != quarantine.HoldKey(r.print()))
 }
 
-// Guards against repeating a trial that has crashed its server.
+// Guards against repeating a probe that has crashed its server.
 func TestTrialCrashes(t *testing.T) {
-	var r *heldRig
+	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
 		r.gateway.isolator.crashed(quarantine.Crash{Target: x.Expect(), Requests: []quarantine.Fingerprint{r.print()}})
 		x.Close()
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
-	r = newHeldRig(t, deployment.Safe, s0, s1)
+	r = newQuarantineRig(t, deployment.Safe, s0, s1)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	_, first := r.ask()
 	r.Equal(first.Status, http.StatusBadGateway)
@@ -204,7 +204,7 @@
 	r.Equal(total(s0, s1), 1)
 }
 
-// Guards against taking a trial that has told nothing for one that has.
+// Guards against treating an inconclusive probe as conclusive.
 func TestTrialWithoutAnAnswer(t *testing.T) {
 	for name, script := range map[string]func(*scripted.Exchange){
 		"refused":    func(x *scripted.Exchange) { x.Refuse() },
@@ -213,7 +213,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel() // It waits most of its time.
 			s := scripted.Serve(t, script)
-			r := newHeldRig(t, deployment.Safe, s)
+			r := newQuarantineRig(t, deployment.Safe, s)
 			r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 			for range 5 {
 				_, answer := r.ask()
@@ -225,10 +225,10 @@
 	}
 }
 
-// Guards against crashes that nobody acts on while the store is away.
+// Guards against ignoring crashes while the store is unavailable.
 func TestCrashesWhileTheStoreIsAway(t *testing.T) {
-	r := newHeldRig(t, deployment.Safe, scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") }))
-	r.shelf.down = true
+	r := newQuarantineRig(t, deployment.Safe, scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") }))
+	r.store.down = true
 	s := r.gateway.isolator
 	for _, target := range []string{"a", "b", "c"} {
 		s.crashed(quarantine.Crash{Target: target, Requests: []quarantine.Fingerprint{r.print()}})
@@ -242,18 +242,18 @@
 	}
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
-	r.Equal(len(r.shelf.all()), 0)
-	r.shelf.mu.Lock()
-	r.shelf.down = false
-	r.shelf.mu.Unlock()
-	for len(r.shelf.all()) < 2 {
+	r.Equal(len(r.store.all()), 0)
+	r.store.mu.Lock()
+	r.store.down = false
+	r.store.mu.Unlock()
+	for len(r.store.all()) < 2 {
 		time.Sleep(isolatorTick) // the report and the hold
 	}
 }
 
-// Guards against memory that grows with the crashes while the store is away.
+// Guards against memory that grows with the crashes while the store is unavailable.
 func TestUntoldCrashesAreBounded(t *testing.T) {
-	r := newHeldRig(t, deployment.Safe)
+	r := newQuarantineRig(t, deployment.Safe)
 	for n := range 10 * maxUnwritten {
 		s := r.gateway.isolator
 		s.crashed(quarantine.Crash{Target: string(rune(n + 'a')), Requests: []quarantine.Fingerprint{r.print()}})
@@ -265,22 +265,22 @@
 	r.True(len(s.removedHolds) <= maxUnwritten)
 }
 
-// Guards against a trial by each gateway.
+// Guards against a probe by each gateway.
 func TestOneGatewayTries(t *testing.T) {
-	r := newHeldRig(t, deployment.Safe)
+	r := newQuarantineRig(t, deployment.Safe)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
-	other := newIsolator("front-2", r.shelf, r.gateway.log)
-	other.apply(r.shelf.all(), true)
+	other := newIsolator("front-2", r.store, r.gateway.log)
+	other.apply(r.store.all(), true)
 	v := other.decide(r.print())
 	r.True(v.Probe)
 	r.True(other.claimProbe(t.Context(), r.print(), v))
 	r.True(!r.gateway.isolator.claimProbe(t.Context(), r.print(), v))
 }
 
-// Guards against holding a request again by old reports after an operator has freed it.
+// Guards against quarantining a request again by old reports after an operator has cleared it.
 func TestOperatorFreesARequest(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
-	r := newHeldRig(t, deployment.Safe, s)
+	r := newQuarantineRig(t, deployment.Safe, s)
 	r.hold(quarantine.Hold{Crashes: 3})
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
@@ -288,7 +288,7 @@
 	_, answer = r.ask()
 	r.Equal(answer.Status, http.StatusOK)
 	r.True(r.gateway.isolator.writeReport(t.Context()))
-	for _, it := range r.shelf.all() {
+	for _, it := range r.store.all() {
 		var told quarantine.Report
 		if json.Unmarshal(it.Value, &told) == nil && len(told.Completed) == 1 {
 			r.Equal(told.Completed[0], r.print())
--- a/gateway/ranks.go
+++ b/gateway/ranks.go
@@ -9,26 +9,26 @@
 )
 
 const (
-	// slowPace is the pace over which a rank gets no requests while others have
-	// room: all ranks of a group wait for the slowest one's own part of a pass.
+	// slowPace is the pace above which a rank gets no requests while others have
+	// capacity: all ranks of a group wait for the slowest one's part of a forward pass.
 	slowPace = 1.25
-	// engineRate is the rate of a rank at full pace, in tokens a second. Only
+	// engineRate is the rate of a rank at full speed, in tokens per second. Only
 	// the proportions matter.
 	engineRate = 4000
 )
 
-// ranks is what a digest says of the targets of an expert group.
+// groupLoad is the load of an expert group according to a digest.
 type groupLoad struct {
 	service string
 	// running and queued are the sums over the ranks.
 	running, queued int
-	// slow are the targets that hold the group up.
+	// slow holds the targets that slow down the group.
 	slow map[string]bool
-	// joined says that a target was not known to belong to the group.
+	// joined is set if a target was not known to belong to the group.
 	joined bool
 }
 
-// digest takes what a steward knows of the load of its ranks.
+// digest applies the load of the ranks as reported by their coordinator.
 func (f *fleet) digest(d *rankpeer.Digest, taken time.Time) groupLoad {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,8 +63,8 @@
 	return r
 }
 
-// serviceOf returns the service of a group's targets: a steward that knows none of its
-// ranks yet has something to tell all the same. It is called with the lock held.
+// serviceOf returns the service of a group's targets: the digest of a coordinator that knows
+// none of its ranks yet applies as well. It is called with the lock held.
 func (f *fleet) serviceOf(group string) string {
 	for _, p := range f.pools {
 		if f.groupOf(&p.Target) == group {
@@ -74,8 +74,8 @@
 	return ""
 }
 
-// regroup tells the table which groups the targets belong to. It is called with the
-// lock held.
+// regroup updates the groups of the targets in the routing table. It is called with the lock
+// held.
 func (f *fleet) regroup() {
 	targets := make([]route.Target, 0, len(f.pools))
 	for _, p := range f.pools {
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -6,9 +6,9 @@
 	"verbenashift/core/configuration/deployment"
 )
 
-// ended writes the line that says how the request has ended, with what it was
-// decided by: the version of the configuration, and the last target with the age
-// of the load by which it was picked.
+// logOutcome logs how the request has ended, with what its routing was based on: the
+// version of the configuration, and the last target with the age of the load report by
+// which it was picked.
 func (c *call) logOutcome(attrs ...any) {
 	line := append(make([]any, 0, 48), "id", c.req.ID, "service", c.service, "config", c.version,
 		"ms", time.Since(c.arrived).Milliseconds(), "queued-ms", c.queued.Milliseconds(), "errors", c.attempts.Errors,
@@ -25,16 +25,16 @@
 	c.log.Info("request", append(line, attrs...)...)
 }
 
-// The reasons for which an answer is late, as lines have them.
+// The reasons for which an answer is late, as they appear in the log.
 const (
-	lateReturn = "return" // the caller comes back, and is late in any case
+	lateReturn = "return" // the caller is repeating an attempt, and is late in any case
 	lateWhole  = "whole"
 	lateFirst  = "first"
 	latePause  = "pause"
 )
 
-// lateBy returns why an answer that ends now has not kept what its route asks for, or ""
-// if it has.
+// lateBy returns why an answer that ends now has missed the objective of its route, or ""
+// if it has met it.
 func (c *call) lateBy(now time.Time) string {
 	switch {
 	case c.returning:
@@ -51,8 +51,9 @@
 	return ""
 }
 
-// pacing returns when a stream began and its longest pause, by which it was on time
-// or late, and whether its caller had been here before; nothing before an event.
+// streamAttrs returns the time to the first event of a stream and its longest pause, which
+// decide whether it was on time, and whether its caller is returning. It returns nil before
+// the first event.
 func (c *call) streamAttrs() []any {
 	if c.eventAt.IsZero() {
 		return nil
@@ -60,8 +61,9 @@
 	return []any{"first-ms", c.firstAfter.Milliseconds(), "longest-pause-ms", c.longestPause.Milliseconds(), "returning", c.returning}
 }
 
-// chosen returns the last target with the age of the load by which it was picked,
-// and how many servers may have run the request; nothing if none was picked.
+// targetAttrs returns the last target with the age of the load report by which it was
+// picked, and how many servers may have run the request. It returns nil if no target was
+// picked.
 func (c *call) targetAttrs() []any {
 	if c.last.target == nil {
 		return nil
@@ -69,8 +71,8 @@
 	return []any{"target", c.last.target.ID, "group", c.slot.group, "load-age-ms", c.last.loadAge.Milliseconds(), "ran", c.ran}
 }
 
-// sameness returns what tells other calls with the same content; nothing for a call by
-// which no target may have crashed.
+// fingerprintAttrs returns what identifies calls with the same content. It returns nil for
+// a call during which no target may have crashed.
 func (c *call) fingerprintAttrs() []any {
 	if !c.suspect {
 		return nil
@@ -78,8 +80,7 @@
 	return []any{"print", c.fingerprint().Short(), "begun", c.begun}
 }
 
-// logRetry writes the line of an attempt after which another follows, with the
-// choice that it was.
+// logRetry logs an attempt that is followed by another one, with its target.
 func (c *call) logRetry(reason string) {
 	line := append(make([]any, 0, 16), "id", c.req.ID, "service", c.service, "config", c.version,
 		"reason", reason, "errors", c.attempts.Errors)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -14,8 +14,8 @@
 // streamBuffer is how much of a stream is read at once.
 const streamBuffer = 4 << 10
 
-// relay passes a stream on, event by event. The head goes out with the first
-// event, so that a stream that breaks before can be refused or sent elsewhere.
+// relay passes a stream on, event by event. The head is sent with the first
+// event, so that a stream that breaks off earlier can be refused or sent elsewhere.
 func (c *call) relay(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
 	var ev events
 	buf := make([]byte, streamBuffer)
@@ -50,8 +50,8 @@
 	}
 }
 
-// begin sends the head of a stream once: a stream that goes on at another
-// server keeps the head of its first.
+// begin sends the head of a stream once: a stream that is resumed at another
+// server keeps the head of the first one.
 func (c *call) begin(reply *upstream.Reply) {
 	if c.begun {
 		return
@@ -61,7 +61,8 @@
 	c.w.WriteHeader(reply.Status)
 }
 
-// sendEvent passes one event on, once. It reports false if the caller has left.
+// sendEvent passes one event on, unless it was sent before. It reports false if the caller
+// has disconnected.
 func (c *call) sendEvent(reply *upstream.Reply, event []byte) bool {
 	id := eventID(event)
 	if id >= 0 && id <= c.lastID {
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -27,7 +27,7 @@
 	"verbenashift/standin/scripted"
 )
 
-// rig is a gateway between a caller and scripted servers.
+// rig is a gateway between callers and scripted servers.
 type rig struct {
 	*is.I
 	t       *testing.T
@@ -46,7 +46,7 @@
 	rigPatience = 5 * time.Second
 )
 
-// route is one of the kinds that a configuration may have.
+// routeOf returns a route of one of the kinds that a configuration may have.
 func routeOf(kind deployment.RouteKind) deployment.Route {
 	return deployment.Route{
 		Name: "a", Host: rigHost, Prefix: "/a/", Kind: kind, Timeout: 4 * time.Second, Objective: 300 * time.Millisecond,
@@ -55,7 +55,7 @@
 	}
 }
 
-// newRig starts a gateway whose route leads to servers, the targets t0, t1 and so
+// newRig starts a gateway whose route leads to servers, which are the targets t0, t1 and so
 // on.
 func newRig(t *testing.T, route deployment.Route, servers ...*scripted.Server) *rig {
 	t.Helper()
@@ -76,7 +76,7 @@
 	}
 	g.update(&r.view)
 	front := httptest.NewUnstartedServer(g)
-	front.Config.ErrorLog = log.New(io.Discard, "", 0) // Broken streams are meant here.
+	front.Config.ErrorLog = log.New(io.Discard, "", 0) // Streams break off on purpose.
 	front.Start()
 	ctx, stop := context.WithCancel(context.Background())
 	go g.run(ctx)
@@ -89,7 +89,7 @@
 	return r
 }
 
-// call is the next attempt of a caller.
+// call returns the next attempt of a caller.
 func (r *rig) call() scripted.Call {
 	r.calls++
 	return scripted.Call{
@@ -104,7 +104,7 @@
 	return c, c.Do(r.t.Context())
 }
 
-// restart makes the gateway one that has just started and has no configuration.
+// restart puts the gateway in the state after a start, without a configuration.
 func (r *rig) restart() {
 	r.gateway.catalog.Store(nil)
 	r.gateway.startup = startup.New()
@@ -119,7 +119,7 @@
 	return n
 }
 
-// broken are the ways in which a server's answer may be none.
+// broken returns the ways in which a server's answer may be unusable.
 func broken() map[string]func(*scripted.Exchange) {
 	return map[string]func(*scripted.Exchange){
 		"closed without an answer": func(x *scripted.Exchange) { x.Close() },
@@ -142,8 +142,8 @@
 	}
 }
 
-// Guards against an answer that broke off, lost its signature or is another one's and looks
-// whole to the caller of a lookup.
+// Guards against an answer that broke off, lost its signature or belongs to another request and
+// looks complete to the caller of a lookup.
 func TestSpoiledLookupIsRepeated(t *testing.T) {
 	for name, spoil := range broken() {
 		t.Run(name, func(t *testing.T) {
@@ -167,8 +167,8 @@
 	}
 }
 
-// Guards against a second run of a booking that may have run, and calling it "not run" or a
-// success.
+// Guards against a second run of a booking that may have run, and against the outcomes "not run"
+// and success for it.
 func TestSpoiledBookingIsUnknown(t *testing.T) {
 	for name, spoil := range broken() {
 		t.Run(name, func(t *testing.T) {
@@ -198,7 +198,7 @@
 	r.Equal(len(conns), 3)
 }
 
-// Guards against losing a booking that a full server has not run while another one may take it.
+// Guards against failing a booking that a full server has not run while another one may take it.
 func TestRefusedBookingGoesElsewhere(t *testing.T) {
 	refuse := func(x *scripted.Exchange) { x.Refuse() }
 	a := scripted.Serve(t, refuse)
@@ -217,7 +217,7 @@
 	all.True(got.Comeback() <= rigPatience/3) // the longest that callers honour
 }
 
-// Guards against a run by another service, at the address of a server that has left.
+// Guards against a run by another service, at the address of a removed server.
 func TestAddressOfAnotherServer(t *testing.T) {
 	other := scripted.Serve(t, func(x *scripted.Exchange) { x.Misdirected() })
 	own := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "own") })
@@ -233,8 +233,8 @@
 	r.True(len(other.Seen()) <= 1)
 }
 
-// Guards against a request that is changed on its way, a key that a server sees, and a
-// workspace that the caller claims.
+// Guards against modifying a request, passing its key to a server, and trusting the workspace
+// that the caller states.
 func TestServerGetsWhatTheCallerSent(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
@@ -261,7 +261,7 @@
 	r.True(!strings.Contains(fmt.Sprint(got.Header), rigKey))
 }
 
-// Guards against replacing a server's own failure by one of the gateway's.
+// Guards against replacing a server's own error answer by one of the gateway.
 func TestFailureOfTheServerIsPassedOn(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(500, "the desk is closed") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
@@ -282,8 +282,8 @@
 	r.Equal(total(a, b, c), 2)
 }
 
-// Guards against answers after the route's or the caller's time, and servers that are told more
-// than what is left.
+// Guards against answers after the route's or the caller's time limit, and against passing
+// servers more than the remaining time.
 func TestTimeOfARequestIsKept(t *testing.T) {
 	for name, tt := range map[string]struct{ route, caller time.Duration }{
 		"the route's":  {200 * time.Millisecond, 5 * time.Second},
@@ -304,7 +304,7 @@
 	}
 }
 
-// Guards against work for a caller that has hung up.
+// Guards against work for a caller that has disconnected.
 func TestCallerThatLeavesFreesTheServer(t *testing.T) {
 	ctx, leave := context.WithCancel(t.Context())
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
@@ -320,8 +320,8 @@
 	r.Equal(len(s.Seen()), 1) // and it is sent nowhere else
 }
 
-// Guards against a draft that is lost, or has parts missing or twice, when its server dies in
-// the middle of an event.
+// Guards against a stream that is lost, or has missing or duplicate events, when its server dies
+// in the middle of an event.
 func TestStreamGoesOnElsewhere(t *testing.T) {
 	dies := func(x *scripted.Exchange) {
 		x.Stream()
@@ -355,7 +355,7 @@
 	r.True(last[0].Header.Get("Last-Event-Id") == "2" || last[1].Header.Get("Last-Event-Id") == "2")
 }
 
-// Guards against a group that waits in each pass for a slow rank, since drafts stay there.
+// Guards against a group that waits in each forward pass for a slow rank because streams stay there.
 func TestStreamLeavesASlowRank(t *testing.T) {
 	const ranks = 5
 	for name, tt := range map[string]struct {
@@ -409,8 +409,8 @@
 	}
 }
 
-// slowDigest is what a steward tells of ranks of which so many are slow, one of
-// them the given target.
+// slowDigest returns the digest of a group with the given numbers of ranks and slow ranks, one
+// of them the given target.
 func slowDigest(ranks int, target string, slow int) *rankpeer.Digest {
 	const slowPace = 12
 	d := &rankpeer.Digest{Running: make([]uint16, ranks), Queued: make([]uint16, ranks)}
@@ -429,8 +429,8 @@
 	return d
 }
 
-// Guards against a second run that the operator does not allow, and a part of a draft that
-// looks whole.
+// Guards against a second run that the operator does not allow, and a partial stream that looks
+// complete.
 func TestStreamThatMayNotBeRepeatedBreaksOff(t *testing.T) {
 	script := func(x *scripted.Exchange) {
 		x.Stream()
@@ -446,7 +446,7 @@
 	r.Equal(total(a, b), 1)
 }
 
-// Guards against events that reach the caller later than they are made.
+// Guards against delaying events on their way to the caller.
 func TestEventsAreNotHeldBack(t *testing.T) {
 	read := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
@@ -466,7 +466,7 @@
 	r.Equal(got.Body, scripted.Event(1)+scripted.Event(2))
 }
 
-// Guards against giving a caller the second answer to another one's lookup.
+// Guards against returning a second answer to an earlier lookup to another caller.
 func TestSecondAnswerIsSkipped(t *testing.T) {
 	before := ""
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
@@ -486,7 +486,7 @@
 	r.Equal(s.Seen()[2].Conn, s.Seen()[0].Conn)
 }
 
-// Guards against a request that its server takes for the rest of a long body.
+// Guards against a request that its server reads as the rest of an earlier long body.
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	sent := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
@@ -505,7 +505,7 @@
 	c := r.call()
 	answer := make(chan scripted.Answer)
 	go func() { answer <- c.Do(t.Context()) }()
-	time.Sleep(50 * time.Millisecond) // it is on its way, whatever way that is
+	time.Sleep(50 * time.Millisecond) // it is in progress by now
 	close(sent)
 	r.Equal((<-answer).Status, 200)
 	r.Equal(s.Seen()[1].ID(), c.ID)
@@ -513,8 +513,8 @@
 	r.True(s.Seen()[1].Conn != s.Seen()[0].Conn)
 }
 
-// Guards against serving what the configuration does not allow, and sending away what it may
-// allow once it is known.
+// Guards against serving requests that the configuration does not allow, and against rejecting,
+// before it is known, requests that it may allow.
 func TestWhatIsNotAllowed(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
@@ -541,8 +541,8 @@
 	r.Equal(c.Do(t.Context()).Status, platform.StatusNotRun)
 }
 
-// Guards against refusing the callers of a gateway that reads its configuration just now:
-// many have lost an attempt already and get no third one.
+// Guards against refusing the callers of a gateway that is reading its configuration: many have
+// lost an attempt already and get no third one.
 func TestStartingGatewayHoldsCallers(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
@@ -558,7 +558,7 @@
 	r.Equal((<-answers).Status, http.StatusOK)
 }
 
-// Guards against acting on an older configuration after a newer one is in force.
+// Guards against applying an older configuration after a newer one is in force.
 func TestNewVersionIsInForce(t *testing.T) {
 	before := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "before") })
 	after := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "after") })
@@ -583,7 +583,7 @@
 	r.Equal(len(before.Seen()), 1)
 }
 
-// Guards against a gateway that only knows the routes of its start.
+// Guards against a gateway that only knows the routes from its start.
 func TestLaterRoutesAreServed(t *testing.T) {
 	const later = 30
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, x.Target) })
@@ -607,7 +607,7 @@
 	}
 }
 
-// Guards against closing a kept connection without an answer to a request that was read.
+// Guards against closing a keep-alive connection without an answer to a request that was read.
 func TestKeptConnectionGetsAnswers(t *testing.T) {
 	scripts := []func(*scripted.Exchange){
 		func(x *scripted.Exchange) { x.Whole(200, "ok") },
@@ -638,7 +638,7 @@
 	}
 }
 
-// Guards against new requests at a server that leaves, also over kept connections.
+// Guards against new requests to a draining server, also over keep-alive connections.
 func TestLeavingServerGetsNothingNew(t *testing.T) {
 	hold := make(chan struct{})
 	leaving := scripted.Serve(t, func(x *scripted.Exchange) {
@@ -667,7 +667,7 @@
 	r.Equal(len(leaving.Seen()), 1)
 }
 
-// Guards against cutting off requests at a stop.
+// Guards against aborting requests on shutdown.
 func TestStoppingGatewayServesToTheEnd(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -36,25 +36,25 @@
 	fleet   *fleet
 	catalog atomic.Pointer[catalog]
 	bounds  boot.Bounds
-	// leaving is set by SIGTERM: the balancer is told to send nothing more.
+	// shuttingDown is set on SIGTERM: the readiness check fails from then on.
 	shuttingDown atomic.Bool
 	started      time.Time
 	// startup holds requests until there is a configuration.
 	startup *startup.Gate
 
 	mu sync.Mutex
-	// rng is not the fleet's, which another lock guards.
+	// rng is separate from the fleet's, which another lock guards.
 	rng     *rand.Rand
 	budgets *retry.Budgets
 	returns retry.ReturnScheduler
 	digests *digests
-	// isolator keeps requests that crash their targets from being sent.
+	// isolator quarantines requests that crash their targets.
 	isolator *isolator
-	// doubts are told to the other gateways.
+	// suspicions shares suspected targets with the other gateways.
 	suspicions *suspicionExchange
-	// patience tells by route which callers have been here before.
+	// patience detects returning callers, by route.
 	patience map[string]*retry.ReturnDetector
-	// admitters are those of services with engines, by name.
+	// admitters holds those of services with engines, by name.
 	admitters map[string]*admitter
 }
 
@@ -80,18 +80,18 @@
 }
 
 const (
-	// retryPart is the part of the deployment's retries that is used, since
-	// what a client sends again at another gateway is counted differently.
+	// retryFraction is the part of the deployment's retries that is used, since
+	// a request that a client repeats at another gateway is counted differently.
 	retryFraction = 0.85
-	// gateways is how many gateways the slack of the retries is shared among at least:
-	// restarted ones start with a new share.
+	// minGateways is the minimum number of gateways among which the retry slack is
+	// divided: restarted ones start with a new share.
 	minGateways = 24
-	// gatewaysUntold is the same until somebody has told how many there are.
+	// defaultGateways is the number used until a coordinator has reported the actual one.
 	defaultGateways = 64
 )
 
-// retryLimits shares the retries of the whole deployment. The ratio needs no
-// sharing: each gateway keeps to it for its own requests.
+// retryLimits returns this gateway's part of the retries of the whole deployment. The
+// ratio is not divided: each gateway applies it to its own requests.
 func retryLimits(b boot.Bounds) retry.Limits {
 	share := slackShare(b, defaultGateways)
 	return retry.Limits{
@@ -100,14 +100,14 @@
 	}
 }
 
-// slackShare is this gateway's part of the retries that all of them may make beside their
-// part of the requests.
+// slackShare returns this gateway's part of the retries that all gateways may make in
+// addition to the ratio of their requests.
 func slackShare(b boot.Bounds, among int) float64 {
 	return max(math.Floor(b.RetrySlack/float64(max(among, minGateways))), 1)
 }
 
-// shareRetries takes how many gateways there are, by those that ask a steward and its
-// relays.
+// shareRetries sets the number of gateways, as counted by those that poll a coordinator
+// and its relays.
 func (g *gateway) shareRetries(among int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// update takes a new view of the store: configuration and targets together.
+// update applies a new view of the store: configuration and targets together.
 func (g *gateway) update(v *mirror.View) {
 	g.fleet.update(v)
 	g.updateAdmitters(v.Config)
@@ -128,7 +128,7 @@
 	g.startup.Open()
 }
 
-// showBudgets shows how many retries each service may get now.
+// publishBudgets publishes how many retries each service has left.
 func (g *gateway) publishBudgets(cfg *deployment.Config) {
 	for i := range cfg.Services {
 		service := cfg.Services[i].Name
@@ -138,7 +138,7 @@
 	}
 }
 
-// admitTo makes an admitter for each service with engines, and tells it their slots.
+// updateAdmitters creates an admitter for each service with engines, and sets its slots.
 func (g *gateway) updateAdmitters(cfg *deployment.Config) {
 	slots := g.fleet.slots()
 	g.mu.Lock()
@@ -155,7 +155,7 @@
 	}
 }
 
-// digest takes what a steward tells of its group.
+// digest applies what a coordinator reports of its group.
 func (g *gateway) digest(d *rankpeer.Digest, taken time.Time) {
 	g.shareRetries(d.Gateways)
 	r := g.fleet.digest(d, taken)
@@ -170,16 +170,16 @@
 	}
 }
 
-// keptRetries is how many retries are kept for what fails by itself.
+// reservedRetries is how many retries are reserved for requests that fail on their own.
 const reservedRetries = 1
 
-// spareRetries returns how many requests to a service may be moved now: each is a
-// retry, and one without would be broken off.
+// spareRetries returns how many requests to a service may be moved now. Each move takes a
+// retry; without one the request would be aborted.
 func (g *gateway) spareRetries(service string) int {
 	return int(g.retriesLeft(service)) - reservedRetries
 }
 
-// retriesLeft returns how many retries a service may get now.
+// retriesLeft returns how many retries a service has left.
 func (g *gateway) retriesLeft(service string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,7 +193,7 @@
 	return g.admitters[service]
 }
 
-// comesBack reports whether a caller of a route has come back after an earlier try.
+// isReturning reports whether a caller of a route is repeating an earlier attempt.
 func (g *gateway) isReturning(r *deployment.Route, patience time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -205,7 +205,7 @@
 	return p.Returning(patience, r.Timeout)
 }
 
-// run lets time pass until the context ends.
+// run calls tick periodically until the context ends.
 func (g *gateway) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		g.tick(time.Now())
@@ -213,7 +213,7 @@
 	}
 }
 
-// tick lets time pass for targets and queues.
+// tick updates the health of targets and the state of queues.
 func (g *gateway) tick(now time.Time) {
 	for _, s := range g.fleet.tick(now) {
 		if a := g.admitterOf(s.service); a != nil {
@@ -230,7 +230,7 @@
 	}
 }
 
-// ready reports whether the balancer should send callers here.
+// ready reports whether the load balancer should send callers to this gateway.
 func (g *gateway) ready() bool { return g.catalog.Load() != nil && !g.shuttingDown.Load() }
 
 // ServeHTTP serves one request.
@@ -258,8 +258,8 @@
 	c.run(ctx)
 }
 
-// started waits until the gateway has a configuration. It answers and reports false if
-// the request is not to wait any longer.
+// started waits until the gateway has a configuration. If the request must not wait any
+// longer, it answers the request and reports false.
 func (c *call) started() bool {
 	err := c.startup.Wait(c.r.Context(), c.req.Patience)
 	c.startupWait = time.Since(c.arrived)
@@ -275,8 +275,8 @@
 	return false
 }
 
-// enter waits for a place at the engines. It answers and reports false if the request
-// goes no further.
+// acquireSlot waits for a slot at the engines. If there is none, it answers the request and
+// reports false.
 func (c *call) acquireSlot(ctx context.Context) bool {
 	_, wait := c.tracer.Start(ctx, spanWait)
 	at, refusal := c.admitter.acquire(ctx, c)
@@ -297,7 +297,7 @@
 	return true
 }
 
-// leave gives the place back.
+// releaseSlot returns the slot of the request.
 func (c *call) releaseSlot() {
 	if c.admitter != nil {
 		c.admitter.release(c.slot, c.cost())
--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -22,11 +22,11 @@
 	r.gateway.shareRetries(all)
 	r.True(left() >= 1)
 	r.True(left()*all <= slack)
-	r.gateway.shareRetries(0) // a steward that does not know
+	r.gateway.shareRetries(0) // a coordinator that does not know
 	r.True(left()*all <= slack)
 	r.gateway.digest(&rankpeer.Digest{Gateways: 2 * all}, time.Now())
 	r.True(left()*2*all <= slack)
-	// A few gateways that have just restarted are not taken for all there are.
+	// The number of gateways after a restart of a few is not taken as the total.
 	r.gateway.shareRetries(3)
 	r.True(left() <= slack/minGateways)
 	r.True(slackShare(boot.Bounds{RetrySlack: slack}, defaultGateways)*all <= slack)
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -9,7 +9,7 @@
 	"verbenashift/standin/scripted"
 )
 
-// Guards against breaking a draft off whose slow server finishes it, when no other server may
+// Guards against aborting a stream that its slow server still finishes, when no other server may
 // run it.
 func TestSilentStreamStaysWhereNobodyElseMayRunIt(t *testing.T) {
 	for name, tt := range map[string]struct {
@@ -47,7 +47,7 @@
 			go func() { got <- r.call().DoParts(t.Context(), func(string) { begun <- struct{}{} }) }()
 			<-first
 			<-begun
-			left := r.othersGoOn(time.Now().Add(900 * time.Millisecond))
+			left := r.checkSilence(time.Now().Add(900 * time.Millisecond))
 			r.Equal(left == 0, tt.moves)
 			var answer scripted.Answer
 			if tt.moves {
@@ -64,9 +64,9 @@
 	}
 }
 
-// othersGoOn lets the gateway look at a time at which another target of the service has
-// just sent something. It returns how many streams stay where they are.
-func (r *rig) othersGoOn(now time.Time) int {
+// checkSilence runs the gateway's silence check at a time at which another target of the
+// service has just sent an event. It returns how many streams are not moved.
+func (r *rig) checkSilence(now time.Time) int {
 	f := r.gateway.fleet
 	f.mu.Lock()
 	f.streams.groups[groupKey{service: "pool"}] = now
--- a/gateway/spans.go
+++ b/gateway/spans.go
@@ -12,19 +12,19 @@
 	"verbenashift/core/plumbing/telemetry"
 )
 
-// The spans of a request: the whole, its wait for a place, and each hop to a target.
+// The spans of a request: the entire request, its wait for a slot, and each hop to a target.
 const (
 	spanRequest = "gateway.request"
 	spanWait    = "gateway.wait"
 	spanTarget  = "target.request"
 )
 
-// parentHeader is the W3C trace context of the caller. It is passed on like all other
-// headers of the caller, and not replaced: targets get what the caller has sent.
+// parentHeader is the header of the caller's W3C trace context. Like all other headers of
+// the caller it is passed on unchanged: targets receive what the caller has sent.
 const parentHeader = "traceparent"
 
-// newTracer returns the tracer of the program; without an address of a collector
-// it makes no spans.
+// newTracer returns the tracer of the program. Without the address of a collector it
+// creates no spans.
 func newTracer(lc fx.Lifecycle, env instance.Env) (trace.Tracer, error) {
 	tracer, stop, err := telemetry.NewTracer(context.Background(), telemetry.TraceConfig{
 		Program: "gateway", Instance: env.Boot.Instance, Export: env.Trace, Ratio: env.TraceRatio,
@@ -42,8 +42,8 @@
 	return c.tracer.Start(ctx, spanRequest, trace.WithAttributes(attribute.String("id", c.req.ID)))
 }
 
-// endSpan ends the span of a request, with whose it was, where it went and how many
-// servers may have run it. How it ended is in its line of the log, under the same id.
+// endSpan ends the span of a request, with its service, workspace and route and how many
+// servers may have run it. Its outcome is in the log line with the same id.
 func (c *call) endSpan(span trace.Span) {
 	span.SetAttributes(attribute.String("service", c.service), attribute.String("workspace", c.workspaceName()),
 		attribute.String("route", c.routeName()), attribute.Int("ran", c.ran))
@@ -55,7 +55,7 @@
 	return c.tracer.Start(ctx, spanTarget, trace.WithAttributes(attribute.String("target", s.target.ID)))
 }
 
-// endTarget ends the span of a hop. A hop that did not end the request says why.
+// endTarget ends the span of a hop. A hop that did not complete the request records the reason.
 func endTarget(span trace.Span, reason string) {
 	if reason != "" {
 		span.SetStatus(codes.Error, reason)
--- a/gateway/spans_test.go
+++ b/gateway/spans_test.go
@@ -13,7 +13,7 @@
 	"verbenashift/standin/scripted"
 )
 
-// Guards against a trace that lacks a hop or does not say which one failed.
+// Guards against a trace that lacks a hop or does not show which one failed.
 func TestSpanOfEachHop(t *testing.T) {
 	is := is.New(t)
 	bad := scripted.Serve(t, func(x *scripted.Exchange) { x.Refuse() })
--- a/gateway/flights.go
+++ b/gateway/streams.go
@@ -8,41 +8,40 @@
 	"verbenashift/core/membership/health"
 )
 
-// errStalled is why an attempt is ended whose target says nothing more while
-// others do.
-var errStalled = errors.New("target silent while others go on")
+// errStalled is the cause when an attempt is canceled because its target sends nothing more
+// while others do.
+var errStalled = errors.New("target stalled while others make progress")
 
-// errSlow is why an attempt is ended whose target holds its group up.
-var errSlow = errors.New("target slows its group")
+// errSlow is the cause when an attempt is canceled because its target slows down its group.
+var errSlow = errors.New("target slows down its group")
 
-// errSilentGroup is why an attempt is ended whose whole group stands still.
-var errSilentGroup = errors.New("group silent while others go on")
+// errSilentGroup is the cause when an attempt is canceled because its entire group has stalled.
+var errSilentGroup = errors.New("group stalled while others make progress")
 
-// flight is a stream in progress that may go on at another target.
+// activeStream is a stream in progress that may be resumed at another target.
 type activeStream struct {
 	sent
 	// id is the request's.
 	id      string
 	service string
 	begun   bool
-	// mayMove says that another server may run the request.
+	// mayMove is set if another server may run the request.
 	mayMove bool
-	// heardAt is when its last event came, or when it was sent.
+	// heardAt is when its last event arrived, or when the request was sent.
 	heardAt time.Time
 	end     context.CancelCauseFunc
 }
 
-// flights watches the streams in progress for silence. The fleet's lock guards
-// it.
+// activeStreams tracks the streams in progress to detect silence. The fleet's lock guards it.
 type activeStreams struct {
 	open map[*activeStream]struct{}
-	// targets and groups are when an event last came from there.
+	// targets and groups hold when the last event of each arrived.
 	targets map[string]time.Time
 	groups  map[groupKey]time.Time
 }
 
-// groupKey names a group of engines. The group is empty where the engines of a service
-// form none, or theirs is not known.
+// groupKey identifies a group of engines. The group is empty if the engines of a service
+// form none, or if theirs is not known.
 type groupKey struct {
 	service, group string
 }
@@ -51,8 +50,8 @@
 	return activeStreams{open: map[*activeStream]struct{}{}, targets: map[string]time.Time{}, groups: map[groupKey]time.Time{}}
 }
 
-// depart watches an attempt: its context ends if the target goes silent, or if
-// it holds its group up and another server may run the request.
+// trackStream tracks an attempt: its context is canceled if the target goes silent, or if it
+// slows down its group and another server may run the request.
 func (f *fleet) trackStream(ctx context.Context, s sent, id, service string, mayMove bool) (context.Context, *activeStream) {
 	ctx, end := context.WithCancelCause(ctx)
 	st := &activeStream{sent: s, id: id, service: service, mayMove: mayMove, heardAt: s.started, end: end}
@@ -62,7 +61,7 @@
 	return ctx, st
 }
 
-// land ends the watch.
+// untrackStream ends the tracking.
 func (f *fleet) untrackStream(st *activeStream) {
 	st.end(nil)
 	f.mu.Lock()
@@ -70,7 +69,7 @@
 	delete(f.streams.open, st)
 }
 
-// event records that a piece has come.
+// event records the arrival of an event.
 func (f *fleet) event(st *activeStream, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,19 +78,19 @@
 	f.streams.groups[f.key(st)] = now
 }
 
-// key names the group in which a flight is. It is called with the lock held.
+// key returns the group of a stream. It is called with the lock held.
 func (f *fleet) key(st *activeStream) groupKey {
 	return groupKey{st.service, f.groupOf(&st.target.Target)}
 }
 
-// silentGroup is a group that stands still while others of its service go on. Move says
-// that its streams had better go on there.
+// silentGroup is a group that has stalled while others of its service make progress. Move is
+// set if its streams should be resumed there.
 type silentGroup struct {
 	groupKey
 	move bool
 }
 
-// silentGroups returns the groups that stand still. It is called with the lock held.
+// silentGroups returns the groups that have stalled. It is called with the lock held.
 func (f *fleet) silentGroups(now time.Time) []silentGroup {
 	due := map[groupKey]bool{}
 	for st := range f.streams.open {
@@ -114,8 +113,8 @@
 	return silent
 }
 
-// leaveGroup ends up to so many attempts at a group that stands still, so that the
-// streams go on in others.
+// moveGroupStreams cancels at most the given number of attempts at a stalled group, so that
+// the streams are resumed in others.
 func (f *fleet) moveGroupStreams(key groupKey, most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -134,14 +133,14 @@
 	}
 }
 
-// silentFor is how long a target gets no new requests after it was found silent.
-// If it is silent for longer, the answers that were moved away have it ejected.
+// silenceHold is how long a target gets no new requests after it was found silent.
+// If it is silent for longer, the failures of the moved streams cause its ejection.
 const silenceHold = time.Second
 
-// watchSilence has no requests sent to targets that have gone silent, and ends
-// the attempts there that had better go on elsewhere. One that nobody else may run, or
-// for which no retry is left, stays: it would be broken off in the middle of an answer
-// that its target, which may only be slow, still finishes. It is called with the lock held.
+// watchSilence makes the gateway avoid targets that have gone silent, and cancels the
+// attempts there that should be resumed elsewhere. An attempt that no other server may run,
+// or for which no retry is left, stays: it would be aborted in the middle of an answer that
+// its target, which may only be slow, still finishes. It is called with the lock held.
 func (f *fleet) watchSilence(now time.Time) {
 	due, left := map[string]bool{}, map[string]int{}
 	for st := range f.streams.open {
@@ -166,7 +165,8 @@
 	}
 }
 
-// spend takes one of the retries that are left for a service in this look.
+// spendRetry takes one of the retries that are left for a service in this check, and reports
+// whether there was one.
 func (f *fleet) spendRetry(left map[string]int, service string) bool {
 	if _, asked := left[service]; !asked {
 		left[service] = f.spare(service)
@@ -175,8 +175,8 @@
 	return left[service] >= 0
 }
 
-// leave ends up to so many attempts at slow targets, so that the streams go on at
-// others of their group.
+// moveSlowStreams cancels at most the given number of attempts at slow targets, so that the
+// streams are resumed at others of their group.
 func (f *fleet) moveSlowStreams(slow map[string]bool, most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -195,18 +195,18 @@
 	}
 }
 
-// avoid tells the table whether a target is to be avoided.
+// updateAvoided sets in the routing table whether a target is avoided.
 func (f *fleet) updateAvoided(p *pooled, now time.Time) {
 	if i, ok := f.table.Lookup(p.ID); ok {
 		f.table.SetAvoided(i, p.slow || now.Before(p.silentUntil) || now.Before(p.suspectedUntil) || p.refusals.Avoided(now))
 	}
 }
 
-// moveAway ends an attempt, so that the stream goes on at another target.
+// moveStream cancels an attempt, so that the stream is resumed at another target.
 func (f *fleet) moveStream(st *activeStream, silence health.Silence, now time.Time) {
 	if silence.TargetStalled {
-		// One silent answer of a silent target says more than one that broke:
-		// with a second one the target gets no more.
+		// A silent stream of a silent target is stronger evidence than a broken one:
+		// after a second one the target is ejected.
 		f.monitor.Fail(st.index, health.Hard, now)
 	}
 	f.log.Warn("target silent", "id", st.id, "target", st.target.ID, "service", st.service, "whole-target", silence.TargetStalled,
--- a/gateway/suspicions.go
+++ b/gateway/suspicions.go
@@ -14,36 +14,36 @@
 	"verbenashift/core/plumbing/pause"
 )
 
-// doubtsPrefix begins the keys under which gateways tell each other which targets fail.
+// suspicionsPrefix is the prefix of the keys under which gateways share which targets fail.
 const suspicionsPrefix = "verbenashift/doubts/"
 
 const (
-	// tellEvery bounds how often a gateway tells its doubts.
+	// shareInterval is the shortest time between two writes of a gateway's suspicions.
 	shareInterval = 300 * time.Millisecond
-	// tellCheck is how often it looks whether there are any.
+	// shareCheckInterval is how often it checks whether there are any to share.
 	shareCheckInterval = 20 * time.Millisecond
-	// maxTold bounds the doubts that are told at once.
+	// maxShared bounds the suspicions in one write.
 	maxShared = 16
 )
 
-// doubt is a gateway's word that a target fails while others do not.
+// suspicion is the report of a gateway that a target fails while others do not.
 type suspicion struct {
 	Target string `json:"target"`
-	// Born tells the lives of a target under one name apart.
+	// Born distinguishes the incarnations of a target under one name.
 	Born  int64  `json:"born"`
 	Cause string `json:"cause"`
 }
 
-// doubtKey returns the key for the doubts of a gateway.
+// suspicionKey returns the key for the suspicions of a gateway.
 func suspicionKey(instance string) string { return suspicionsPrefix + kv.Short(instance) }
 
-// doubts tells the other gateways which targets this one doubts, and takes what they say. It
-// is safe for concurrent use.
+// suspicionExchange shares the suspected targets of this gateway with the others through the
+// store, and receives theirs. It is safe for concurrent use.
 type suspicionExchange struct {
 	log   *slog.Logger
 	store changer
 	key   string
-	// report takes a doubt of another gateway.
+	// report receives a suspicion of another gateway.
 	report func(d suspicion, source string, now time.Time)
 
 	mu       sync.Mutex
@@ -54,7 +54,7 @@
 	return &suspicionExchange{log: log, store: store, key: suspicionKey(instance), report: func(suspicion, string, time.Time) {}}
 }
 
-// tell has the other gateways told of a doubt.
+// share queues a suspicion to be shared with the other gateways.
 func (s *suspicionExchange) share(d suspicion) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +63,8 @@
 	}
 }
 
-// take takes what others write under doubtsPrefix, as it comes: what stands there is of a
-// time that is not known.
+// apply reports what others write under suspicionsPrefix as it changes. Items that already
+// exist are ignored, since their age is not known.
 func (s *suspicionExchange) apply(items []kv.Item) {
 	now := time.Now()
 	for _, it := range items {
@@ -82,8 +82,8 @@
 	}
 }
 
-// run tells doubts until the context ends. One that the store does not take is given up: it
-// would be old when it is told.
+// run shares suspicions until the context ends. A failed write is not repeated, since the
+// suspicions would be outdated by then.
 func (s *suspicionExchange) run(ctx context.Context) {
 	for pause.For(ctx, shareCheckInterval) {
 		s.mu.Lock()
@@ -111,15 +111,15 @@
 	return err
 }
 
-// The causes of doubts, as log lines and the other gateways have them.
+// The causes of suspicions, as in the log and in the store.
 const (
 	causeUnanswered = "unanswered"
 	causeBroken     = "broken"
 	causeFailing    = "failing"
 )
 
-// doubt has a target avoided by this gateway, and by the others once enough of them agree. It
-// is called with the lock held.
+// suspect makes this gateway avoid a target, and the others as soon as enough of them agree.
+// It is called with the lock held.
 func (f *fleet) suspect(p *pooled, cause string, now time.Time) {
 	known := f.suspicions.Agreed(p.ID, now)
 	f.suspicions.Report(p.ID, ownSuspicion, true, now)
@@ -128,15 +128,15 @@
 	f.avoidSuspected(now)
 	f.updateAvoided(p, now)
 	if !known {
-		// Each word is read by all gateways.
+		// All gateways read each shared suspicion.
 		f.shareSuspicion(suspicion{Target: p.ID, Born: p.Born, Cause: cause})
 	}
 }
 
-// ownDoubt is the source of this gateway's own doubts.
+// ownSuspicion is the source of this gateway's own suspicions.
 const ownSuspicion = "own"
 
-// doubted takes the doubt of another gateway.
+// addSuspicion records the suspicion of another gateway.
 func (f *fleet) addSuspicion(d suspicion, source string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,7 +151,7 @@
 	f.updateAvoided(p, now)
 }
 
-// avoidDoubted has no requests sent to targets that are doubted, as far as their service has
+// avoidSuspected makes the gateway avoid suspected targets, provided that their service has
 // enough others. It is called with the lock held.
 func (f *fleet) avoidSuspected(now time.Time) {
 	if !f.suspicions.Any() {
@@ -169,10 +169,10 @@
 	f.suspicions.Expire(now)
 }
 
-// doubtHold is how long a target is avoided by one look: until after the next.
+// suspicionHold is how long one call of avoidSuspected applies: until after the next one.
 const suspicionHold = 3 * tickEvery / 2
 
-// strike counts a failure that says something of its target. It is called with the lock
+// strike counts a failure that is attributed to its target. It is called with the lock
 // held.
 func (f *fleet) strike(p *pooled, cause string, now time.Time) {
 	if p.strikes.Add(now) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// broke takes the end of a plain request without an answer.
+// pendingBroke records that a plain request ended without an answer.
 func (f *fleet) pendingBroke(p *pending, err error, now time.Time) {
 	if severityOf(err) == health.Hard || errors.Is(err, context.Canceled) {
 		return
--- a/gateway/suspicions_test.go
+++ b/gateway/suspicions_test.go
@@ -15,30 +15,30 @@
 	"verbenashift/standin/scripted"
 )
 
-// written is a store that keeps what it is told.
-type written struct{ changes []kv.Change }
+// recordingStore is a store that records all changes.
+type recordingStore struct{ changes []kv.Change }
 
-func (w *written) Change(_ context.Context, c kv.Change) (int64, error) {
+func (w *recordingStore) Change(_ context.Context, c kv.Change) (int64, error) {
 	w.changes = append(w.changes, c)
 	return int64(len(w.changes)), nil
 }
 
-// item returns a change as a watch tells it.
-func (w *written) item(n int) kv.Item {
+// item returns the nth change as an item of a watch.
+func (w *recordingStore) item(n int) kv.Item {
 	put := w.changes[n].Puts[0]
 	return kv.Item{Key: put.Key, Value: put.Value, Revision: int64(n + 1)}
 }
 
-// Guards against a fault that each gateway finds out for itself: two others have doubted a
-// target, and this one sends no more there. The word of one of them is not enough, nor is
-// one on an earlier life of the target.
+// Guards against each gateway detecting a fault on its own: when two others suspect a target,
+// this one sends no more requests there. One suspicion is not enough, nor is one of an earlier
+// incarnation of the target.
 func TestDoubtsOfOthersAreHeeded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var store written
+		var store recordingStore
 		ctx, stop := context.WithCancel(t.Context())
-		tellers := []*suspicionExchange{newSuspicionExchange("front-1", &store, slog.New(slog.DiscardHandler)), newSuspicionExchange("front-2", &store, slog.New(slog.DiscardHandler))}
-		for _, d := range tellers {
+		sharers := []*suspicionExchange{newSuspicionExchange("front-1", &store, slog.New(slog.DiscardHandler)), newSuspicionExchange("front-2", &store, slog.New(slog.DiscardHandler))}
+		for _, d := range sharers {
 			go d.run(ctx)
 			d.share(suspicion{Target: "t0", Born: 7, Cause: causeUnanswered})
 			time.Sleep(shareInterval)
@@ -47,16 +47,16 @@
 		synctest.Wait()
 		is.Equal(len(store.changes), 2)
 
-		var heard []string
+		var received []string
 		reader := newSuspicionExchange("front-3", &store, slog.New(slog.DiscardHandler))
-		reader.report = func(d suspicion, source string, _ time.Time) { heard = append(heard, d.Target+" by "+source) }
+		reader.report = func(d suspicion, source string, _ time.Time) { received = append(received, d.Target+" by "+source) }
 		reader.apply([]kv.Item{store.item(0), store.item(1), {Key: suspicionsPrefix + "x", Value: []byte("{")}})
-		is.Equal(len(heard), 2)
-		is.True(heard[0] != heard[1])
+		is.Equal(len(received), 2)
+		is.True(received[0] != received[1])
 	})
 }
 
-// Guards against requests to a target that others have found to fail.
+// Guards against requests to a target that others report as failing.
 func TestDoubtedTargetGetsNothingNew(t *testing.T) {
 	first := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
 	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
@@ -77,8 +77,8 @@
 	r.Equal(len(first.Seen()), before)
 }
 
-// Guards against a server that fails what the others do not and says that it is well: each
-// request that may run once and is sent there is lost.
+// Guards against a server that fails requests which others serve, and reports that it is healthy:
+// each request that may run only once and is sent there is lost.
 func TestFailingServerIsDoubted(t *testing.T) {
 	var fail atomic.Bool
 	bad := scripted.Serve(t, func(x *scripted.Exchange) {
