--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -158,7 +158,7 @@
 	}
 	if cause == nil || cause == errStalled {
 		c.suspect = true
-		c.fleet.crashes.Broke(s.seen, c.fingerprint())
+		c.fleet.crashes.AnswerBroken(s.seen, c.fingerprint())
 	}
 	return retry.Broken, err.Error(), false
 }
@@ -180,7 +180,7 @@
 		if c.callerLeft() {
 			return
 		}
-		if kind == retry.Refused && !c.awaitRetry(ctx) {
+		if kind == retry.Refused && !c.waitToRetry(ctx) {
 			refusal := c.decide(retry.RefusedAll).Err
 			c.admitter.setRetryAfter(c, refusal)
 			c.fail(refusal, queue.ReasonAllTargetsRefuse)
@@ -204,9 +204,9 @@
 	}
 }
 
-// awaitRetry waits until a request that a target has refused may be sent once more. It
+// waitToRetry waits until a request that a target has refused may be sent once more. It
 // reports false if the request should be refused instead.
-func (c *call) awaitRetry(ctx context.Context) bool {
+func (c *call) waitToRetry(ctx context.Context) bool {
 	if c.admitter == nil {
 		return true
 	}
--- a/gateway/crash/detector.go
+++ b/gateway/crash/detector.go
@@ -12,8 +12,8 @@
 // # Usage
 //
 //	d := crash.New(tcp.Dial, serves, log, func(c quarantine.Crash) { report(c) })
-//	d.Broke(target, print)  // an answer of the target broke off
-//	d.Gone(target)          // its entry has gone
+//	d.AnswerBroken(target, print) // an answer of the target broke off
+//	d.Removed(target)       // its entry was removed
 //	d.Restarted(target)     // its entry, or another one at its address, tells of a later start
 //	d.Tick(time.Now())      // now and then
 package crash
@@ -109,8 +109,8 @@
 	return &Detector{dial: dial, serves: serves, log: log, ended: ended, suspect: map[life]*breaks{}}
 }
 
-// Broke takes the word that a target has broken off the answer to a request.
-func (d *Detector) Broke(t deployment.Target, p quarantine.Fingerprint) {
+// AnswerBroken takes the word that a target has broken off the answer to a request.
+func (d *Detector) AnswerBroken(t deployment.Target, p quarantine.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -138,9 +138,9 @@
 	}
 }
 
-// Gone takes the word of the store that a target's entry has gone. What had broken off while
+// Removed takes the word of the store that a target's entry has gone. What had broken off while
 // somebody listened for it has nothing to do with that.
-func (d *Detector) Gone(t deployment.Target) {
+func (d *Detector) Removed(t deployment.Target) {
 	if b := d.take(t); b != nil {
 		d.tell(b, b.fresh, "its entry has gone")
 	}
@@ -195,7 +195,7 @@
 		case errors.Is(err, syscall.ECONNREFUSED):
 			d.Refused(b.target)
 		case !d.serves(b.target):
-			d.Gone(b.target)
+			d.Removed(b.target)
 		}
 		d.asked(b)
 		return
--- a/gateway/crash/detector_test.go
+++ b/gateway/crash/detector_test.go
@@ -70,7 +70,7 @@
 		want  int
 	}{
 		"somebody listens":                           {nil, nil, 0},
-		"somebody listens, and it leaves soon":       {nil, func(b *bench) { b.Gone(target()) }, 0},
+		"somebody listens, and it leaves soon":       {nil, func(b *bench) { b.Removed(target()) }, 0},
 		"somebody listens, and it has started again": {nil, func(b *bench) { b.Restarted(target()) }, 1},
 		"somebody listens, and it starts again later": {nil, func(b *bench) {
 			time.Sleep(livingMemory)
@@ -78,18 +78,18 @@
 		}, 0},
 		"no answer, and it has started again": {errSilent, func(b *bench) { b.Restarted(target()) }, 1},
 		"nobody listens":                      {syscall.ECONNREFUSED, nil, 1},
-		"nobody listens, and its entry goes":  {syscall.ECONNREFUSED, func(b *bench) { b.Gone(target()) }, 1},
+		"nobody listens, and its entry goes":  {syscall.ECONNREFUSED, func(b *bench) { b.Removed(target()) }, 1},
 		"no answer":                           {errSilent, nil, 0},
-		"no answer, and its entry goes":       {errSilent, func(b *bench) { b.Gone(target()) }, 1},
+		"no answer, and its entry goes":       {errSilent, func(b *bench) { b.Removed(target()) }, 1},
 		"no answer, and a call is refused":    {errSilent, func(b *bench) { b.Refused(target()) }, 1},
 		"no answer, and its entry goes late": {errSilent, func(b *bench) {
 			time.Sleep(memory)
 			b.Tick(time.Now())
-			b.Gone(target())
+			b.Removed(target())
 		}, 0},
-		"no answer, and another one leaves": {errSilent, func(b *bench) { b.Gone(deployment.Target{ID: "t1", Born: 7}) }, 0},
+		"no answer, and another one leaves": {errSilent, func(b *bench) { b.Removed(deployment.Target{ID: "t1", Born: 7}) }, 0},
 		"no answer, and an earlier life ends": {errSilent, func(b *bench) {
-			b.Gone(deployment.Target{ID: "t0", Born: 6})
+			b.Removed(deployment.Target{ID: "t0", Born: 6})
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 				is := is.New(t)
 				b := newBench()
 				b.answer = tt.answer
-				b.Broke(target(), printOf(1))
+				b.AnswerBroken(target(), printOf(1))
 				elapse()
 				if tt.after != nil {
 					tt.after(b)
@@ -117,7 +117,7 @@
 		is := is.New(t)
 		b := newBench()
 		b.answer, b.serves = errSilent, false
-		b.Broke(target(), printOf(1))
+		b.AnswerBroken(target(), printOf(1))
 		elapse()
 		is.Equal(len(b.crashes), 1)
 	})
@@ -129,9 +129,9 @@
 		is := is.New(t)
 		b := newBench()
 		b.answer, b.serves = syscall.ECONNREFUSED, false
-		b.Broke(target(), printOf(1))
+		b.AnswerBroken(target(), printOf(1))
 		elapse()
-		b.Gone(target())
+		b.Removed(target())
 		is.Equal(len(b.crashes), 0)
 	})
 }
@@ -144,8 +144,8 @@
 		b := newBench()
 		b.answer = syscall.ECONNREFUSED
 		for n := range 2 * maxRequests {
-			b.Broke(target(), printOf(n))
-			b.Broke(target(), printOf(n))
+			b.AnswerBroken(target(), printOf(n))
+			b.AnswerBroken(target(), printOf(n))
 		}
 		elapse()
 		is.Equal(b.dials, 1)
@@ -159,10 +159,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newBench()
-		b.Broke(target(), printOf(1))
+		b.AnswerBroken(target(), printOf(1))
 		elapse()
 		b.answer = syscall.ECONNREFUSED
-		b.Broke(target(), printOf(2))
+		b.AnswerBroken(target(), printOf(2))
 		elapse()
 		is.Equal(b.crashes, []quarantine.Crash{{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{printOf(2)}}})
 	})
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -40,11 +40,11 @@
 	reportedGroups map[string]string
 	rng            *rand.Rand
 	streams        activeStreams
-	// pending tracks the plain requests in progress, suspicions the targets that fail while
+	// pendingRequests tracks the plain requests in progress, suspicions the targets that fail while
 	// their peers do not; shareSuspicion reports one to the other gateways.
-	pending        pendingRequests
-	suspicions     health.Suspicions
-	shareSuspicion func(suspicion)
+	pendingRequests pendingRequests
+	suspicions      health.Suspicions
+	shareSuspicion  func(suspicion)
 	// crashes distinguishes crashed targets from answers that merely broke off.
 	crashes      *crash.Detector
 	backpressure backpressure
@@ -92,7 +92,7 @@
 		reportedGroups: map[string]string{},
 		rng:            newRand(),
 		backpressure:   newBackpressure(instance, log),
-		streams:        newActiveStreams(), pending: newPendingRequests(), shareSuspicion: func(suspicion) {}, suspicions: health.Suspicions{ReturnOrder: rand.Float64()},
+		streams:        newActiveStreams(), pendingRequests: newPendingRequests(), shareSuspicion: func(suspicion) {}, suspicions: health.Suspicions{ReturnOrder: rand.Float64()},
 	}
 }
 
@@ -141,7 +141,7 @@
 		delete(f.misdirected, id)
 		delete(f.reportedGroups, id)
 		delete(f.streams.targets, id)
-		delete(f.pending.targets, id)
+		delete(f.pendingRequests.targets, id)
 		f.suspicions.Drop(id)
 		f.backpressure.drop(id, t.Born, ok)
 		if i, known := f.table.Lookup(id); ok && known {
@@ -173,7 +173,7 @@
 	case replaced:
 		f.crashes.Restarted(p.Target)
 	default:
-		f.crashes.Gone(p.Target)
+		f.crashes.Removed(p.Target)
 	}
 }
 
@@ -320,7 +320,7 @@
 		f.log.Info("target health", "target", f.table.Target(c.Target).Name, "state", c.State.String(), "share", c.Share, "cause", c.Cause.String())
 	}
 	for _, p := range f.pools {
-		p.pool.Sweep(now)
+		p.pool.CloseIdle(now)
 	}
 	return f.silentGroups(now)
 }
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -57,7 +57,7 @@
 		"served":              {kind: deployment.Safe, script: ok, want: story.Served},
 		"no such route":       {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Path = "/none/" }, want: story.NotAllowed},
 		"key taken away":      {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Key = "old" }, want: story.NotAllowed},
-		"gateway just begun":  {kind: deployment.Safe, script: ok, change: func(r *rig, _ *scripted.Call) { r.restart(); r.gateway.startup.Lost() }, want: story.NoConfiguration},
+		"gateway just begun":  {kind: deployment.Safe, script: ok, change: func(r *rig, _ *scripted.Call) { r.restart(); r.gateway.startup.Unreachable() }, want: story.NoConfiguration},
 		"failed by servers":   {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Whole(500, "no") }, want: story.ServerFailed},
 		"refused by servers":  {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, want: story.Refused},
 		"answer lost":         {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Close() }, want: story.ServerLost},
--- a/gateway/main.go
+++ b/gateway/main.go
@@ -41,7 +41,7 @@
 func follow(lc fx.Lifecycle, f *mirror.Follower, g *gateway) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.OnChange(g.update)
-	f.OnLost(g.startup.Lost)
+	f.OnLost(g.startup.Unreachable)
 	f.Listen(quarantine.Prefix, g.isolator.apply)
 	f.ListenChanges(suspicionsPrefix, g.suspicions.apply)
 	f.Listen(permit.Prefix, g.fleet.backpressure.limits.apply)
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -85,7 +85,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.pending.open[p] = struct{}{}
+	f.pendingRequests.open[p] = struct{}{}
 	return ctx, p
 }
 
@@ -96,7 +96,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p.answered = true
-	w := &f.pending
+	w := &f.pendingRequests
 	w.targets[p.target.ID] = now
 	if w.services[p.service] == nil {
 		w.services[p.service] = &lastAnswers{}
@@ -134,7 +134,7 @@
 	now := time.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.pending.open, p)
+	delete(f.pendingRequests.open, p)
 	if p.suspected && !p.answered {
 		f.monitor.Fail(p.index, health.Hard, now)
 	}
@@ -144,7 +144,7 @@
 // there that should be repeated elsewhere. It is called with the lock held.
 func (f *fleet) watchPending(now time.Time) {
 	left := map[string]int{}
-	for p := range f.pending.open {
+	for p := range f.pendingRequests.open {
 		if !f.unanswered(p, now) {
 			continue
 		}
@@ -164,7 +164,7 @@
 // unanswered reports whether a pending request makes its target suspect. It is called with
 // the lock held.
 func (f *fleet) unanswered(p *pending, now time.Time) bool {
-	w := &f.pending
+	w := &f.pendingRequests
 	baseline := w.baseline[p.route]
 	if baseline == nil {
 		return false
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -535,7 +535,7 @@
 	}
 	r.Equal(len(s.Seen()), 0)
 	r.restart()
-	r.gateway.startup.Lost()
+	r.gateway.startup.Unreachable()
 	c := r.call()
 	c.Key = "made-up"
 	r.Equal(c.Do(t.Context()).Status, platform.StatusNotRun)
--- a/gateway/startup/startup.go
+++ b/gateway/startup/startup.go
@@ -12,7 +12,7 @@
 // # Usage
 //
 //	gate := startup.New()
-//	go func() { readConfiguration(); gate.Open() }() // or gate.Lost()
+//	go func() { readConfiguration(); gate.Open() }() // or gate.Unreachable()
 //	if err := gate.Wait(ctx, patience); err != nil {
 //		return refuse(err) // a *startup.RefusedError, or ctx.Err()
 //	}
@@ -39,9 +39,9 @@
 
 // The reasons of refusals.
 const (
-	ReasonLost = "no configuration yet, store out of reach"
+	ReasonUnreachable = "no configuration yet, store out of reach"
 	ReasonFull = "no configuration yet, too many wait"
-	ReasonLong = "no configuration yet"
+	ReasonTimeout = "no configuration yet"
 )
 
 // RefusedError says that a request is not held any longer. It has not run.
@@ -71,9 +71,9 @@
 // Open lets all requests through, for good.
 func (g *Gate) Open() { g.end(g.opened) }
 
-// Lost tells that the configuration is out of reach: requests are refused at once until
+// Unreachable tells that the configuration is out of reach: requests are refused at once until
 // the Gate is opened.
-func (g *Gate) Lost() { g.end(g.lost) }
+func (g *Gate) Unreachable() { g.end(g.lost) }
 
 func (g *Gate) end(c chan struct{}) {
 	g.mu.Lock()
@@ -119,9 +119,9 @@
 	case <-g.opened:
 		return nil
 	case <-g.lost:
-		return &RefusedError{Reason: ReasonLost, RetryAfter: readWait}
+		return &RefusedError{Reason: ReasonUnreachable, RetryAfter: readWait}
 	case <-timer.C:
-		return &RefusedError{Reason: ReasonLong, RetryAfter: readWait}
+		return &RefusedError{Reason: ReasonTimeout, RetryAfter: readWait}
 	case <-ctx.Done():
 		return ctx.Err()
 	}
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -34,8 +34,8 @@
 	return &Pool{addr: addr, dial: dial, matches: matches}
 }
 
-// Open returns the number of open connections.
-func (p *Pool) Open() int {
+// NumOpen returns the number of open connections.
+func (p *Pool) NumOpen() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
@@ -52,8 +52,8 @@
 	}
 }
 
-// Sweep closes the connections that have been idle for too long.
-func (p *Pool) Sweep(now time.Time) {
+// CloseIdle closes the connections that have been idle for too long.
+func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
 	kept := p.idle[:0]
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -106,7 +106,7 @@
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
-	is.Equal(p.Open(), 1)
+	is.Equal(p.NumOpen(), 1)
 }
 
 // Guards against giving a caller the second answer to another one's request.
@@ -167,7 +167,7 @@
 			var broken *BrokenError
 			is.True(errors.As(err, &broken))
 			is.Equal(broken.Phase, "body")
-			is.Equal(p.Open(), 0)
+			is.Equal(p.NumOpen(), 0)
 		})
 	}
 }
@@ -192,7 +192,7 @@
 	got, err := read(t, p, ask("1"))
 	is.NoErr(err)
 	is.Equal(got, "all of it")
-	is.Equal(p.Open(), 0)
+	is.Equal(p.NumOpen(), 0)
 }
 
 // Guards against work for a caller that has left.
@@ -247,7 +247,7 @@
 	is.Equal(got.Status, 503)
 	_, err = io.ReadAll(got)
 	is.NoErr(err)
-	is.Equal(p.Open(), 0)
+	is.Equal(p.NumOpen(), 0)
 }
 
 func TestIdleTime(t *testing.T) {
