--- a/gateway/crash/detector.go
+++ b/gateway/crash/detector.go
@@ -1,21 +1,21 @@
-// Package crash finds out which targets have crashed, and which requests broke off with
-// them.
+// Package crash detects which targets have crashed, and which requests were in progress
+// there.
 //
-// A connection that breaks says little: a proxy, a lost link or a fault in a single answer
-// break it as well. So a Detector asks: if nobody listens at the target's address, its
-// process has ended, by a crash if it had not said that it would. Where the address does not
-// answer at all, as that of an instance without power, the word of the store decides, once
-// the target's entry has gone. Where somebody listens, the target lives, unless the store
-// soon tells that it has started again: a process that is back at once, or one behind a
-// proxy, is not told by its address.
+// A broken connection is weak evidence: a proxy, a failed link or a fault in a single answer
+// can be the cause as well. So a Detector connects to the target's address. If the connection
+// is refused, the process has ended, by a crash unless it had announced its shutdown. If the
+// address does not answer at all, as that of an instance without power, the target has crashed
+// once its entry is removed from the store. If the connection is accepted, the target is alive,
+// unless the store soon shows that it has restarted: a process that restarts at once, or one
+// behind a proxy, cannot be recognized by its address.
 //
 // # Usage
 //
 //	d := crash.New(tcp.Dial, serves, log, func(c quarantine.Crash) { report(c) })
 //	d.AnswerBroken(target, print) // an answer of the target broke off
 //	d.Removed(target)       // its entry was removed
-//	d.Restarted(target)     // its entry, or another one at its address, tells of a later start
-//	d.Tick(time.Now())      // now and then
+//	d.Restarted(target)     // its entry, or another one at its address, shows a later start
+//	d.Tick(time.Now())      // periodically
 package crash
 
 import (
@@ -34,54 +34,54 @@
 )
 
 const (
-	// settle is how long after a broken answer the target is asked: a process that ends
-	// closes its connections and its listener one after the other.
-	settle = 50 * time.Millisecond
-	// answerWait is how long its address may take to answer.
-	answerWait = 500 * time.Millisecond
-	// memory is for how long a broken answer waits for the store's word: three missed
-	// heartbeats of the target, and the time in which a gateway hears of them.
-	memory = 10 * time.Second
-	// livingMemory is the same for one of a target that somebody listens for: a server that has
-	// started again writes its entry when it starts.
-	livingMemory = 5 * time.Second
-	// maxRequests bounds the requests that are remembered of one target.
+	// settleDelay is the time between a broken answer and the check of the target's address:
+	// a process that ends closes its connections and its listener one after the other.
+	settleDelay = 50 * time.Millisecond
+	// dialTimeout is how long the address may take to answer.
+	dialTimeout = 500 * time.Millisecond
+	// retention is how long a broken answer is kept until the store removes the target's
+	// entry: three missed heartbeats, plus the time until a gateway observes the removal.
+	retention = 10 * time.Second
+	// listeningRetention is the same for a target that accepts connections: a restarted
+	// server writes its entry when it starts.
+	listeningRetention = 5 * time.Second
+	// maxRequests bounds the requests that are stored per target.
 	maxRequests = 64
-	// maxLogged is how many of them a line has.
+	// maxLogged is how many of them a log line contains.
 	maxLogged = 16
 )
 
-// Detector tells crashed targets from broken connections. It is safe for concurrent use.
+// Detector distinguishes crashed targets from broken connections. It is safe for concurrent use.
 type Detector struct {
 	dial upstream.Dialer
-	// serves reports whether a target is registered in the life that was given, and not
-	// about to leave.
-	serves func(deployment.Target) bool
-	ended  func(quarantine.Crash)
-	log    *slog.Logger
+	// serves reports whether a target is registered with the given incarnation, and not
+	// shutting down.
+	serves  func(deployment.Target) bool
+	onCrash func(quarantine.Crash)
+	log     *slog.Logger
 
 	mu      sync.Mutex
-	suspect map[life]*breaks
+	suspect map[incarnation]*brokenAnswers
 }
 
-// life is one life of a target.
-type life struct {
+// incarnation identifies one incarnation of a target.
+type incarnation struct {
 	id   string
 	born int64
 }
 
-func lifeOf(t deployment.Target) life { return life{t.ID, t.Born} }
+func incarnationOf(t deployment.Target) incarnation { return incarnation{t.ID, t.Born} }
 
-// breaks are the answers of one target that broke off and are not accounted for.
-type breaks struct {
+// brokenAnswers holds the answers of one target that broke off for no known reason yet.
+type brokenAnswers struct {
 	target deployment.Target
-	// fresh have broken off since somebody was last seen to listen for the target, before
-	// those that had broken off until then.
-	fresh  []quarantine.Fingerprint
-	before []broken
-	last   time.Time
-	// asking says that its address is being asked.
-	asking bool
+	// fresh lists the requests whose answers broke off after the target last accepted a
+	// connection, earlier those whose answers broke off before that.
+	fresh   []quarantine.Fingerprint
+	earlier []broken
+	last    time.Time
+	// checking is set while the target's address is checked.
+	checking bool
 }
 
 // broken is a request whose answer broke off.
@@ -90,167 +90,169 @@
 	at      time.Time
 }
 
-// over reports whether all answers have broken off too long ago to be accounted for.
-func (b *breaks) over(now time.Time) bool { return !b.asking && now.Sub(b.last) > memory }
+// expired reports whether all answers broke off too long ago to be attributed to a crash.
+func (b *brokenAnswers) expired(now time.Time) bool {
+	return !b.checking && now.Sub(b.last) > retention
+}
 
-// recent returns the requests that may have been under way when a target started again.
-func (b *breaks) recent(now time.Time) []quarantine.Fingerprint {
+// recent returns the requests that may have been in progress when a target restarted.
+func (b *brokenAnswers) recent(now time.Time) []quarantine.Fingerprint {
 	list := slices.Clone(b.fresh)
-	for _, r := range b.before {
-		if now.Sub(r.at) <= livingMemory && len(list) < maxRequests && !slices.Contains(list, r.request) {
+	for _, r := range b.earlier {
+		if now.Sub(r.at) <= listeningRetention && len(list) < maxRequests && !slices.Contains(list, r.request) {
 			list = append(list, r.request)
 		}
 	}
 	return list
 }
 
-// New returns a Detector that hands on each crash that it has found.
-func New(dial upstream.Dialer, serves func(deployment.Target) bool, log *slog.Logger, ended func(quarantine.Crash)) *Detector {
-	return &Detector{dial: dial, serves: serves, log: log, ended: ended, suspect: map[life]*breaks{}}
+// New returns a Detector that calls onCrash for each crash that it detects.
+func New(dial upstream.Dialer, serves func(deployment.Target) bool, log *slog.Logger, onCrash func(quarantine.Crash)) *Detector {
+	return &Detector{dial: dial, serves: serves, log: log, onCrash: onCrash, suspect: map[incarnation]*brokenAnswers{}}
 }
 
-// AnswerBroken takes the word that a target has broken off the answer to a request.
+// AnswerBroken records that a target has broken off the answer to a request.
 func (d *Detector) AnswerBroken(t deployment.Target, p quarantine.Fingerprint) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	b := d.suspect[lifeOf(t)]
-	if b == nil || b.over(now) {
-		b = &breaks{target: t}
-		d.suspect[lifeOf(t)] = b
+	b := d.suspect[incarnationOf(t)]
+	if b == nil || b.expired(now) {
+		b = &brokenAnswers{target: t}
+		d.suspect[incarnationOf(t)] = b
 	}
 	b.last = now
 	if len(b.fresh) < maxRequests && !slices.Contains(b.fresh, p) {
 		b.fresh = append(b.fresh, p)
 	}
-	if !b.asking {
-		b.asking = true
-		go d.ask(b)
+	if !b.checking {
+		b.checking = true
+		go d.checkAddress(b)
 	}
 }
 
-// Refused takes the word that nobody listens at a target's address. One that has said that
-// it leaves, or has taken its entry back, has ended as planned.
+// Refused records that a target's address refuses connections. A target that has announced its
+// shutdown, or has removed its entry, has ended as planned.
 func (d *Detector) Refused(t deployment.Target) {
 	b := d.take(t)
 	if b != nil && d.serves(t) {
-		d.tell(b, b.fresh, "nobody listens")
+		d.report(b, b.fresh, "nobody listens")
 	}
 }
 
-// Removed takes the word of the store that a target's entry has gone. What had broken off while
-// somebody listened for it has nothing to do with that.
+// Removed records that a target's entry was removed from the store. Answers that broke off before
+// it last accepted a connection are not attributed to that.
 func (d *Detector) Removed(t deployment.Target) {
 	if b := d.take(t); b != nil {
-		d.tell(b, b.fresh, "its entry has gone")
+		d.report(b, b.fresh, "its entry has gone")
 	}
 }
 
-// Restarted takes the word of the store that a target has started again since.
+// Restarted records that a target has restarted, according to the store.
 func (d *Detector) Restarted(t deployment.Target) {
 	if b := d.take(t); b != nil {
-		d.tell(b, b.recent(time.Now()), "it has started again")
+		d.report(b, b.recent(time.Now()), "it has started again")
 	}
 }
 
-// take returns what is not accounted for of a target, and forgets it.
-func (d *Detector) take(t deployment.Target) *breaks {
+// take removes and returns the unattributed broken answers of a target.
+func (d *Detector) take(t deployment.Target) *brokenAnswers {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b := d.suspect[lifeOf(t)]
+	b := d.suspect[incarnationOf(t)]
 	if b == nil {
 		return nil
 	}
-	delete(d.suspect, lifeOf(t))
+	delete(d.suspect, incarnationOf(t))
 	taken := *b
-	taken.fresh, taken.before = slices.Clone(b.fresh), slices.Clone(b.before)
+	taken.fresh, taken.earlier = slices.Clone(b.fresh), slices.Clone(b.earlier)
 	return &taken
 }
 
-// Tick forgets the answers that broke off long ago.
+// Tick removes the answers that broke off long ago.
 func (d *Detector) Tick(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for key, b := range d.suspect {
-		if b.over(now) {
+		if b.expired(now) {
 			delete(d.suspect, key)
 		}
 	}
 }
 
-// ask finds out whether the process of a target has ended.
-func (d *Detector) ask(b *breaks) {
+// checkAddress finds out whether the process of a target has ended.
+func (d *Detector) checkAddress(b *brokenAnswers) {
 	for {
-		pause.For(context.Background(), settle)
+		pause.For(context.Background(), settleDelay)
 		d.mu.Lock()
 		count := len(b.fresh)
 		d.mu.Unlock()
 		err := d.connect(b.target)
 		switch {
 		case err == nil:
-			if d.answered(b, count) {
+			if d.recordListening(b, count) {
 				return
 			}
-			continue // More answers have broken off meanwhile.
+			continue // More answers have broken off in the meantime.
 		case errors.Is(err, syscall.ECONNREFUSED):
 			d.Refused(b.target)
 		case !d.serves(b.target):
 			d.Removed(b.target)
 		}
-		d.asked(b)
+		d.endCheck(b)
 		return
 	}
 }
 
 // connect opens a connection to a target and closes it.
 func (d *Detector) connect(t deployment.Target) error {
-	ctx, cancel := context.WithTimeout(context.Background(), answerWait)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	conn, err := d.dial(ctx, "tcp", t.Addr.String())
 	if err != nil {
 		return err
 	}
-	// It has told what it was opened for.
+	// The connection was only opened to test the address.
 	_ = conn.Close()
 	return nil
 }
 
-// answered records that somebody listens for a target after so many of its broken answers,
-// and reports whether that were all.
-func (d *Detector) answered(b *breaks, count int) bool {
+// recordListening records that a target accepts connections after count of its fresh broken
+// answers, and reports whether these were all.
+func (d *Detector) recordListening(b *brokenAnswers, count int) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
-	b.before = slices.DeleteFunc(b.before, func(r broken) bool { return now.Sub(r.at) > livingMemory })
+	b.earlier = slices.DeleteFunc(b.earlier, func(r broken) bool { return now.Sub(r.at) > listeningRetention })
 	for _, p := range b.fresh[:count] {
-		if len(b.before) < maxRequests {
-			b.before = append(b.before, broken{p, now})
+		if len(b.earlier) < maxRequests {
+			b.earlier = append(b.earlier, broken{p, now})
 		}
 	}
 	b.fresh = slices.Delete(b.fresh, 0, count)
-	b.asking = len(b.fresh) > 0
-	return !b.asking
+	b.checking = len(b.fresh) > 0
+	return !b.checking
 }
 
-// asked records that a target's address was asked and that nothing more is known by that.
-func (d *Detector) asked(b *breaks) {
+// endCheck records that the check of a target's address has ended.
+func (d *Detector) endCheck(b *brokenAnswers) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	b.asking = false
+	b.checking = false
 }
 
-// tell hands on the crash of a target, if answers broke off with it.
-func (d *Detector) tell(b *breaks, requests []quarantine.Fingerprint, how string) {
+// report reports the crash of a target, if it has broken off answers.
+func (d *Detector) report(b *brokenAnswers, requests []quarantine.Fingerprint, how string) {
 	if len(requests) == 0 {
 		return
 	}
 	t := b.target
 	d.log.Warn("target crashed", "target", t.ID, "service", t.Service, "addr", t.Addr.String(), "born", t.Born,
 		"how", how, "broken-off", len(requests), "prints", short(requests), "after-ms", time.Since(b.last).Milliseconds())
-	d.ended(quarantine.Crash{Target: t.ID, StartedAt: t.Born, Requests: requests})
+	d.onCrash(quarantine.Crash{Target: t.ID, StartedAt: t.Born, Requests: requests})
 }
 
-// short returns the beginnings of some fingerprints for a line.
+// short returns the shortened fingerprints for a log line, at most maxLogged of them.
 func short(prints []quarantine.Fingerprint) []string {
 	texts := make([]string, 0, maxLogged)
 	for _, p := range prints[:min(len(prints), maxLogged)] {
--- a/gateway/crash/detector_test.go
+++ b/gateway/crash/detector_test.go
@@ -18,18 +18,18 @@
 	"verbenashift/core/request/quarantine"
 )
 
-// bench is a Detector before one target whose address answers as a test says.
-type bench struct {
+// harness is a Detector with one target whose address answers as the test specifies.
+type harness struct {
 	*Detector
-	// answer is what opening a connection gives.
+	// answer is the result of opening a connection.
 	answer  error
 	serves  bool
 	dials   int
 	crashes []quarantine.Crash
 }
 
-func newBench() *bench {
-	b := &bench{serves: true}
+func newHarness() *harness {
+	b := &harness{serves: true}
 	dial := func(context.Context, string, string) (net.Conn, error) {
 		b.dials++
 		if b.answer != nil {
@@ -52,53 +52,53 @@
 	return c.Fingerprint()
 }
 
-// elapse lets the Detector ask the target's address.
-func elapse() {
+// waitForCheck waits until the Detector has checked the target's address.
+func waitForCheck() {
 	time.Sleep(time.Second)
 	synctest.Wait()
 }
 
-// errSilent is how opening a connection to an instance without power fails.
-var errSilent = errors.New("i/o timeout")
+// errUnreachable is the error of a connection to an instance without power.
+var errUnreachable = errors.New("i/o timeout")
 
-// Guards against taking a lost packet or a fault in one answer for the crash of a target.
+// Guards against treating a lost packet or a fault in one answer as the crash of a target.
 func TestCrashOrBrokenAnswer(t *testing.T) {
 	for name, tt := range map[string]struct {
 		answer error
-		// after happens a while after the answer broke off.
-		after func(b *bench)
+		// after is called some time after the answer broke off.
+		after func(b *harness)
 		want  int
 	}{
-		"somebody listens":                           {nil, nil, 0},
-		"somebody listens, and it leaves soon":       {nil, func(b *bench) { b.Removed(target()) }, 0},
-		"somebody listens, and it has started again": {nil, func(b *bench) { b.Restarted(target()) }, 1},
-		"somebody listens, and it starts again later": {nil, func(b *bench) {
-			time.Sleep(livingMemory)
+		"accepts connections":                      {nil, nil, 0},
+		"accepts connections, and is removed soon": {nil, func(b *harness) { b.Removed(target()) }, 0},
+		"accepts connections, and has restarted":   {nil, func(b *harness) { b.Restarted(target()) }, 1},
+		"accepts connections, and restarts later": {nil, func(b *harness) {
+			time.Sleep(listeningRetention)
 			b.Restarted(target())
 		}, 0},
-		"no answer, and it has started again": {errSilent, func(b *bench) { b.Restarted(target()) }, 1},
-		"nobody listens":                      {syscall.ECONNREFUSED, nil, 1},
-		"nobody listens, and its entry goes":  {syscall.ECONNREFUSED, func(b *bench) { b.Removed(target()) }, 1},
-		"no answer":                           {errSilent, nil, 0},
-		"no answer, and its entry goes":       {errSilent, func(b *bench) { b.Removed(target()) }, 1},
-		"no answer, and a call is refused":    {errSilent, func(b *bench) { b.Refused(target()) }, 1},
-		"no answer, and its entry goes late": {errSilent, func(b *bench) {
-			time.Sleep(memory)
+		"no answer, and has restarted":             {errUnreachable, func(b *harness) { b.Restarted(target()) }, 1},
+		"nobody listens":                           {syscall.ECONNREFUSED, nil, 1},
+		"nobody listens, and its entry is removed": {syscall.ECONNREFUSED, func(b *harness) { b.Removed(target()) }, 1},
+		"no answer":                           {errUnreachable, nil, 0},
+		"no answer, and its entry is removed": {errUnreachable, func(b *harness) { b.Removed(target()) }, 1},
+		"no answer, and a call is refused":    {errUnreachable, func(b *harness) { b.Refused(target()) }, 1},
+		"no answer, and its entry is removed late": {errUnreachable, func(b *harness) {
+			time.Sleep(retention)
 			b.Tick(time.Now())
 			b.Removed(target())
 		}, 0},
-		"no answer, and another one leaves": {errSilent, func(b *bench) { b.Removed(deployment.Target{ID: "t1", Born: 7}) }, 0},
-		"no answer, and an earlier life ends": {errSilent, func(b *bench) {
+		"no answer, and another target is removed": {errUnreachable, func(b *harness) { b.Removed(deployment.Target{ID: "t1", Born: 7}) }, 0},
+		"no answer, and an earlier incarnation ends": {errUnreachable, func(b *harness) {
 			b.Removed(deployment.Target{ID: "t0", Born: 6})
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				b := newBench()
+				b := newHarness()
 				b.answer = tt.answer
 				b.AnswerBroken(target(), printOf(1))
-				elapse()
+				waitForCheck()
 				if tt.after != nil {
 					tt.after(b)
 				}
@@ -111,59 +111,59 @@
 	}
 }
 
-// The answers of a target that has gone already break off only now.
+// Guards against missing a crash when answers break off after the target's entry was removed.
 func TestBreaksAfterTheEntryHasGone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench()
-		b.answer, b.serves = errSilent, false
+		b := newHarness()
+		b.answer, b.serves = errUnreachable, false
 		b.AnswerBroken(target(), printOf(1))
-		elapse()
+		waitForCheck()
 		is.Equal(len(b.crashes), 1)
 	})
 }
 
-// Guards against taking a planned end for a crash.
+// Guards against treating a planned shutdown as a crash.
 func TestPlannedEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench()
+		b := newHarness()
 		b.answer, b.serves = syscall.ECONNREFUSED, false
 		b.AnswerBroken(target(), printOf(1))
-		elapse()
+		waitForCheck()
 		b.Removed(target())
 		is.Equal(len(b.crashes), 0)
 	})
 }
 
-// Guards against asking a target once for each answer that broke off, and crashes without
-// bound.
+// Guards against checking a target once for each broken answer, and against reporting an
+// unbounded number of requests.
 func TestManyAnswersBreakTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench()
+		b := newHarness()
 		b.answer = syscall.ECONNREFUSED
 		for n := range 2 * maxRequests {
 			b.AnswerBroken(target(), printOf(n))
 			b.AnswerBroken(target(), printOf(n))
 		}
-		elapse()
+		waitForCheck()
 		is.Equal(b.dials, 1)
 		is.Equal(len(b.crashes), 1)
 		is.Equal(len(b.crashes[0].Requests), maxRequests)
 	})
 }
 
-// Guards against naming a request for a crash before which its target has answered others.
+// Guards against attributing a crash to a request after which its target has accepted a connection.
 func TestAnswerClearsEarlierBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newBench()
+		b := newHarness()
 		b.AnswerBroken(target(), printOf(1))
-		elapse()
+		waitForCheck()
 		b.answer = syscall.ECONNREFUSED
 		b.AnswerBroken(target(), printOf(2))
-		elapse()
+		waitForCheck()
 		is.Equal(b.crashes, []quarantine.Crash{{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{printOf(2)}}})
 	})
 }
--- a/gateway/startup/startup.go
+++ b/gateway/startup/startup.go
@@ -1,13 +1,13 @@
-// Package startup holds the requests of a process that has just started until it has
-// what it needs to serve them.
+// Package startup holds the requests to a process that has just started until it can
+// serve them.
 //
-// The load pattern it answers is a restart under load. Callers reach the process as soon
-// as it listens, some tens of milliseconds before it has read its configuration, and many
-// of them have just lost an earlier attempt with the process before. A refusal may be the
-// last answer that such a caller gets; the wait is short.
+// It addresses a restart under load. Callers reach the process as soon as it listens, some
+// tens of milliseconds before it has read its configuration, and many of them have just lost
+// an earlier attempt with the previous process. A refusal may be the last answer that such a
+// caller gets, while the wait is short.
 //
-// What is held is bounded in number, and no body is read meanwhile. Nobody is held once
-// the configuration is known to be out of reach.
+// The number of held requests is bounded, and their bodies are not read meanwhile. No request
+// is held once the configuration is known to be unreachable.
 //
 // # Usage
 //
@@ -27,27 +27,28 @@
 const (
 	// maxHeld is how many requests are held at once.
 	maxHeld = 512
-	// longestHold bounds the wait of one request: callers give up on a process that has
-	// not read their request after a second.
-	longestHold = 900 * time.Millisecond
-	// patiencePart is the part of its patience after which a caller does the same.
-	patiencePart = 3
-	// readWait is what a process needs to read its configuration, which a refused caller
-	// should leave it.
-	readWait = time.Second
+	// maxHoldTime bounds the wait of one request: callers abandon a process that has not
+	// read their request after a second.
+	maxHoldTime = 900 * time.Millisecond
+	// patienceDivisor is the divisor of the caller's patience: after that part of it the
+	// caller abandons the process as well.
+	patienceDivisor = 3
+	// retryDelay is the time that a process needs to read its configuration. A refused
+	// caller should not retry earlier.
+	retryDelay = time.Second
 )
 
-// The reasons of refusals.
+// The reasons for refusals.
 const (
 	ReasonUnreachable = "no configuration yet, store out of reach"
-	ReasonFull = "no configuration yet, too many wait"
-	ReasonTimeout = "no configuration yet"
+	ReasonFull        = "no configuration yet, too many wait"
+	ReasonTimeout     = "no configuration yet"
 )
 
-// RefusedError says that a request is not held any longer. It has not run.
+// RefusedError reports that a request is not held any longer. It has not run.
 type RefusedError struct {
 	Reason string
-	// RetryAfter is when the caller may come back.
+	// RetryAfter is the time after which the caller may retry.
 	RetryAfter time.Duration
 }
 
@@ -57,33 +58,33 @@
 // Gate holds requests until it is opened. Use New to make one. It is safe for concurrent
 // use.
 type Gate struct {
-	mu     sync.Mutex
-	held   int
-	opened chan struct{}
-	lost   chan struct{}
+	mu          sync.Mutex
+	held        int
+	opened      chan struct{}
+	unreachable chan struct{}
 }
 
 // New returns a closed Gate.
 func New() *Gate {
-	return &Gate{opened: make(chan struct{}), lost: make(chan struct{})}
+	return &Gate{opened: make(chan struct{}), unreachable: make(chan struct{})}
 }
 
-// Open lets all requests through, for good.
-func (g *Gate) Open() { g.end(g.opened) }
+// Open admits all requests from now on.
+func (g *Gate) Open() { g.closeOnce(g.opened) }
 
-// Unreachable tells that the configuration is out of reach: requests are refused at once until
+// Unreachable records that the configuration is unreachable: requests are refused at once until
 // the Gate is opened.
-func (g *Gate) Unreachable() { g.end(g.lost) }
+func (g *Gate) Unreachable() { g.closeOnce(g.unreachable) }
 
-func (g *Gate) end(c chan struct{}) {
+func (g *Gate) closeOnce(c chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !ended(c) {
+	if !isClosed(c) {
 		close(c)
 	}
 }
 
-func ended(c chan struct{}) bool {
+func isClosed(c chan struct{}) bool {
 	select {
 	case <-c:
 		return true
@@ -99,29 +100,29 @@
 	return g.held
 }
 
-// Wait holds a request whose caller waits for so long, 0 if it does not say. It returns
-// nil once the Gate is open.
+// Wait holds a request until the Gate is open and returns nil then. Patience is how long the
+// caller waits for its answer, 0 if it is not known.
 func (g *Gate) Wait(ctx context.Context, patience time.Duration) error {
-	if ended(g.opened) {
+	if isClosed(g.opened) {
 		return nil
 	}
 	if refusal := g.enter(); refusal != nil {
 		return refusal
 	}
 	defer g.leave()
-	hold := longestHold
+	hold := maxHoldTime
 	if patience > 0 {
-		hold = min(hold, patience/patiencePart)
+		hold = min(hold, patience/patienceDivisor)
 	}
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
 	select {
 	case <-g.opened:
 		return nil
-	case <-g.lost:
-		return &RefusedError{Reason: ReasonUnreachable, RetryAfter: readWait}
+	case <-g.unreachable:
+		return &RefusedError{Reason: ReasonUnreachable, RetryAfter: retryDelay}
 	case <-timer.C:
-		return &RefusedError{Reason: ReasonTimeout, RetryAfter: readWait}
+		return &RefusedError{Reason: ReasonTimeout, RetryAfter: retryDelay}
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -131,7 +132,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.held >= maxHeld {
-		return &RefusedError{Reason: ReasonFull, RetryAfter: readWait}
+		return &RefusedError{Reason: ReasonFull, RetryAfter: retryDelay}
 	}
 	g.held++
 	return nil
--- a/gateway/startup/startup_test.go
+++ b/gateway/startup/startup_test.go
@@ -10,7 +10,7 @@
 	"github.com/matryer/is"
 )
 
-// reason returns why a request was refused, or "".
+// reason returns the reason of a refusal, or "".
 func reason(err error) string {
 	var refused *RefusedError
 	if errors.As(err, &refused) {
@@ -19,7 +19,7 @@
 	return ""
 }
 
-// waiter starts a request and returns where its outcome will be.
+// waiter starts a request and returns the channel of its outcome.
 func waiter(ctx context.Context, g *Gate, patience time.Duration) chan error {
 	out := make(chan error, 1)
 	go func() { out <- g.Wait(ctx, patience) }()
@@ -27,7 +27,7 @@
 	return out
 }
 
-// Guards against refusing callers who could be served some milliseconds later.
+// Guards against refusing callers that could be served some milliseconds later.
 func TestRequestsAreHeldUntilOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -44,7 +44,7 @@
 	})
 }
 
-// Guards against holding callers while the configuration can't come.
+// Guards against holding callers while the configuration is unreachable.
 func TestLostConfigurationRefusesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -61,12 +61,12 @@
 	})
 }
 
-// Guards against holding a caller until it gives up on the process.
+// Guards against holding a caller until it abandons the process.
 func TestHoldIsBoundedInTime(t *testing.T) {
 	for name, c := range map[string]struct{ patience, want time.Duration }{
-		"long patience":  {7 * time.Second, longestHold},
+		"long patience":  {7 * time.Second, maxHoldTime},
 		"short patience": {600 * time.Millisecond, 200 * time.Millisecond},
-		"not told":       {0, longestHold},
+		"unknown":        {0, maxHoldTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Guards against memory that grows with the callers of a process that cannot serve yet.
+// Guards against unbounded memory for the callers of a process that cannot serve yet.
 func TestHoldIsBoundedInNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -94,7 +94,7 @@
 	})
 }
 
-// Guards against counting callers that have left as held.
+// Guards against counting disconnected callers as held.
 func TestCallerThatLeavesIsNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/gateway/upstream/pool.go
+++ b/gateway/upstream/pool.go
@@ -13,7 +13,7 @@
 // Dialer opens a connection.
 type Dialer func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Matcher reports whether an answer is that to the request with an identifier.
+// Matcher reports whether an answer belongs to the request with an identifier.
 type Matcher func(status int, h http.Header, id string) bool
 
 // Pool keeps the connections to one server. It is safe for concurrent use.
@@ -52,7 +52,7 @@
 	}
 }
 
-// CloseIdle closes the connections that have been idle for too long.
+// CloseIdle closes the connections whose idle time has expired.
 func (p *Pool) CloseIdle(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
@@ -75,11 +75,11 @@
 type conn struct {
 	net.Conn
 	br *bufio.Reader
-	// until is when it is no longer used, if idle.
+	// until is when it expires if it is idle.
 	until time.Time
 }
 
-// take returns an idle connection that seems usable, or nil.
+// take returns an idle connection that appears usable, or nil.
 func (p *Pool) take(now time.Time) *conn {
 	for {
 		p.mu.Lock()
@@ -90,17 +90,17 @@
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
 		p.mu.Unlock()
-		if now.Before(c.until) && c.quiet() {
+		if now.Before(c.until) && c.clean() {
 			return c
 		}
 		p.discard(c)
 	}
 }
 
-// quiet reports whether an idle connection is open and has nothing to read. A
-// byte there belongs to no request: taken for the next answer, it would give a
-// caller another one's answer.
-func (c *conn) quiet() bool {
+// clean reports whether an idle connection is open and has no bytes to read. Such bytes
+// belong to no pending request: read as the next answer, they would give a caller the answer
+// to another request.
+func (c *conn) clean() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -112,14 +112,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	clean := false
 	err = raw.Read(func(fd uintptr) bool {
 		var one [1]byte
 		_, _, rerr := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = rerr == syscall.EAGAIN
+		clean = rerr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && clean
 }
 
 func (p *Pool) open(ctx context.Context) (*conn, error) {
@@ -134,13 +134,13 @@
 }
 
 func (p *Pool) discard(c *conn) {
-	// A server that is frozen or cut off would get the rest of a request when
-	// it is back, long after the caller has left, and run it for nobody: a
-	// reset takes back what has not arrived.
+	// A server that is suspended or disconnected would receive the rest of a request when
+	// it recovers, long after the caller has left, and run it for nobody. A reset discards
+	// what has not arrived.
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
-	// The connection is given up; an error in closing it changes nothing.
+	// The connection is abandoned, so an error of Close does not matter.
 	_ = c.Close()
 	p.mu.Lock()
 	p.opened--
--- a/gateway/upstream/reply.go
+++ b/gateway/upstream/reply.go
@@ -12,7 +12,7 @@
 type Reply struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, or -1 if the answer does not state it.
+	// Length is the length of the body, or -1 if the answer does not state it.
 	Length int64
 
 	pool    *Pool
@@ -41,11 +41,11 @@
 	return n, io.EOF
 }
 
-// Close gives up what is left of the body.
+// Close abandons the rest of the body.
 func (r *Reply) Close() { r.finish(false) }
 
-// finish keeps the connection if the answer was read whole and nothing else
-// came with it.
+// finish returns the connection to the pool if the answer was read completely and no
+// other bytes followed it.
 func (r *Reply) finish(whole bool) {
 	if r.done {
 		return
@@ -79,7 +79,7 @@
 	}
 }
 
-// idleTime is how long a connection may wait for the next request.
+// idleTime returns how long a connection may wait for the next request.
 func idleTime(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		v, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
--- a/gateway/upstream/upstream.go
+++ b/gateway/upstream/upstream.go
@@ -1,15 +1,15 @@
 // Package upstream sends requests to servers over HTTP/1.1 and never sends one
 // twice.
 //
-// The standard client repeats some requests by itself when a kept connection
+// The standard client repeats some requests by itself when a keep-alive connection
 // breaks. Here that is the caller's decision: Do makes one attempt, and a
-// *NotSentError tells the attempts of which no byte has left from the others,
+// *NotSentError distinguishes attempts of which no byte was sent from the others,
 // after which the server may have run the request.
 //
 // A server may also answer twice, answer late, or send bytes that belong to no
-// request. An answer is therefore told by the identifier that it echoes, a kept
-// connection with unexpected bytes is closed, and a body is complete only when
-// its framing says so.
+// request. An answer is therefore matched by the identifier that it echoes, a
+// keep-alive connection with unexpected bytes is closed, and a body is complete only
+// when its framing says so.
 //
 // # Usage
 //
@@ -34,18 +34,18 @@
 const (
 	// readBuffer holds the header of an answer and a few events.
 	readBuffer = 4 << 10
-	// defaultIdle is how long a connection is kept for the next request where
-	// the server does not say, less than servers usually keep theirs.
+	// defaultIdle is the idle timeout of a connection if the server does not state one; it
+	// is shorter than that of most servers.
 	defaultIdle = 4 * time.Second
-	// idleMargin is how much earlier than the server says a kept connection is
-	// given up, so that a request does not cross the server's close.
+	// idleMargin is how much earlier than the server's timeout an idle connection is
+	// closed, so that a request is not sent while the server closes the connection.
 	idleMargin = 600 * time.Millisecond
-	// maxStray is how many answers to other requests are skipped before the
-	// connection is given up.
-	maxStray = 3
+	// maxUnexpected is how many answers to other requests are skipped before the
+	// connection is abandoned.
+	maxUnexpected = 3
 	// inlineBody is the largest body written before the answer is read; a
-	// longer one is written while the answer is awaited, because a server may
-	// answer before it has read it.
+	// longer one is written concurrently, because a server may answer before it has
+	// read the body.
 	inlineBody = 32 << 10
 )
 
@@ -58,18 +58,18 @@
 	// Head is the header lines without Host and Content-Length.
 	Head []byte
 	Body []byte
-	// HasBody says that a length is stated also for an empty body.
+	// HasBody states a length also for an empty body.
 	HasBody bool
-	// ID is what the answer must echo.
+	// ID is the identifier that the answer must echo.
 	ID string
-	// Fresh asks for a new connection: a kept one may break just as the
-	// request is sent, and then nobody can tell whether it has run.
+	// Fresh requires a new connection: a keep-alive connection may break just as the
+	// request is sent, and then it is unknown whether the request has run.
 	Fresh bool
 }
 
-// Do sends the request once and returns the head of its answer. It ends early
-// when the context does, and closes the connection then, which tells the server
-// that nobody waits any more.
+// Do sends the request once and returns the head of its answer. When the context
+// ends, Do returns and closes the connection, which shows the server that the caller
+// no longer waits.
 func (p *Pool) Do(ctx context.Context, r *Request) (*Reply, error) {
 	var c *conn
 	if !r.Fresh {
@@ -103,8 +103,8 @@
 		if err != nil && n == 0 {
 			return nil, &NotSentError{err}
 		}
-		// A server that refuses early may have answered before the write
-		// broke: the answer is read in any case.
+		// A server that refuses early may have answered before the write failed, so
+		// the answer is read in any case.
 		return p.readHead(c, r, err)
 	}
 	n, err := c.Write(head)
@@ -144,9 +144,9 @@
 
 // readHead reads answers until the one to this request.
 func (p *Pool) readHead(c *conn, r *Request, writeErr error) (*Reply, error) {
-	asked := &http.Request{Method: r.Method}
-	for range maxStray {
-		resp, err := http.ReadResponse(c.br, asked)
+	req := &http.Request{Method: r.Method}
+	for range maxUnexpected {
+		resp, err := http.ReadResponse(c.br, req)
 		if err != nil {
 			if writeErr != nil {
 				return nil, &BrokenError{"write", writeErr}
@@ -166,12 +166,12 @@
 		}
 		return &Reply{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, pool: p, conn: c, resp: resp}, nil
 	}
-	return nil, &BrokenError{"head", errStray}
+	return nil, &BrokenError{"head", errUnexpected}
 }
 
 func skip(resp *http.Response) error {
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return errStray
+		return errUnexpected
 	}
 	_, err := io.Copy(io.Discard, resp.Body)
 	return err
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -14,8 +14,8 @@
 	"github.com/matryer/is"
 )
 
-// answerWith serves one connection after the other: each request line read is
-// answered by the next text of the list; an empty one closes the connection.
+// answerWith serves one connection after the other. Each request line is answered
+// by the next text of the list; an empty text closes the connection.
 func answerWith(t *testing.T, conns ...[]string) (addr string, requests func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,9 +81,9 @@
 	return string(body), err
 }
 
-// secondGetsItsOwn sends two requests to a server that answers so on each of its
-// connections, and checks that the second gets the answer to it.
-func secondGetsItsOwn(t *testing.T, answers ...[]string) {
+// checkSecondAnswer sends two requests to a server with the given answers on each of its
+// connections, and checks that the second request gets its own answer.
+func checkSecondAnswer(t *testing.T, answers ...[]string) {
 	t.Helper()
 	is := is.New(t)
 	addr, _ := answerWith(t, answers...)
@@ -109,17 +109,17 @@
 	is.Equal(p.NumOpen(), 1)
 }
 
-// Guards against giving a caller the second answer to another one's request.
+// Guards against returning a second answer to an earlier request to another caller.
 func TestLateSecondAnswer(t *testing.T) {
-	secondGetsItsOwn(t, []string{reply("1", "one"), reply("1", "one") + reply("2", "two")})
+	checkSecondAnswer(t, []string{reply("1", "one"), reply("1", "one") + reply("2", "two")})
 }
 
-// Guards against using a connection again on which bytes follow a whole answer.
+// Guards against reusing a connection on which bytes follow a complete answer.
 func TestBytesAfterTheAnswer(t *testing.T) {
-	secondGetsItsOwn(t, []string{reply("1", "one") + "garbage"}, []string{reply("2", "two")})
+	checkSecondAnswer(t, []string{reply("1", "one") + "garbage"}, []string{reply("2", "two")})
 }
 
-// Guards against sending a request a second time when its kept connection breaks.
+// Guards against sending a request a second time when its keep-alive connection breaks.
 func TestBrokenConnectionIsNotRepeated(t *testing.T) {
 	is := is.New(t)
 	addr, requests := answerWith(t, []string{reply("1", "one"), ""}, []string{reply("2", "two")})
@@ -144,7 +144,7 @@
 	is.True(errors.As(err, &notSent))
 }
 
-// Guards against taking an answer that was cut short for whole.
+// Guards against treating a truncated answer as complete.
 func TestAnswerCutShort(t *testing.T) {
 	for name, answer := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nhalf",
@@ -172,7 +172,7 @@
 	}
 }
 
-// Guards against losing an answer without a length, and using its connection again.
+// Guards against losing an answer without a length, and against reusing its connection.
 func TestAnswerWithoutLength(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -195,7 +195,7 @@
 	is.Equal(p.NumOpen(), 0)
 }
 
-// Guards against work for a caller that has left.
+// Guards against work for a caller that has disconnected.
 func TestCallerLeaves(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -221,11 +221,11 @@
 	<-ended
 }
 
-// unbuffered is the length of a body that the buffers of a connection can't take
-// in, so that it is not all written before it is read.
+// unbuffered is the length of a body that exceeds the buffers of a connection, so
+// that it cannot be written completely before it is read.
 const unbuffered = 64 << 20
 
-// Guards against a request that its server takes for the rest of the last body.
+// Guards against a request that its server reads as the rest of the previous body.
 func TestAnswerBeforeTheBody(t *testing.T) {
 	is := is.New(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -265,7 +265,7 @@
 	}
 	defer l.Close()
 	go func() {
-		// It ends when the listener is closed.
+		// Serve returns when the listener is closed.
 		_ = http.Serve(l, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Id", r.Header.Get("Id"))
 			_, _ = io.WriteString(w, "answer")
