--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -10,7 +10,7 @@
 
 // errUnanswered is the cause when an attempt is canceled because its target does not answer
 // while others do.
-var errUnanswered = errors.New("target does not answer while others do")
+var errUnanswered = errors.New("target answers nothing while others do")
 
 // pending is a plain request in progress.
 type pending struct {
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -10,13 +10,13 @@
 
 // errStalled is the cause when an attempt is canceled because its target sends nothing more
 // while others do.
-var errStalled = errors.New("target stalled while others make progress")
+var errStalled = errors.New("target silent while others go on")
 
 // errSlow is the cause when an attempt is canceled because its target slows down its group.
-var errSlow = errors.New("target slows down its group")
+var errSlow = errors.New("target slows its group")
 
 // errSilentGroup is the cause when an attempt is canceled because its entire group has stalled.
-var errSilentGroup = errors.New("group stalled while others make progress")
+var errSilentGroup = errors.New("group silent while others go on")
 
 // activeStream is a stream in progress that may be resumed at another target.
 type activeStream struct {
