--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -255,7 +255,7 @@
 		key := a.service + "/" + g.Group
 		set(metricRunning, key, g.Running)
 		set(metricLimit, key, g.Limit)
-		set(metricWorks, key, boolToInt(g.Available))
+		set(metricAvailable, key, boolToInt(g.Available))
 	}
 	if l.Items > 0 {
 		a.log.Info("queue", "service", a.service, "waiting", l.Items, "running", l.Running, "limit", l.Slots,
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -16,7 +16,7 @@
 )
 
 // answered handles the head of a server's answer.
-func (c *call) answered(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
+func (c *call) answered(ctx context.Context, s activeAttempt, reply *upstream.Reply) (retry.Kind, string, bool) {
 	now := time.Now()
 	a := platform.ParseAnswer(reply.Status, reply.Header)
 	c.fleet.observeAnswer(s, a, now)
@@ -43,7 +43,7 @@
 }
 
 // relayComplete reads an answer to its end and passes it on.
-func (c *call) relayComplete(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
+func (c *call) relayComplete(ctx context.Context, s activeAttempt, reply *upstream.Reply) (retry.Kind, string, bool) {
 	body, err := io.ReadAll(io.LimitReader(reply, maxAnswer+1))
 	if err != nil {
 		return c.attemptFailed(ctx, s, err)
@@ -80,10 +80,10 @@
 	c.served = true
 	c.isolator.completed(c.fingerprint())
 	c.mu.Lock()
-	c.returns.Completed(now)
+	c.returnScheduler.Completed(now)
 	c.mu.Unlock()
 	metricRequests.Add(strconv.Itoa(status), 1)
-	metricWhole.Record(now.Sub(c.arrived).Milliseconds())
+	metricAnswerTime.Record(now.Sub(c.arrived).Milliseconds())
 	line := []any{"status", status, "on-time", true}
 	if late := c.lateBy(now); late != "" {
 		line = []any{"status", status, "on-time", false, "late-by", late}
@@ -96,7 +96,7 @@
 	if c.begun {
 		// The caller has received a part of the stream: only aborting the
 		// connection shows it that the rest is missing.
-		metricBrokenOff.Add(1)
+		metricAborted.Add(1)
 		c.logOutcome("outcome", "broken-off", "reason", reason, "why", e.Reason, "last-event", c.lastEvent)
 		panic(http.ErrAbortHandler)
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -50,7 +50,7 @@
 
 // pickOrWait picks a target. If all candidates are throttled, it waits for one, provided
 // that the expected wait is short.
-func (c *call) pickOrWait(ctx context.Context) (sent, bool) {
+func (c *call) pickOrWait(ctx context.Context) (activeAttempt, bool) {
 	s, ok := c.pick()
 	if ok || !c.shouldWait(0) {
 		return s, ok
@@ -91,7 +91,7 @@
 
 // pick chooses a target in the group of the request's slot, or in any group if none there
 // may take it.
-func (c *call) pick() (sent, bool) {
+func (c *call) pick() (activeAttempt, bool) {
 	q := c.query()
 	s, ok := c.fleet.pick(q, time.Now())
 	if !ok && q.Group != "" {
@@ -102,7 +102,7 @@
 }
 
 // send sends the request to a target and handles its answer.
-func (c *call) send(ctx context.Context, s sent) (kind retry.Kind, reason string, done bool) {
+func (c *call) send(ctx context.Context, s activeAttempt) (kind retry.Kind, reason string, done bool) {
 	watched := ctx
 	if c.route.Kind == deployment.Stream && c.route.Repeatable() {
 		watched, c.stream = c.fleet.trackStream(ctx, s, c.req.ID, c.service, c.ran < c.route.Attempts)
@@ -120,11 +120,11 @@
 	return c.answered(watched, s, reply)
 }
 
-func (c *call) upstream(s sent) *upstream.Request {
+func (c *call) upstream(s activeAttempt) *upstream.Request {
 	var head bytes.Buffer
 	f := platform.Forward{
 		TargetID: s.target.ID, Left: time.Until(c.deadline),
-		Urgency: urgency(c.route, c.space), LastEvent: c.lastEvent,
+		Urgency: urgency(c.route, c.workspace), LastEvent: c.lastEvent,
 	}
 	f.Workspace = c.workspaceName()
 	platform.WriteHeaders(&head, c.r.Header, f)
@@ -137,7 +137,7 @@
 
 // attemptFailed classifies an attempt without an answer. The context is that of
 // the attempt: one that the gateway canceled itself says nothing about its target.
-func (c *call) attemptFailed(ctx context.Context, s sent, err error) (retry.Kind, string, bool) {
+func (c *call) attemptFailed(ctx context.Context, s activeAttempt, err error) (retry.Kind, string, bool) {
 	cause := context.Cause(ctx)
 	switch cause {
 	case nil, errStalled:
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -21,13 +21,13 @@
 	// waiting counts the requests by service that wait for a held target.
 	waiting map[string]int
 	// refusing holds the targets that are avoided because they refuse requests.
-	refusing map[string]*pooled
+	refusing map[string]*targetState
 }
 
 func newBackpressure(instance string, log *slog.Logger) backpressure {
 	return backpressure{
 		limits: newLimits(instance, log), paused: map[string]time.Time{}, held: map[string]bool{},
-		waiting: map[string]int{}, refusing: map[string]*pooled{},
+		waiting: map[string]int{}, refusing: map[string]*targetState{},
 	}
 }
 
@@ -45,7 +45,7 @@
 }
 
 // applyBackpressure applies what a target requests in an answer. It is called with the lock held.
-func (f *fleet) applyBackpressure(s sent, a platform.Answer, now time.Time) {
+func (f *fleet) applyBackpressure(s activeAttempt, a platform.Answer, now time.Time) {
 	if a.Leaving && !s.target.announcedShutdown {
 		f.markLeaving(s, a.ID)
 	}
@@ -64,19 +64,19 @@
 
 // markLeaving records that a target has announced its shutdown in an answer. Its entry in the
 // store may never say so. It is called with the lock held.
-func (f *fleet) markLeaving(s sent, requestID string) {
+func (f *fleet) markLeaving(s activeAttempt, requestID string) {
 	p := s.target
 	p.announcedShutdown = true
 	metricLeaving.Add(1)
 	f.log.Info("target announced its shutdown", "id", requestID, "target", p.ID, "service", p.Service, "draining-by-store", p.Draining)
-	if f.pools[p.ID] == p {
+	if f.targets[p.ID] == p {
 		f.table.SetLeaving(s.index, true)
 	}
 }
 
 // applyLimit records the rate limit that an answer states, or nil if it states none. It is
 // called with the lock held.
-func (f *fleet) applyLimit(s sent, requestID string, limit *float64, now time.Time) {
+func (f *fleet) applyLimit(s activeAttempt, requestID string, limit *float64, now time.Time) {
 	p := s.target
 	if !f.backpressure.limits.observe(permit.Response{Target: p.ID, Service: p.Service, StartedAt: p.Born, Limit: limit, Sent: s.started}, now) {
 		return
@@ -91,10 +91,10 @@
 
 // pause sends no requests to a target for the time that it has requested. It is called with the
 // lock held.
-func (f *fleet) pause(p *pooled, requestID string, d time.Duration, now time.Time) {
+func (f *fleet) pause(p *targetState, requestID string, d time.Duration, now time.Time) {
 	metricPauses.Add(1)
 	f.log.Info("target requested a pause", "id", requestID, "target", p.ID, "service", p.Service, "ms", d.Milliseconds())
-	if f.pools[p.ID] != p {
+	if f.targets[p.ID] != p {
 		return // It has ended meanwhile.
 	}
 	if until := now.Add(d); until.After(f.backpressure.paused[p.ID]) {
@@ -105,8 +105,8 @@
 
 // refused records a failure of a target, or a refusal without a requested pause. It is called
 // with the lock held.
-func (f *fleet) refused(p *pooled, now time.Time) {
-	if f.pools[p.ID] != p {
+func (f *fleet) refused(p *targetState, now time.Time) {
+	if f.targets[p.ID] != p {
 		return // It has ended meanwhile.
 	}
 	p.refusals.Refused(now)
@@ -132,7 +132,7 @@
 		}
 	}
 	for id := range unready {
-		if !f.backpressure.held[id] && f.pools[id] != nil {
+		if !f.backpressure.held[id] && f.targets[id] != nil {
 			f.setHeld(id, true)
 		}
 	}
@@ -170,7 +170,7 @@
 	some := false
 	for id := range f.backpressure.held {
 		i, ok := f.table.Lookup(id)
-		if !ok || f.pools[id].Service != q.Service || q.Exclude.Has(i) || f.pools[id].shuttingDown() {
+		if !ok || f.targets[id].Service != q.Service || q.Exclude.Has(i) || f.targets[id].shuttingDown() {
 			continue
 		}
 		some = true
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -29,12 +29,12 @@
 
 // request is what a call asks for. It does not change once the call is admitted.
 type request struct {
-	req     platform.Request
-	route   *deployment.Route
-	space   *deployment.Workspace
-	service string
-	body    []byte
-	arrived time.Time
+	req       platform.Request
+	route     *deployment.Route
+	workspace *deployment.Workspace
+	service   string
+	body      []byte
+	arrived   time.Time
 	// deadline is the earlier of what the route and the caller allow.
 	deadline time.Time
 	// version is that of the configuration that applies to the request.
@@ -50,7 +50,7 @@
 	// took until it got a slot; last is its last attempt.
 	startupWait time.Duration
 	queued      time.Duration
-	last        sent
+	last        activeAttempt
 	// ran counts the servers that may have run it.
 	ran     int
 	exclude route.Exclude
@@ -114,7 +114,7 @@
 		return false
 	}
 	var ok bool
-	if c.space, ok = cat.workspace(c.route, c.req.Key); !ok {
+	if c.workspace, ok = cat.workspace(c.route, c.req.Key); !ok {
 		c.respond(http.StatusUnauthorized, "unknown key", 0)
 		return false
 	}
@@ -172,7 +172,7 @@
 			c.attempts.MayHaveRun = true
 		}
 	}
-	return retry.Decide(&c.attempts, kind, c.budgets.For(c.key()), &c.returns, c.deadline, now, c.rng)
+	return retry.Decide(&c.attempts, kind, c.budgets.For(c.key()), &c.returnScheduler, c.deadline, now, c.rng)
 }
 
 // cost returns the expected work of the request in tokens.
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -31,7 +31,7 @@
 	mu      sync.Mutex
 	table   *route.Table
 	monitor *health.Monitor
-	pools   map[string]*pooled
+	targets map[string]*targetState
 	// misdirected holds the targets at whose address another server has answered, until
 	// their entry is removed or shows a restart.
 	misdirected map[string]bool
@@ -55,8 +55,8 @@
 // costGain is the weight of one request in the mean cost.
 const costGain = 0.02
 
-// pooled is one target with its connections.
-type pooled struct {
+// targetState is one target with its connections and health.
+type targetState struct {
 	deployment.Target
 	pool *upstream.Pool
 	// slow is set if it lengthens the forward passes of its group; silentUntil is until
@@ -74,7 +74,7 @@
 
 // shuttingDown reports whether the target takes no new requests, by its entry in the store or
 // its own announcement.
-func (p *pooled) shuttingDown() bool { return p.Draining || p.announcedShutdown }
+func (p *targetState) shuttingDown() bool { return p.Draining || p.announcedShutdown }
 
 // choices is how many random targets are compared for a request. With a handful of
 // gateways and a few dozen targets, comparing several finds an idle one, and random
@@ -87,7 +87,7 @@
 		spare:          func(string) int { return math.MaxInt },
 		table:          route.New(route.Options{Entry: instance, Zone: zone, Choices: choices}),
 		monitor:        health.New(health.Options{}),
-		pools:          map[string]*pooled{},
+		targets:        map[string]*targetState{},
 		misdirected:    map[string]bool{},
 		reportedGroups: map[string]string{},
 		rng:            newRand(),
@@ -101,7 +101,7 @@
 func (f *fleet) serves(t deployment.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.pools[t.ID]
+	p := f.targets[t.ID]
 	return p != nil && p.Born == t.Born && !p.shuttingDown()
 }
 
@@ -112,10 +112,10 @@
 	f.drop(v.Targets)
 	targets := make([]route.Target, 0, len(v.Targets))
 	for id, t := range v.Targets {
-		if f.pools[id] == nil {
-			f.pools[id] = &pooled{Target: t, pool: upstream.NewPool(t.Addr.String(), tcp.Dial, answersTo)}
+		if f.targets[id] == nil {
+			f.targets[id] = &targetState{Target: t, pool: upstream.NewPool(t.Addr.String(), tcp.Dial, answersTo)}
 		}
-		f.pools[id].Target = t
+		f.targets[id].Target = t
 		targets = append(targets, f.routed(&t))
 	}
 	f.table.Update(targets)
@@ -130,14 +130,14 @@
 			delete(f.misdirected, id)
 		}
 	}
-	for id, p := range f.pools {
+	for id, p := range f.targets {
 		t, ok := now[id]
 		if ok && t.Addr == p.Addr && t.Born == p.Born {
 			continue
 		}
 		p.pool.Close()
 		f.reportTermination(p, ok || listensAt(now, p.Addr))
-		delete(f.pools, id)
+		delete(f.targets, id)
 		delete(f.misdirected, id)
 		delete(f.reportedGroups, id)
 		delete(f.streams.targets, id)
@@ -167,7 +167,7 @@
 
 // reportTermination reports to the crash detector that an incarnation of a target has ended,
 // according to the store. A target that had announced its shutdown has not crashed.
-func (f *fleet) reportTermination(p *pooled, replaced bool) {
+func (f *fleet) reportTermination(p *targetState, replaced bool) {
 	switch {
 	case p.shuttingDown():
 	case replaced:
@@ -182,7 +182,7 @@
 	members := make([]health.Member, f.table.Len())
 	for i := range members {
 		t := f.table.Target(i)
-		if f.table.Configured(i) && f.pools[t.Name] != nil {
+		if f.table.Configured(i) && f.targets[t.Name] != nil {
 			members[i] = health.Member{Name: t.Name, Pool: t.Service}
 		}
 	}
@@ -193,7 +193,7 @@
 func (f *fleet) routed(t *deployment.Target) route.Target {
 	return route.Target{
 		Name: t.ID, Zone: t.Zone, Service: t.Service, Group: f.groupOf(t),
-		Drained: f.pools[t.ID].shuttingDown() || f.misdirected[t.ID],
+		Drained: f.targets[t.ID].shuttingDown() || f.misdirected[t.ID],
 	}
 }
 
@@ -210,7 +210,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	slots := map[string]map[string]int{}
-	for _, p := range f.pools {
+	for _, p := range f.targets {
 		if slots[p.Service] == nil {
 			slots[p.Service] = map[string]int{}
 		}
@@ -226,12 +226,12 @@
 	return a.ID == id || a.ID == "" && status >= http.StatusBadRequest
 }
 
-// sent is an attempt in progress at a target.
-type sent struct {
+// activeAttempt is an attempt in progress at a target.
+type activeAttempt struct {
 	index   int
 	cost    float64
 	started time.Time
-	target  *pooled
+	target  *targetState
 	// seen is the target's entry when it was picked.
 	seen deployment.Target
 	// loadAge is the age of the target's load report when it was picked; negative if there
@@ -241,35 +241,35 @@
 
 // pick chooses a target and counts the request there. It reports false if no
 // target may take it.
-func (f *fleet) pick(q *route.Query, now time.Time) (sent, bool) {
+func (f *fleet) pick(q *route.Query, now time.Time) (activeAttempt, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.updateThrottled(q.Service, now)
 	f.expireRefusals(now)
 	i, ok := f.table.Pick(q, now, f.rng)
 	if !ok {
-		return sent{}, false
+		return activeAttempt{}, false
 	}
-	p := f.pools[f.table.Target(i).Name]
+	p := f.targets[f.table.Target(i).Name]
 	if p == nil {
-		return sent{}, false
+		return activeAttempt{}, false
 	}
 	age := f.table.LoadAge(i, now)
 	f.table.Start(i, q.Cost, now)
 	f.backpressure.limits.recordSent(p.ID, now)
 	f.cost += (q.Cost - f.cost) * costGain
-	return sent{index: i, cost: q.Cost, started: now, target: p, seen: p.Target, loadAge: age}, true
+	return activeAttempt{index: i, cost: q.Cost, started: now, target: p, seen: p.Target, loadAge: age}, true
 }
 
 // end records that an attempt has ended.
-func (f *fleet) end(s sent) {
+func (f *fleet) end(s activeAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.End(s.index, s.cost, s.started)
 }
 
 // observeAnswer records what an answer states about its target.
-func (f *fleet) observeAnswer(s sent, a platform.Answer, now time.Time) {
+func (f *fleet) observeAnswer(s activeAttempt, a platform.Answer, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if a.Misdirected && !f.misdirected[s.target.ID] {
@@ -289,13 +289,13 @@
 	}
 }
 
-func (f *fleet) succeeded(s sent, latency time.Duration, now time.Time) {
+func (f *fleet) succeeded(s activeAttempt, latency time.Duration, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.monitor.Succeed(s.index, latency, now)
 }
 
-func (f *fleet) failed(s sent, severity health.Severity, now time.Time) {
+func (f *fleet) failed(s activeAttempt, severity health.Severity, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.monitor.Fail(s.index, severity, now)
@@ -319,7 +319,7 @@
 		f.table.SetHealth(c.Target, c.Share, c.Probe)
 		f.log.Info("target health", "target", f.table.Target(c.Target).Name, "state", c.State.String(), "share", c.Share, "cause", c.Cause.String())
 	}
-	for _, p := range f.pools {
+	for _, p := range f.targets {
 		p.pool.CloseIdle(now)
 	}
 	return f.silentGroups(now)
--- a/gateway/isolator.go
+++ b/gateway/isolator.go
@@ -122,7 +122,7 @@
 }
 
 // show sets the metric of the quarantined requests. It is called with the lock held.
-func (s *isolator) show() { metricHeld.Set(int64(s.register.Quarantined())) }
+func (s *isolator) show() { metricQuarantined.Set(int64(s.register.Quarantined())) }
 
 // hasQuarantined reports whether any request is quarantined.
 func (s *isolator) hasQuarantined() bool {
@@ -256,9 +256,9 @@
 	}
 }
 
-// metricHeld is how many requests are quarantined, and metricHeldCalls how many calls were
-// refused because of it.
+// metricQuarantined is how many requests are quarantined, and metricQuarantinedCalls how many
+// calls were refused because of it.
 var (
-	metricHeld      = expvar.NewInt("requests-held-back")
-	metricHeldCalls = expvar.NewInt("calls-held-back")
+	metricQuarantined      = expvar.NewInt("requests-held-back")
+	metricQuarantinedCalls = expvar.NewInt("calls-held-back")
 )
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -43,10 +43,10 @@
 }
 
 // pair returns a fleet of two targets, and the first of them.
-func pair() (f *fleet, first *pooled) {
+func pair() (f *fleet, first *targetState) {
 	f = newFleet("front-1", "z1", slog.New(slog.DiscardHandler))
 	f.update(&mirror.View{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}, "t1": {ID: "t1", Service: "pool", Slots: 1}}})
-	return f, f.pools["t0"]
+	return f, f.targets["t0"]
 }
 
 // picked returns how many of forty requests at the given time go to a target.
@@ -99,10 +99,10 @@
 	f, first := pair()
 	now := time.Now()
 	index, _ := f.table.Lookup("t0")
-	f.failed(sent{index: index, target: first}, health.Soft, now)
+	f.failed(activeAttempt{index: index, target: first}, health.Soft, now)
 	is.Equal(f.picked("t0", route.Exclude{}, now.Add(time.Millisecond)), 0)
 	f.mu.Lock()
-	f.refused(f.pools["t1"], now)
+	f.refused(f.targets["t1"], now)
 	f.mu.Unlock()
 	got := f.picked("t0", route.Exclude{}, now.Add(time.Millisecond))
 	is.True(got > 0 && got < 40) // both are tried if no other is left
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -14,7 +14,7 @@
 
 // pending is a plain request in progress.
 type pending struct {
-	sent
+	activeAttempt
 	id, route, service string
 	// mayMove is set if another server may run the request.
 	mayMove bool
@@ -77,10 +77,10 @@
 
 // trackPending tracks an attempt at a plain request: its context is canceled if the target
 // does not answer and another server may run the request.
-func (f *fleet) trackPending(ctx context.Context, s sent, c *call) (context.Context, *pending) {
+func (f *fleet) trackPending(ctx context.Context, s activeAttempt, c *call) (context.Context, *pending) {
 	ctx, end := context.WithCancelCause(ctx)
 	p := &pending{
-		sent: s, id: c.req.ID, route: c.route.Name, service: c.service,
+		activeAttempt: s, id: c.req.ID, route: c.route.Name, service: c.service,
 		mayMove: c.route.Repeatable() && c.ran < c.route.Attempts, end: end,
 	}
 	f.mu.Lock()
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -69,7 +69,7 @@
 // when the caller may retry.
 func (c *call) quarantineRefusal(v quarantine.Decision) *outcome.Error {
 	c.suspect = true
-	metricHeldCalls.Add(1)
+	metricQuarantinedCalls.Add(1)
 	return &outcome.Error{Outcome: c.attempts.Outcome(), Reason: quarantine.ReasonQuarantined, RetryAfter: v.RetryAfter}
 }
 
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -27,10 +27,10 @@
 
 // The reasons for which an answer is late, as they appear in the log.
 const (
-	lateReturn = "return" // the caller is repeating an attempt, and is late in any case
-	lateWhole  = "whole"
-	lateFirst  = "first"
-	latePause  = "pause"
+	lateReturn   = "return" // the caller is repeating an attempt, and is late in any case
+	lateComplete = "whole"
+	lateFirst    = "first"
+	latePause    = "pause"
 )
 
 // lateBy returns why an answer that ends now has missed the objective of its route, or ""
@@ -40,7 +40,7 @@
 	case c.returning:
 		return lateReturn
 	case c.route.Kind != deployment.Stream && now.Sub(c.arrived) > c.route.Objective:
-		return lateWhole
+		return lateComplete
 	case c.route.Kind != deployment.Stream:
 		return ""
 	case c.firstAfter > c.route.Objective:
@@ -98,8 +98,8 @@
 
 // workspaceName returns the name of the caller's workspace, or "".
 func (c *call) workspaceName() string {
-	if c.space == nil {
+	if c.workspace == nil {
 		return ""
 	}
-	return c.space.Name
+	return c.workspace.Name
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -16,7 +16,7 @@
 
 // relay passes a stream on, event by event. The head is sent with the first
 // event, so that a stream that breaks off earlier can be refused or sent elsewhere.
-func (c *call) relay(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
+func (c *call) relay(ctx context.Context, s activeAttempt, reply *upstream.Reply) (retry.Kind, string, bool) {
 	var ev events
 	buf := make([]byte, streamBuffer)
 	first := true
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -44,16 +44,16 @@
 
 	mu sync.Mutex
 	// rng is separate from the fleet's, which another lock guards.
-	rng     *rand.Rand
-	budgets *retry.Budgets
-	returns retry.ReturnScheduler
-	digests *digests
+	rng             *rand.Rand
+	budgets         *retry.Budgets
+	returnScheduler retry.ReturnScheduler
+	digests         *digests
 	// isolator quarantines requests that crash their targets.
 	isolator *isolator
 	// suspicions shares suspected targets with the other gateways.
 	suspicions *suspicionExchange
-	// patience detects returning callers, by route.
-	patience map[string]*retry.ReturnDetector
+	// returnDetectors detect returning callers, by route.
+	returnDetectors map[string]*retry.ReturnDetector
 	// admitters holds those of services with engines, by name.
 	admitters map[string]*admitter
 }
@@ -62,13 +62,13 @@
 	boot, log := env.Boot, env.Log
 	g := &gateway{
 		log: log, tracer: tracer, rng: newRand(), bounds: boot.Bounds, started: time.Now(),
-		startup:    startup.New(),
-		fleet:      newFleet(boot.Instance, boot.Zone, log),
-		budgets:    retry.NewBudgets(retryLimits(boot.Bounds)),
-		isolator:   newIsolator(boot.Instance, store, log),
-		suspicions: newSuspicionExchange(boot.Instance, store, log),
-		admitters:  map[string]*admitter{},
-		patience:   map[string]*retry.ReturnDetector{},
+		startup:         startup.New(),
+		fleet:           newFleet(boot.Instance, boot.Zone, log),
+		budgets:         retry.NewBudgets(retryLimits(boot.Bounds)),
+		isolator:        newIsolator(boot.Instance, store, log),
+		suspicions:      newSuspicionExchange(boot.Instance, store, log),
+		admitters:       map[string]*admitter{},
+		returnDetectors: map[string]*retry.ReturnDetector{},
 	}
 	g.suspicions.report = g.fleet.addSuspicion
 	g.fleet.shareSuspicion = g.suspicions.share
@@ -197,10 +197,10 @@
 func (g *gateway) isReturning(r *deployment.Route, patience time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.patience[r.Name]
+	p := g.returnDetectors[r.Name]
 	if p == nil {
 		p = &retry.ReturnDetector{}
-		g.patience[r.Name] = p
+		g.returnDetectors[r.Name] = p
 	}
 	return p.Returning(patience, r.Timeout)
 }
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -20,7 +20,7 @@
 
 // activeStream is a stream in progress that may be resumed at another target.
 type activeStream struct {
-	sent
+	activeAttempt
 	// id is the request's.
 	id      string
 	service string
@@ -52,9 +52,9 @@
 
 // trackStream tracks an attempt: its context is canceled if the target goes silent, or if it
 // slows down its group and another server may run the request.
-func (f *fleet) trackStream(ctx context.Context, s sent, id, service string, mayMove bool) (context.Context, *activeStream) {
+func (f *fleet) trackStream(ctx context.Context, s activeAttempt, id, service string, mayMove bool) (context.Context, *activeStream) {
 	ctx, end := context.WithCancelCause(ctx)
-	st := &activeStream{sent: s, id: id, service: service, mayMove: mayMove, heardAt: s.started, end: end}
+	st := &activeStream{activeAttempt: s, id: id, service: service, mayMove: mayMove, heardAt: s.started, end: end}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.streams.open[st] = struct{}{}
@@ -160,7 +160,7 @@
 			f.moveStream(st, silence, now)
 		}
 	}
-	for _, p := range f.pools {
+	for _, p := range f.targets {
 		f.updateAvoided(p, now)
 	}
 }
@@ -196,7 +196,7 @@
 }
 
 // updateAvoided sets in the routing table whether a target is avoided.
-func (f *fleet) updateAvoided(p *pooled, now time.Time) {
+func (f *fleet) updateAvoided(p *targetState, now time.Time) {
 	if i, ok := f.table.Lookup(p.ID); ok {
 		f.table.SetAvoided(i, p.slow || now.Before(p.silentUntil) || now.Before(p.suspectedUntil) || p.refusals.Avoided(now))
 	}
--- a/gateway/suspicions.go
+++ b/gateway/suspicions.go
@@ -120,7 +120,7 @@
 
 // suspect makes this gateway avoid a target, and the others as soon as enough of them agree.
 // It is called with the lock held.
-func (f *fleet) suspect(p *pooled, cause string, now time.Time) {
+func (f *fleet) suspect(p *targetState, cause string, now time.Time) {
 	known := f.suspicions.Agreed(p.ID, now)
 	f.suspicions.Report(p.ID, ownSuspicion, true, now)
 	metricSuspicions.Add(cause, 1)
@@ -140,7 +140,7 @@
 func (f *fleet) addSuspicion(d suspicion, source string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.pools[d.Target]
+	p := f.targets[d.Target]
 	if p == nil || p.Born != d.Born {
 		return
 	}
@@ -158,12 +158,12 @@
 		return
 	}
 	services := map[string][]string{}
-	for id, p := range f.pools {
+	for id, p := range f.targets {
 		services[p.Service] = append(services[p.Service], id)
 	}
 	for _, targets := range services {
 		for _, id := range f.suspicions.Avoided(targets, now) {
-			f.pools[id].suspectedUntil = now.Add(suspicionHold)
+			f.targets[id].suspectedUntil = now.Add(suspicionHold)
 		}
 	}
 	f.suspicions.Expire(now)
@@ -174,7 +174,7 @@
 
 // strike counts a failure that is attributed to its target. It is called with the lock
 // held.
-func (f *fleet) strike(p *pooled, cause string, now time.Time) {
+func (f *fleet) strike(p *targetState, cause string, now time.Time) {
 	if p.strikes.Add(now) {
 		f.suspect(p, cause, now)
 	}
