--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -69,7 +69,7 @@
 	p.announcedShutdown = true
 	metricLeaving.Add(1)
 	f.log.Info("target announced its shutdown", "id", requestID, "target", p.ID, "service", p.Service, "draining-by-store", p.Draining)
-	if f.targets[p.ID] == p {
+	if f.targetStates[p.ID] == p {
 		f.table.SetLeaving(s.index, true)
 	}
 }
@@ -94,7 +94,7 @@
 func (f *fleet) pause(p *targetState, requestID string, d time.Duration, now time.Time) {
 	metricPauses.Add(1)
 	f.log.Info("target requested a pause", "id", requestID, "target", p.ID, "service", p.Service, "ms", d.Milliseconds())
-	if f.targets[p.ID] != p {
+	if f.targetStates[p.ID] != p {
 		return // It has ended meanwhile.
 	}
 	if until := now.Add(d); until.After(f.backpressure.paused[p.ID]) {
@@ -106,7 +106,7 @@
 // refused records a failure of a target, or a refusal without a requested pause. It is called
 // with the lock held.
 func (f *fleet) refused(p *targetState, now time.Time) {
-	if f.targets[p.ID] != p {
+	if f.targetStates[p.ID] != p {
 		return // It has ended meanwhile.
 	}
 	p.refusals.Refused(now)
@@ -132,7 +132,7 @@
 		}
 	}
 	for id := range unready {
-		if !f.backpressure.held[id] && f.targets[id] != nil {
+		if !f.backpressure.held[id] && f.targetStates[id] != nil {
 			f.setHeld(id, true)
 		}
 	}
@@ -170,7 +170,7 @@
 	some := false
 	for id := range f.backpressure.held {
 		i, ok := f.table.Lookup(id)
-		if !ok || f.targets[id].Service != q.Service || q.Exclude.Has(i) || f.targets[id].shuttingDown() {
+		if !ok || f.targetStates[id].Service != q.Service || q.Exclude.Has(i) || f.targetStates[id].shuttingDown() {
 			continue
 		}
 		some = true
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -29,12 +29,12 @@
 
 // request is what a call asks for. It does not change once the call is admitted.
 type request struct {
-	req       platform.Request
-	route     *deployment.Route
-	workspace *deployment.Workspace
-	service   string
-	body      []byte
-	arrived   time.Time
+	req             platform.Request
+	route           *deployment.Route
+	callerWorkspace *deployment.Workspace
+	service         string
+	body            []byte
+	arrived         time.Time
 	// deadline is the earlier of what the route and the caller allow.
 	deadline time.Time
 	// version is that of the configuration that applies to the request.
@@ -114,7 +114,7 @@
 		return false
 	}
 	var ok bool
-	if c.workspace, ok = cat.workspace(c.route, c.req.Key); !ok {
+	if c.callerWorkspace, ok = cat.workspace(c.route, c.req.Key); !ok {
 		c.respond(http.StatusUnauthorized, "unknown key", 0)
 		return false
 	}
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -28,10 +28,10 @@
 	// the lock held.
 	spare func(service string) int
 
-	mu      sync.Mutex
-	table   *route.Table
-	monitor *health.Monitor
-	targets map[string]*targetState
+	mu           sync.Mutex
+	table        *route.Table
+	monitor      *health.Monitor
+	targetStates map[string]*targetState
 	// misdirected holds the targets at whose address another server has answered, until
 	// their entry is removed or shows a restart.
 	misdirected map[string]bool
@@ -87,7 +87,7 @@
 		spare:          func(string) int { return math.MaxInt },
 		table:          route.New(route.Options{Entry: instance, Zone: zone, Choices: choices}),
 		monitor:        health.New(health.Options{}),
-		targets:        map[string]*targetState{},
+		targetStates:   map[string]*targetState{},
 		misdirected:    map[string]bool{},
 		reportedGroups: map[string]string{},
 		rng:            newRand(),
@@ -101,7 +101,7 @@
 func (f *fleet) serves(t deployment.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.targets[t.ID]
+	p := f.targetStates[t.ID]
 	return p != nil && p.Born == t.Born && !p.shuttingDown()
 }
 
@@ -112,10 +112,10 @@
 	f.drop(v.Targets)
 	targets := make([]route.Target, 0, len(v.Targets))
 	for id, t := range v.Targets {
-		if f.targets[id] == nil {
-			f.targets[id] = &targetState{Target: t, pool: upstream.NewPool(t.Addr.String(), tcp.Dial, answersTo)}
+		if f.targetStates[id] == nil {
+			f.targetStates[id] = &targetState{Target: t, pool: upstream.NewPool(t.Addr.String(), tcp.Dial, answersTo)}
 		}
-		f.targets[id].Target = t
+		f.targetStates[id].Target = t
 		targets = append(targets, f.routed(&t))
 	}
 	f.table.Update(targets)
@@ -130,14 +130,14 @@
 			delete(f.misdirected, id)
 		}
 	}
-	for id, p := range f.targets {
+	for id, p := range f.targetStates {
 		t, ok := now[id]
 		if ok && t.Addr == p.Addr && t.Born == p.Born {
 			continue
 		}
 		p.pool.Close()
 		f.reportTermination(p, ok || listensAt(now, p.Addr))
-		delete(f.targets, id)
+		delete(f.targetStates, id)
 		delete(f.misdirected, id)
 		delete(f.reportedGroups, id)
 		delete(f.streams.targets, id)
@@ -182,7 +182,7 @@
 	members := make([]health.Member, f.table.Len())
 	for i := range members {
 		t := f.table.Target(i)
-		if f.table.Configured(i) && f.targets[t.Name] != nil {
+		if f.table.Configured(i) && f.targetStates[t.Name] != nil {
 			members[i] = health.Member{Name: t.Name, Pool: t.Service}
 		}
 	}
@@ -193,7 +193,7 @@
 func (f *fleet) routed(t *deployment.Target) route.Target {
 	return route.Target{
 		Name: t.ID, Zone: t.Zone, Service: t.Service, Group: f.groupOf(t),
-		Drained: f.targets[t.ID].shuttingDown() || f.misdirected[t.ID],
+		Drained: f.targetStates[t.ID].shuttingDown() || f.misdirected[t.ID],
 	}
 }
 
@@ -210,7 +210,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	slots := map[string]map[string]int{}
-	for _, p := range f.targets {
+	for _, p := range f.targetStates {
 		if slots[p.Service] == nil {
 			slots[p.Service] = map[string]int{}
 		}
@@ -250,7 +250,7 @@
 	if !ok {
 		return activeAttempt{}, false
 	}
-	p := f.targets[f.table.Target(i).Name]
+	p := f.targetStates[f.table.Target(i).Name]
 	if p == nil {
 		return activeAttempt{}, false
 	}
@@ -319,7 +319,7 @@
 		f.table.SetHealth(c.Target, c.Share, c.Probe)
 		f.log.Info("target health", "target", f.table.Target(c.Target).Name, "state", c.State.String(), "share", c.Share, "cause", c.Cause.String())
 	}
-	for _, p := range f.targets {
+	for _, p := range f.targetStates {
 		p.pool.CloseIdle(now)
 	}
 	return f.silentGroups(now)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -55,7 +55,7 @@
 	_, ok := g.fleet.pick(&route.Query{Service: "pool"}, now)
 	is.True(ok)
 	g.fleet.mu.Lock()
-	g.fleet.pause(g.fleet.targets["t0"], "r1", time.Second, now)
+	g.fleet.pause(g.fleet.targetStates["t0"], "r1", time.Second, now)
 	g.fleet.mu.Unlock()
 	for patience, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
 		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(patience)}}
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -155,7 +155,7 @@
 	at, ok := r.gateway.fleet.table.Lookup("t0")
 	is.True(ok)
 	r.gateway.fleet.mu.Lock()
-	st := &activeStream{activeAttempt: activeAttempt{index: at, target: r.gateway.fleet.targets["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, heardAt: now.Add(-time.Second), end: func(error) {}}
+	st := &activeStream{activeAttempt: activeAttempt{index: at, target: r.gateway.fleet.targetStates["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, heardAt: now.Add(-time.Second), end: func(error) {}}
 	r.gateway.fleet.streams.open[st] = struct{}{}
 	r.gateway.fleet.streams.groups[groupKey{service: "pool"}] = now
 	r.gateway.fleet.watchSilence(now)
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -46,7 +46,7 @@
 func pair() (f *fleet, first *targetState) {
 	f = newFleet("front-1", "z1", slog.New(slog.DiscardHandler))
 	f.update(&mirror.View{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}, "t1": {ID: "t1", Service: "pool", Slots: 1}}})
-	return f, f.targets["t0"]
+	return f, f.targetStates["t0"]
 }
 
 // picked returns how many of forty requests at the given time go to a target.
@@ -102,7 +102,7 @@
 	f.failed(activeAttempt{index: index, target: first}, health.Soft, now)
 	is.Equal(f.picked("t0", route.Exclude{}, now.Add(time.Millisecond)), 0)
 	f.mu.Lock()
-	f.refused(f.targets["t1"], now)
+	f.refused(f.targetStates["t1"], now)
 	f.mu.Unlock()
 	got := f.picked("t0", route.Exclude{}, now.Add(time.Millisecond))
 	is.True(got > 0 && got < 40) // both are tried if no other is left
--- a/gateway/ranks.go
+++ b/gateway/ranks.go
@@ -35,7 +35,7 @@
 	r := groupLoad{slow: map[string]bool{}}
 	for k, id := range d.Targets {
 		i, ok := f.table.Lookup(id)
-		p := f.targets[id]
+		p := f.targetStates[id]
 		if !ok || p == nil {
 			continue
 		}
@@ -66,7 +66,7 @@
 // serviceOf returns the service of a group's targets: the digest of a coordinator that knows
 // none of its ranks yet applies as well. It is called with the lock held.
 func (f *fleet) serviceOf(group string) string {
-	for _, p := range f.targets {
+	for _, p := range f.targetStates {
 		if f.groupOf(&p.Target) == group {
 			return p.Service
 		}
@@ -77,8 +77,8 @@
 // regroup updates the groups of the targets in the routing table. It is called with the lock
 // held.
 func (f *fleet) regroup() {
-	targets := make([]route.Target, 0, len(f.targets))
-	for _, p := range f.targets {
+	targets := make([]route.Target, 0, len(f.targetStates))
+	for _, p := range f.targetStates {
 		targets = append(targets, f.routed(&p.Target))
 	}
 	f.table.Update(targets)
--- a/gateway/record.go
+++ b/gateway/record.go
@@ -98,8 +98,8 @@
 
 // workspaceName returns the name of the caller's workspace, or "".
 func (c *call) workspaceName() string {
-	if c.workspace == nil {
+	if c.callerWorkspace == nil {
 		return ""
 	}
-	return c.workspace.Name
+	return c.callerWorkspace.Name
 }
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -160,7 +160,7 @@
 			f.moveStream(st, silence, now)
 		}
 	}
-	for _, p := range f.targets {
+	for _, p := range f.targetStates {
 		f.updateAvoided(p, now)
 	}
 }
--- a/gateway/suspicions.go
+++ b/gateway/suspicions.go
@@ -140,7 +140,7 @@
 func (f *fleet) addSuspicion(d suspicion, source string, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.targets[d.Target]
+	p := f.targetStates[d.Target]
 	if p == nil || p.Born != d.Born {
 		return
 	}
@@ -158,12 +158,12 @@
 		return
 	}
 	services := map[string][]string{}
-	for id, p := range f.targets {
+	for id, p := range f.targetStates {
 		services[p.Service] = append(services[p.Service], id)
 	}
 	for _, targets := range services {
 		for _, id := range f.suspicions.Avoided(targets, now) {
-			f.targets[id].suspectedUntil = now.Add(suspicionHold)
+			f.targetStates[id].suspectedUntil = now.Add(suspicionHold)
 		}
 	}
 	f.suspicions.Expire(now)
