--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -14,12 +14,11 @@
 	"verbenashift/core/request/queue"
 )
 
-// passPoll is how often a request that was refused looks whether it may go
-// again.
-const passPoll = 40 * time.Millisecond
+// retryPoll is how often a refused request checks whether it may be sent again.
+const retryPoll = 40 * time.Millisecond
 
-// admitter lets requests through to the engines of one service: it carries what a
-// admission.Pool decides to the requests that wait. It is safe for concurrent use.
+// admitter admits requests to the engines of one service: it delivers the decisions of an
+// admission.Pool to the waiting requests. It is safe for concurrent use.
 type admitter struct {
 	log     *slog.Logger
 	service string
@@ -30,7 +29,7 @@
 	next    uint64
 }
 
-// newAdmitter returns the way to engines that are not known yet.
+// newAdmitter returns an admitter whose engines are not known yet.
 func newAdmitter(service string, log *slog.Logger) *admitter {
 	a := &admitter{
 		log: log, service: service,
@@ -41,7 +40,7 @@
 	return a
 }
 
-// locked runs a step of the pool and tells the requests what it has decided.
+// locked calls step with the pool and delivers the decisions that result.
 func (a *admitter) locked(step func(p *admission.Pool, now time.Time)) {
 	now := time.Now()
 	a.mu.Lock()
@@ -55,75 +54,75 @@
 	}
 }
 
-// resize takes the slots of the engines, by group.
+// resize sets the slots of the engines, by group.
 func (a *admitter) resize(slots map[string]int) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.SetGroups(slots, now) })
 }
 
-// tell takes the load of a group as its steward tells it.
-func (a *admitter) tell(l admission.Load) {
+// reportLoad records the load of a group as reported by its coordinator.
+func (a *admitter) reportLoad(l admission.Load) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.ReportLoad(l, now) })
 }
 
-// silent tells that nothing comes from a group.
-func (a *admitter) silent(group string, until time.Time) {
+// markStalled records that a group makes no progress.
+func (a *admitter) markStalled(group string, until time.Time) {
 	a.locked(func(p *admission.Pool, _ time.Time) { p.MarkStalled(group, until) })
 }
 
-// place is where a request runs. Its zero value is nowhere.
-type place struct {
+// slot is where a request runs. Its zero value is no slot.
+type slot struct {
 	id, group string
 }
 
-// enter waits for a place. A refusal says that the request has not run.
-func (a *admitter) enter(ctx context.Context, c *call) (place, *outcome.Error) {
-	id, ready, refusal := a.join(c)
+// acquire waits for a slot. A refusal means that the request has not run.
+func (a *admitter) acquire(ctx context.Context, c *call) (slot, *outcome.Error) {
+	id, ready, refusal := a.enqueue(c)
 	if refusal != nil {
-		a.later(c, refusal)
-		return place{}, refusal
+		a.setRetryAfter(c, refusal)
+		return slot{}, refusal
 	}
 	select {
 	case s := <-ready:
-		return a.settled(c, s)
+		return a.resolve(c, s)
 	case <-ctx.Done():
 		return a.withdraw(id, ready)
 	}
 }
 
-// settled returns the place that a request has got, or its refusal.
-func (a *admitter) settled(c *call, s admission.Decision) (place, *outcome.Error) {
+// resolve returns the slot that a request was given, or its refusal.
+func (a *admitter) resolve(c *call, s admission.Decision) (slot, *outcome.Error) {
 	if s.Refusal != nil {
-		a.later(c, s.Refusal)
-		return place{}, s.Refusal
+		a.setRetryAfter(c, s.Refusal)
+		return slot{}, s.Refusal
 	}
-	return place{id: s.ID, group: s.Group}, nil
+	return slot{id: s.ID, group: s.Group}, nil
 }
 
-// join puts a request into the queue and returns its key and where its turn will
-// be told, or refuses it at once.
-func (a *admitter) join(c *call) (id string, ready <-chan admission.Decision, refusal *outcome.Error) {
+// enqueue adds a request to the queue and returns its key and the channel of its
+// decision, or refuses it at once.
+func (a *admitter) enqueue(c *call) (id string, ready <-chan admission.Decision, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		a.next++
 		id = strconv.FormatUint(a.next, 36)
 		turn := make(chan admission.Decision, 1)
 		a.waiting[id], ready = turn, turn
-		if refusal = p.Enqueue(c.asked(id), now); refusal != nil {
+		if refusal = p.Enqueue(c.admissionRequest(id), now); refusal != nil {
 			delete(a.waiting, id)
 		}
 	})
 	return id, ready, refusal
 }
 
-// asked returns the call as a pool sees it.
-func (c *call) asked(id string) admission.Request {
+// admissionRequest returns the call as the request of an admission.Pool.
+func (c *call) admissionRequest(id string) admission.Request {
 	return admission.Request{
 		ID: id, Workspace: c.workspaceName(), Cost: int64(c.cost()), Objective: c.route.Objective,
-		Patience: c.silence(), Retry: c.returning,
+		Patience: c.firstEventPatience(), Retry: c.returning,
 	}
 }
 
-// silence is how long the caller waits for the first part of its answer.
-func (c *call) silence() time.Duration {
+// firstEventPatience returns how long the caller waits for the first part of its answer.
+func (c *call) firstEventPatience() time.Duration {
 	left := c.deadline.Sub(c.arrived)
 	if c.route.StreamIdleTimeout > 0 {
 		return min(c.route.StreamIdleTimeout, left)
@@ -131,8 +130,8 @@
 	return left
 }
 
-// withdraw takes back a request whose caller has left or whose time is over.
-func (a *admitter) withdraw(id string, ready <-chan admission.Decision) (place, *outcome.Error) {
+// withdraw removes a request whose caller has left or whose deadline has passed.
+func (a *admitter) withdraw(id string, ready <-chan admission.Decision) (slot, *outcome.Error) {
 	waits := false
 	a.locked(func(p *admission.Pool, _ time.Time) {
 		if waits = p.Withdraw(id); waits {
@@ -140,17 +139,17 @@
 		}
 	})
 	if waits {
-		return place{}, &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonExpired}
+		return slot{}, &outcome.Error{Outcome: outcome.NotRun, Reason: queue.ReasonExpired}
 	}
 	s := <-ready
 	if s.Refusal != nil {
-		return place{}, s.Refusal
+		return slot{}, s.Refusal
 	}
-	return place{id: s.ID, group: s.Group}, nil
+	return slot{id: s.ID, group: s.Group}, nil
 }
 
-// later sets in a refusal when the caller may come back, if the service is down.
-func (a *admitter) later(c *call, refusal *outcome.Error) {
+// setRetryAfter sets when the caller may retry after a refusal, if the service is down.
+func (a *admitter) setRetryAfter(c *call, refusal *outcome.Error) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if wait, down := p.RetryAfter(c.deadline.Sub(now), now); down {
 			refusal.RetryAfter = wait
@@ -158,8 +157,8 @@
 	})
 }
 
-// refused tells that a target has refused the request at a place.
-func (a *admitter) refused(at place, target string) {
+// refused records that a target has refused the request in a slot.
+func (a *admitter) refused(at slot, target string) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if p.Refused(at.id, target, now) {
 			a.log.Warn("all targets of the group refuse", "service", a.service, "group", at.group, "waiting", p.Load().Items)
@@ -167,8 +166,8 @@
 	})
 }
 
-// accepted tells that a target has taken the request at a place.
-func (a *admitter) accepted(at place) {
+// accepted records that a target has accepted the request in a slot.
+func (a *admitter) accepted(at slot) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		if p.Accepted(at.id, now) {
 			a.log.Info("targets of the group take requests again", "service", a.service, "group", at.group, "waiting", p.Load().Items)
@@ -176,9 +175,9 @@
 	})
 }
 
-// move returns the place for another attempt of a request: its group may stand or be
-// lost while others work.
-func (a *admitter) move(at place, requestID string) place {
+// move returns the slot for another attempt of a request: its group may have stalled or
+// been removed while others work.
+func (a *admitter) move(at slot, requestID string) slot {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		group, moved := p.Move(at.id, now)
 		if moved {
@@ -189,16 +188,16 @@
 	return at
 }
 
-// pass waits until a request that was refused may be sent again: a group takes requests,
-// and there is a retry for it. It reports false if the request had better be refused: the
-// service is down for long, or the time is over that a request waits for its place.
-// Without that bound a caller is held to its deadline. A caller that has a part of its
-// answer waits on, since nothing can be refused any more.
-func (a *admitter) pass(ctx context.Context, c *call) (waited, ok bool) {
-	until := c.arrived.Add(a.longestAgain(c))
+// awaitRetry waits until a refused request may be sent again: a group accepts requests, and
+// the retry budget allows it. It reports false if the request should be refused, because the
+// service has been down for long or the longest wait for a slot is over. Without that bound
+// a caller would be held until its deadline. A caller that has received a part of its answer
+// keeps waiting, since its request can no longer be refused.
+func (a *admitter) awaitRetry(ctx context.Context, c *call) (waited, ok bool) {
+	until := c.arrived.Add(a.maxRetryWait(c))
 	for ctx.Err() == nil {
-		c.place = a.move(c.place, c.req.ID)
-		may, lasting := a.mayPass(c.place, c.retriesLeft(c.service) >= 1)
+		c.slot = a.move(c.slot, c.req.ID)
+		may, lasting := a.mayRetry(c.slot, c.retriesLeft(c.service) >= 1)
 		switch {
 		case may:
 			return waited, true
@@ -206,20 +205,20 @@
 			return waited, false
 		}
 		waited = true
-		pause.For(ctx, passPoll)
+		pause.For(ctx, retryPoll)
 	}
 	return waited, true
 }
 
-// longestAgain returns how long after its arrival a request may be sent once more.
-func (a *admitter) longestAgain(c *call) (longest time.Duration) {
-	a.locked(func(p *admission.Pool, now time.Time) { longest = p.MaxRetryWait(c.asked(c.place.id), now) })
+// maxRetryWait returns how long after its arrival a request may be sent once more.
+func (a *admitter) maxRetryWait(c *call) (longest time.Duration) {
+	a.locked(func(p *admission.Pool, now time.Time) { longest = p.MaxRetryWait(c.admissionRequest(c.slot.id), now) })
 	return longest
 }
 
-// mayPass reports whether the request at a place may be tried again now, if there is a
-// retry for it, and whether the service has been down for long.
-func (a *admitter) mayPass(at place, retry bool) (may, lasting bool) {
+// mayRetry reports whether the request in a slot may be sent again now, given whether the
+// budget has a retry for it, and whether the service has been down for long.
+func (a *admitter) mayRetry(at slot, retry bool) (may, lasting bool) {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		may = retry && p.MayRetry(at.id, now)
 		lasting = p.FailFast(now)
@@ -227,17 +226,17 @@
 	return may, lasting
 }
 
-// began tells how long after its start the request at a place got its first event.
-func (a *admitter) began(at place, after time.Duration) {
+// observeFirstEvent records how long after its start the request in a slot got its first event.
+func (a *admitter) observeFirstEvent(at slot, after time.Duration) {
 	a.locked(func(p *admission.Pool, _ time.Time) { p.ObserveFirstEvent(at.id, after) })
 }
 
-// leave gives the place of a request back.
-func (a *admitter) leave(at place, cost float64) {
+// release returns the slot of a request.
+func (a *admitter) release(at slot, cost float64) {
 	a.locked(func(p *admission.Pool, now time.Time) { p.Done(at.id, int64(cost), now) })
 }
 
-// tick lets time pass: requests that can no longer start in time are refused.
+// tick refuses the requests that can no longer start in time, and updates the metrics.
 func (a *admitter) tick() {
 	a.locked(func(p *admission.Pool, now time.Time) {
 		p.Tick(now)
@@ -245,7 +244,7 @@
 	})
 }
 
-// show sets the metrics of the queue and, while somebody waits, writes a line.
+// show sets the metrics of the queue and, while requests wait, logs its state.
 func (a *admitter) show(p *admission.Pool, now time.Time) {
 	l := p.Load()
 	set(metricWaiting, a.service, l.Items)
@@ -256,7 +255,7 @@
 		key := a.service + "/" + g.Group
 		set(metricRunning, key, g.Running)
 		set(metricLimit, key, g.Limit)
-		set(metricWorks, key, one(g.Available))
+		set(metricAvailable, key, boolToInt(g.Available))
 	}
 	if l.Items > 0 {
 		a.log.Info("queue", "service", a.service, "waiting", l.Items, "running", l.Running, "limit", l.Slots,
@@ -270,8 +269,8 @@
 	m.Set(key, v)
 }
 
-// one is 1 for true.
-func one(b bool) int {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -24,12 +24,12 @@
 	return a
 }
 
-// refusedAdmitter is one of a service whose targets have all just refused, and the place
+// refusedAdmitter returns the admitter of a service whose targets have all just refused, and the slot
 // of the request that they have refused.
-func refusedAdmitter(t *testing.T) (*admitter, place) {
+func refusedAdmitter(t *testing.T) (*admitter, slot) {
 	t.Helper()
 	a := testAdmitter(192)
-	probe, refusal := a.enter(t.Context(), caller(false))
+	probe, refusal := a.acquire(t.Context(), caller(false))
 	if refusal != nil {
 		t.Fatal(refusal)
 	}
@@ -39,14 +39,14 @@
 	return a, probe
 }
 
-// limit is how many requests may be at the engines of an admitter with one group.
+// limit returns how many requests an admitter with one group may send to the engines.
 func limit(a *admitter) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.pool.Groups(time.Now())[0].Limit
 }
 
-// caller is a call that has just arrived.
+// caller returns a call that has just arrived.
 func caller(returning bool) *call {
 	now := time.Now()
 	return &call{
@@ -58,13 +58,13 @@
 	}
 }
 
-// enter starts callers at once and returns where their refusals will come.
+// enter starts callers at once and returns the channels of their refusals.
 func enter(ctx context.Context, a *admitter, callers ...*call) []chan *outcome.Error {
 	out := make([]chan *outcome.Error, len(callers))
 	for i, c := range callers {
 		out[i] = make(chan *outcome.Error, 1)
 		go func() {
-			_, refusal := a.enter(ctx, c)
+			_, refusal := a.acquire(ctx, c)
 			out[i] <- refusal
 		}()
 		synctest.Wait()
@@ -72,8 +72,7 @@
 	return out
 }
 
-// Guards against sending callers away for a restart of all targets that is over in half a
-// second.
+// Guards against refusing callers during a restart of all targets that takes half a second.
 func TestCallersWaitForARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -88,13 +87,13 @@
 	})
 }
 
-// Guards against holding callers of a service that is down until their time is over.
+// Guards against holding callers of a service that is down until their deadline.
 func TestCallersOfAServiceThatIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, probe := refusedAdmitter(t)
-		// There is no place for a probe.
-		a.tell(admission.Load{Complete: true, Running: 10000})
+		// There is no free slot for a probe.
+		a.reportLoad(admission.Load{Complete: true, Running: 10000})
 		c := caller(false)
 		waiting := enter(t.Context(), a, c)
 		began := time.Now()
@@ -106,47 +105,47 @@
 			// refused.
 			time.Sleep(10 * time.Millisecond)
 			a.refused(probe, "x")
-			a.tell(admission.Load{Complete: true, Running: 10000})
+			a.reportLoad(admission.Load{Complete: true, Running: 10000})
 			synctest.Wait()
 		}
 		is.Equal(len(waiting[0]), 1)
 		refusal := <-waiting[0]
 		is.Equal(refusal.Outcome, outcome.NotRun)
 		took := time.Since(began)
-		longest := queue.Wait{Patience: c.silence(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
-		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.silence())
+		longest := queue.Wait{Patience: c.firstEventPatience(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
+		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.firstEventPatience())
 		is.True(refusal.RetryAfter > 1500*time.Millisecond && refusal.RetryAfter < 8*time.Second/3)
 	})
 }
 
-// Guards against a wait that helps nobody, and a service that nobody finds to be back.
+// Guards against pointless waits, and against never detecting that a service has recovered.
 func TestServiceThatStaysDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, _ := refusedAdmitter(t)
 		time.Sleep(8 * time.Second)
-		at, refusal := a.enter(t.Context(), caller(false)) // the probe
+		at, refusal := a.acquire(t.Context(), caller(false)) // the probe
 		is.Equal(refusal, nil)
 		a.refused(at, "x")
-		a.leave(at, 0)
+		a.release(at, 0)
 		for _, returning := range []bool{false, true} {
 			began := time.Now()
-			_, refusal = a.enter(t.Context(), caller(returning))
+			_, refusal = a.acquire(t.Context(), caller(returning))
 			is.Equal(time.Since(began), time.Duration(0))
 			is.True(refusal != nil)
 			is.Equal(refusal.Outcome, outcome.NotRun)
 			is.True(refusal.RetryAfter > 1500*time.Millisecond)
 		}
 		time.Sleep(200 * time.Millisecond)
-		at, refusal = a.enter(t.Context(), caller(false)) // the next probe
+		at, refusal = a.acquire(t.Context(), caller(false)) // the next probe
 		is.Equal(refusal, nil)
 		a.accepted(at)
-		_, refusal = a.enter(t.Context(), caller(false))
+		_, refusal = a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
 	})
 }
 
-// Guards against holding a refused request until its time is over while other requests find out
+// Guards against holding a refused request until its deadline while other requests find out
 // that the service is down.
 func TestRefusedProbeIsNotHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -160,27 +159,27 @@
 				case <-others:
 					return
 				case <-time.After(time.Millisecond):
-					a.mayPass(probe, true)
+					a.mayRetry(probe, true)
 				}
 			}
 		}()
 		c := caller(false)
-		c.place = probe
+		c.slot = probe
 		time.Sleep(time.Millisecond)
-		_, ok := a.pass(t.Context(), c)
+		_, ok := a.awaitRetry(t.Context(), c)
 		is.True(!ok)
-		is.True(time.Since(c.arrived) < c.silence())
+		is.True(time.Since(c.arrived) < c.firstEventPatience())
 		begun := caller(false)
-		begun.begun, begun.place = true, probe
+		begun.begun, begun.slot = true, probe
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, ok = a.pass(ctx, begun)
+		_, ok = a.awaitRetry(ctx, begun)
 		is.True(ok)
 		is.True(ctx.Err() != nil)
 	})
 }
 
-// Guards against ending a request for want of a retry while its caller would still wait.
+// Guards against failing a request because the retry budget is empty while its caller would still wait.
 func TestRefusedRequestWaitsForARetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -189,12 +188,12 @@
 		c.service = "pool"
 		c.budgets = retry.NewBudgets(retry.Limits{Ratio: 0.1, KeyBurst: 1, Window: 10 * time.Second})
 		is.True(c.budgets.For(budgetOf(c.service)).Take(time.Now()))
-		at, refusal := a.enter(t.Context(), c)
+		at, refusal := a.acquire(t.Context(), c)
 		is.Equal(refusal, nil)
-		c.place = at
+		c.slot = at
 		passed := make(chan bool)
 		go func() {
-			waited, ok := a.pass(t.Context(), c)
+			waited, ok := a.awaitRetry(t.Context(), c)
 			passed <- waited && ok
 		}()
 		time.Sleep(500 * time.Millisecond)
@@ -209,15 +208,15 @@
 	})
 }
 
-// Guards against a second refusal, which is mostly the last, while new callers are served.
+// Guards against a second refusal, which is usually the last attempt, while new callers are served.
 func TestReturningCallersGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, refusal := a.enter(t.Context(), caller(false))
+		at, refusal := a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
 		waiting := enter(t.Context(), a, caller(false), caller(true))
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(len(waiting[1]), 1)
 		is.Equal(len(waiting[0]), 0)
@@ -225,39 +224,39 @@
 		time.Sleep(2 * time.Second)
 		a.tick()
 		synctest.Wait()
-		is.True(<-waiting[0] != nil) // late by then, and told so
+		is.True(<-waiting[0] != nil) // late by then, and refused as such
 	})
 }
 
-// Guards against places that are kept for callers who have left.
+// Guards against slots that stay reserved for callers who have disconnected.
 func TestCallerLeavesTheQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, _ := a.enter(t.Context(), caller(false))
+		at, _ := a.acquire(t.Context(), caller(false))
 		ctx, cancel := context.WithCancel(t.Context())
 		gone := enter(ctx, a, caller(false))
 		next := enter(t.Context(), a, caller(false))
 		cancel()
 		synctest.Wait()
 		is.True(<-gone[0] != nil)
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(<-next[0], nil)
 	})
 }
 
-// Guards against requests that wait at full engines, and a limit that outlasts the word it
-// follows from.
+// Guards against requests that queue at full engines, and a limit that outlasts the digest it
+// is based on.
 func TestLimitByDigest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(192)
 		for range 60 {
-			_, refusal := a.enter(t.Context(), caller(false))
+			_, refusal := a.acquire(t.Context(), caller(false))
 			is.Equal(refusal, nil)
 		}
-		a.tell(admission.Load{Complete: true, Running: 192, Queued: 48})
+		a.reportLoad(admission.Load{Complete: true, Running: 192, Queued: 48})
 		is.Equal(limit(a), 48)
 		time.Sleep(3 * time.Second)
 		a.tick()
@@ -265,19 +264,19 @@
 	})
 }
 
-// Guards against sending callers away for a change of the expert map.
+// Guards against refusing callers during a change of the expert map.
 func TestCallersWaitForAMoment(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, _ := a.enter(t.Context(), caller(false))
+		at, _ := a.acquire(t.Context(), caller(false))
 		waiting := enter(t.Context(), a, caller(false))
 		time.Sleep(700 * time.Millisecond)
 		waiting = append(waiting, enter(t.Context(), a, caller(false))...)
 		time.Sleep(600 * time.Millisecond)
 		a.tick()
 		a.resize(map[string]int{"": 3})
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		for _, w := range waiting {
 			is.Equal(<-w, nil)
@@ -285,12 +284,12 @@
 	})
 }
 
-// Guards against a line in which all are late, since nobody is told that it can only be late.
+// Guards against a queue in which all requests are late because none that can only be late is refused.
 func TestWhoCannotBeOnTimeIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
-		at, _ := a.enter(t.Context(), caller(false))
+		at, _ := a.acquire(t.Context(), caller(false))
 		first := enter(t.Context(), a, caller(true))
 		time.Sleep(1100 * time.Millisecond)
 		waiting := enter(t.Context(), a, caller(false))
@@ -307,10 +306,10 @@
 		is.True(refusal != nil)
 		is.Equal(refusal.Outcome, outcome.NotRun)
 		a.resize(map[string]int{"": 2})
-		a.leave(at, 900)
+		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(<-first[0], nil)
-		_, refusal = a.enter(t.Context(), caller(false))
+		_, refusal = a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
 	})
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -18,14 +18,14 @@
 	"verbenashift/platform"
 )
 
-// attempt sends the request once. Done says that the caller has its answer, or
-// has left.
+// attempt sends the request once. Done reports that the caller has its answer, or
+// has disconnected.
 func (c *call) attempt(ctx context.Context) (kind retry.Kind, reason string, done bool) {
 	if ctx.Err() != nil {
 		return retry.RefusedAll, "deadline", c.callerLeft()
 	}
-	s, ok := c.pickInTime(ctx)
-	if !ok && c.comeback > 0 {
+	s, ok := c.pickOrWait(ctx)
+	if !ok && c.retryAfter > 0 {
 		return retry.RefusedAll, permit.ReasonThrottled, false
 	}
 	if !ok {
@@ -37,41 +37,41 @@
 	c.ran++
 	metricAttempts.Add(1)
 	ctx, span := c.startTarget(ctx, s)
-	// It ends with the hop also when the caller's connection is broken off.
+	// The deferred call ends the span also if the caller's connection is aborted.
 	defer func() { endTarget(span, reason) }()
 	return c.send(ctx, s)
 }
 
-// reasonNoTarget is why a request is refused that no target may take.
+// reasonNoTarget is the reason of a refusal when no target may take the request.
 const reasonNoTarget = "no target"
 
-// heldPoll is how often a request that waits for a target looks for one.
-const heldPoll = 20 * time.Millisecond
+// throttledPoll is how often a request that waits for a throttled target tries to pick one.
+const throttledPoll = 20 * time.Millisecond
 
-// pickInTime chooses a target. If those that could take the request have asked that nothing
-// be sent to them yet, it waits for its turn, as far as that is near.
-func (c *call) pickInTime(ctx context.Context) (sent, bool) {
+// pickOrWait picks a target. If all candidates are throttled, it waits for one, provided
+// that the expected wait is short.
+func (c *call) pickOrWait(ctx context.Context) (activeAttempt, bool) {
 	s, ok := c.pick()
-	if ok || !c.turnIsNear(0) {
+	if ok || !c.shouldWait(0) {
 		return s, ok
 	}
 	metricThrottledWaits.Add(1)
-	c.fleet.wait(c.service, 1)
-	defer c.fleet.wait(c.service, -1)
-	for pause.For(ctx, heldPoll) {
-		if s, ok = c.pick(); ok || !c.turnIsNear(1) {
+	c.fleet.countWaiting(c.service, 1)
+	defer c.fleet.countWaiting(c.service, -1)
+	for pause.For(ctx, throttledPoll) {
+		if s, ok = c.pick(); ok || !c.shouldWait(1) {
 			break
 		}
 	}
 	return s, ok
 }
 
-// turnIsNear reports whether a request that no target takes yet should wait for one. Otherwise
-// its caller is told when its turn would be. Own is 1 if the request is one of those that
-// wait already.
-func (c *call) turnIsNear(own int) bool {
+// shouldWait reports whether a request whose candidates are all throttled should wait for one.
+// Otherwise it sets the time after which the caller may retry. Own is 1 if the request is
+// already counted as waiting.
+func (c *call) shouldWait(own int) bool {
 	now := time.Now()
-	o, held := c.fleet.opening(c.query(), now)
+	o, held := c.fleet.availability(c.query(), now)
 	if !held {
 		return false
 	}
@@ -80,18 +80,18 @@
 	if !turn.After(permit.WaitDeadline(c.arrived, c.deadline)) {
 		return true
 	}
-	c.comeback = turn.Sub(now)
+	c.retryAfter = turn.Sub(now)
 	return false
 }
 
-// query asks for a target in the group where the request has its place.
+// query returns a query for a target in the group of the request's slot.
 func (c *call) query() *route.Query {
-	return &route.Query{Service: c.service, Group: c.place.group, Cost: c.cost(), MayNotRepeat: c.attempts.MayNotRepeat, Exclude: c.exclude}
+	return &route.Query{Service: c.service, Group: c.slot.group, Cost: c.cost(), MayNotRepeat: c.attempts.MayNotRepeat, Exclude: c.exclude}
 }
 
-// pick chooses a target in the group where the request has its place, or elsewhere if
-// none there may take it.
-func (c *call) pick() (sent, bool) {
+// pick chooses a target in the group of the request's slot, or in any group if none there
+// may take it.
+func (c *call) pick() (activeAttempt, bool) {
 	q := c.query()
 	s, ok := c.fleet.pick(q, time.Now())
 	if !ok && q.Group != "" {
@@ -101,16 +101,16 @@
 	return s, ok
 }
 
-// send sends the request to a target and takes its answer.
-func (c *call) send(ctx context.Context, s sent) (kind retry.Kind, reason string, done bool) {
+// send sends the request to a target and handles its answer.
+func (c *call) send(ctx context.Context, s activeAttempt) (kind retry.Kind, reason string, done bool) {
 	watched := ctx
 	if c.route.Kind == deployment.Stream && c.route.Repeatable() {
-		watched, c.flight = c.fleet.depart(ctx, s, c.req.ID, c.service, c.ran < c.route.MaxAttempts)
-		defer c.fleet.land(c.flight)
+		watched, c.stream = c.fleet.trackStream(ctx, s, c.req.ID, c.service, c.ran < c.route.MaxAttempts)
+		defer c.fleet.untrackStream(c.stream)
 	}
 	if c.route.Kind != deployment.Stream {
-		watched, c.pending = c.fleet.expect(ctx, s, c)
-		defer c.fleet.settle(c.pending)
+		watched, c.pending = c.fleet.trackPending(ctx, s, c)
+		defer c.fleet.untrackPending(c.pending)
 	}
 	reply, err := s.target.pool.Do(watched, c.upstream(s))
 	if err != nil {
@@ -120,11 +120,11 @@
 	return c.answered(watched, s, reply)
 }
 
-func (c *call) upstream(s sent) *upstream.Request {
+func (c *call) upstream(s activeAttempt) *upstream.Request {
 	var head bytes.Buffer
 	f := platform.ForwardHeaders{
 		TargetID: s.target.ID, Remaining: time.Until(c.deadline),
-		Urgency: urgency(c.route, c.space), LastEvent: c.lastEvent,
+		Urgency: urgency(c.route, c.callerWorkspace), LastEvent: c.lastEvent,
 	}
 	f.Workspace = c.workspaceName()
 	platform.WriteHeaders(&head, c.r.Header, f)
@@ -136,15 +136,14 @@
 }
 
 // attemptFailed classifies an attempt without an answer. The context is that of
-// the attempt: an attempt that was ended because it was no longer wanted here says
-// nothing of its target.
-func (c *call) attemptFailed(ctx context.Context, s sent, err error) (retry.Kind, string, bool) {
+// the attempt: one that the gateway canceled itself says nothing about its target.
+func (c *call) attemptFailed(ctx context.Context, s activeAttempt, err error) (retry.Kind, string, bool) {
 	cause := context.Cause(ctx)
 	switch cause {
 	case nil, errStalled:
 		c.fleet.failed(s, severityOf(err), time.Now())
 		if c.pending != nil {
-			c.fleet.broke(c.pending, err, time.Now())
+			c.fleet.pendingBroke(c.pending, err, time.Now())
 		}
 	case errSlow, errSilentGroup, errUnanswered:
 		err = cause
@@ -159,7 +158,7 @@
 	}
 	if cause == nil || cause == errStalled {
 		c.suspect = true
-		c.fleet.crashes.Broke(s.seen, c.fingerprint())
+		c.fleet.crashes.AnswerBroken(s.seen, c.fingerprint())
 	}
 	return retry.Broken, err.Error(), false
 }
@@ -170,8 +169,8 @@
 	c.budgets.Request(c.key(), time.Now())
 	c.mu.Unlock()
 	for {
-		if refusal := c.heldBack(ctx); refusal != nil {
-			c.giveUp(refusal, quarantine.ReasonQuarantined)
+		if refusal := c.checkQuarantine(ctx); refusal != nil {
+			c.fail(refusal, quarantine.ReasonQuarantined)
 			return
 		}
 		kind, reason, done := c.attempt(ctx)
@@ -181,16 +180,16 @@
 		if c.callerLeft() {
 			return
 		}
-		if kind == retry.Refused && !c.again(ctx) {
+		if kind == retry.Refused && !c.waitToRetry(ctx) {
 			refusal := c.decide(retry.RefusedAll).Err
-			c.admitter.later(c, refusal)
-			c.giveUp(refusal, queue.ReasonAllTargetsRefuse)
+			c.admitter.setRetryAfter(c, refusal)
+			c.fail(refusal, queue.ReasonAllTargetsRefuse)
 			return
 		}
 		d := c.decide(kind)
 		if !d.Retry {
 			metricNoRetry.Add(d.Err.Reason, 1)
-			c.giveUp(d.Err, reason)
+			c.fail(d.Err, reason)
 			return
 		}
 		metricRetries.Add(1)
@@ -200,21 +199,21 @@
 		c.logRetry(reason)
 		pause.For(ctx, time.Until(d.At))
 		if c.admitter != nil {
-			c.place = c.admitter.move(c.place, c.req.ID)
+			c.slot = c.admitter.move(c.slot, c.req.ID)
 		}
 	}
 }
 
-// again waits until a request that a target has refused may be sent once more. It
-// reports false if it had better be refused.
-func (c *call) again(ctx context.Context) bool {
+// waitToRetry waits until a request that a target has refused may be sent once more. It
+// reports false if the request should be refused instead.
+func (c *call) waitToRetry(ctx context.Context) bool {
 	if c.admitter == nil {
 		return true
 	}
-	waited, ok := c.admitter.pass(ctx, c)
+	waited, ok := c.admitter.awaitRetry(ctx, c)
 	if waited && ok {
-		// All targets of its group have refused: that says nothing of the ones that it
-		// was sent to.
+		// All targets of the group have refused requests: that says nothing about those
+		// that this request was sent to.
 		c.exclude = route.Exclude{}
 		c.attempts.Errors = 0
 	}
--- a/gateway/digests_test.go
+++ b/gateway/digests_test.go
@@ -21,20 +21,20 @@
 		digest := func(group string, epoch, term int64) *rankpeer.Digest {
 			return &rankpeer.Digest{Group: engine.GroupID{Name: group, Epoch: epoch}, Term: term}
 		}
-		is.True(d.newest("g", digest("g", 2, 30)))
-		is.True(!d.newest("g", digest("h", 9, 90)))
-		is.True(!d.newest("g", digest("g", 2, 29)))
-		is.True(!d.newest("g", digest("g", 1, 90)))
-		is.True(d.newest("g", digest("g", 2, 31)))
-		is.True(d.newest("g", digest("g", 3, 20)))
-		is.True(d.newest("h", digest("h", 1, 1)))
-		time.Sleep(lifeValid)
-		// The group has been built anew, and counts its epochs from the start.
-		is.True(d.newest("g", digest("g", 0, 40)))
+		is.True(d.isCurrent("g", digest("g", 2, 30)))
+		is.True(!d.isCurrent("g", digest("h", 9, 90)))
+		is.True(!d.isCurrent("g", digest("g", 2, 29)))
+		is.True(!d.isCurrent("g", digest("g", 1, 90)))
+		is.True(d.isCurrent("g", digest("g", 2, 31)))
+		is.True(d.isCurrent("g", digest("g", 3, 20)))
+		is.True(d.isCurrent("h", digest("h", 1, 1)))
+		time.Sleep(digestVersionValid)
+		// The group was recreated, and its epochs start again.
+		is.True(d.isCurrent("g", digest("g", 0, 40)))
 	})
 }
 
-// Guards against filling the link of a new steward with all gateways' questions.
+// Guards against saturating the link of a new coordinator with the requests of all gateways.
 func TestGatewaysStayWithRelays(t *testing.T) {
 	is := is.New(t)
 	var from source
@@ -46,13 +46,13 @@
 	relay := from.addr
 	is.True(slices.Contains(from.relays, relay))
 	from.next(true, "steward-2")
-	is.Equal(from.addr, relay) // it answers, whoever the steward is
+	is.Equal(from.addr, relay) // it answers, whoever the coordinator is
 	for range relayTries - 1 {
 		from.next(false, "steward-2")
 		is.True(slices.Contains(from.relays, from.addr))
 	}
 	from.next(true, "steward-2")
-	is.True(slices.Contains(from.relays, from.addr)) // the next steward's view has come
+	is.True(slices.Contains(from.relays, from.addr)) // the next coordinator's digest has arrived
 	for range relayTries {
 		from.next(false, "steward-2")
 	}
--- a/gateway/fleet.go
+++ b/gateway/fleet.go
@@ -20,32 +20,32 @@
 	"verbenashift/platform"
 )
 
-// fleet is the targets as the gateway knows them: where they are, how they are
-// loaded, and how they have behaved. It is safe for concurrent use.
+// fleet is the gateway's state of the targets: their addresses, load and health. It is safe
+// for concurrent use.
 type fleet struct {
 	log *slog.Logger
-	// spare returns how many requests to a service may be sent once more now. It is
-	// called with the lock held.
+	// spare returns how many requests to a service may be sent again now. It is called with
+	// the lock held.
 	spare func(service string) int
 
-	mu      sync.Mutex
-	table   *route.Table
-	monitor *health.Monitor
-	pools   map[string]*pooled
-	// gone are targets whose address answered for another server, until their
-	// entry is removed or says that they have started again.
-	gone map[string]bool
-	// told are the groups of targets as stewards tell them, for targets whose entry
-	// does not say.
-	told    map[string]string
-	rng     *rand.Rand
-	flights flights
-	// pendings are the plain requests in progress, doubts the targets that fail while their
-	// peers do not; tellDoubt tells the other gateways.
-	pendings  pendings
-	doubts    health.Suspicions
-	tellDoubt func(doubt)
-	// crashes tells targets that have crashed from answers that broke off.
+	mu           sync.Mutex
+	table        *route.Table
+	monitor      *health.Monitor
+	targetStates map[string]*targetState
+	// misdirected holds the targets at whose address another server has answered, until
+	// their entry is removed or shows a restart.
+	misdirected map[string]bool
+	// reportedGroups holds the groups of targets as reported by coordinators, for targets
+	// whose entry names none.
+	reportedGroups map[string]string
+	rng            *rand.Rand
+	streams        activeStreams
+	// pendingRequests tracks the plain requests in progress, suspicions the targets that fail while
+	// their peers do not; shareSuspicion reports one to the other gateways.
+	pendingRequests pendingRequests
+	suspicions      health.Suspicions
+	shareSuspicion  func(suspicion)
+	// crashes distinguishes crashed targets from answers that merely broke off.
 	crashes      *crash.Detector
 	backpressure backpressure
 	// cost is the moving mean of the requests' costs in tokens.
@@ -55,93 +55,94 @@
 // costGain is the weight of one request in the mean cost.
 const costGain = 0.02
 
-// pooled is one target with its connections.
-type pooled struct {
+// targetState is one target with its connections and health.
+type targetState struct {
 	deployment.Target
 	pool *upstream.Pool
-	// slow says that it lengthens the passes of its group; silentUntil is until
-	// when it is taken for silent.
+	// slow is set if it lengthens the forward passes of its group; silentUntil is until
+	// when it is considered silent.
 	slow        bool
 	silentUntil time.Time
-	// doubtedUntil is until when it is avoided since it fails while its peers do not, and
-	// strikes are its failures of late.
-	doubtedUntil time.Time
-	strikes      health.Strikes
-	refusals     health.Refusals
-	// leaving says that it has said in an answer that it leaves.
-	leaving bool
+	// suspectedUntil is until when it is avoided because it fails while its peers do not;
+	// strikes counts its recent failures.
+	suspectedUntil time.Time
+	strikes        health.Strikes
+	refusals       health.Refusals
+	// announcedShutdown is set once it has announced in an answer that it is shutting down.
+	announcedShutdown bool
 }
 
-// shuttingDown reports whether the target takes no new requests, by the store or its own word.
-func (p *pooled) shuttingDown() bool { return p.Draining || p.leaving }
+// shuttingDown reports whether the target takes no new requests, by its entry in the store or
+// its own announcement.
+func (p *targetState) shuttingDown() bool { return p.Draining || p.announcedShutdown }
 
-// choices is how many targets are compared for a request. With a handful of
-// gateways before a few dozen targets, comparing several finds an idle one, and
-// random ones keep the gateways from all taking the same.
+// choices is how many random targets are compared for a request. With a handful of
+// gateways and a few dozen targets, comparing several finds an idle one, and random
+// candidates keep the gateways from all picking the same target.
 const choices = 6
 
 func newFleet(instance, zone string, log *slog.Logger) *fleet {
 	return &fleet{
-		log:          log,
-		spare:        func(string) int { return math.MaxInt },
-		table:        route.New(route.Options{Entry: instance, Zone: zone, Choices: choices}),
-		monitor:      health.New(health.Options{}),
-		pools:        map[string]*pooled{},
-		gone:         map[string]bool{},
-		told:         map[string]string{},
-		rng:          newRand(),
-		backpressure: newBackpressure(instance, log),
-		flights:      newFlights(), pendings: newPendings(), tellDoubt: func(doubt) {}, doubts: health.Suspicions{ReturnOrder: rand.Float64()},
+		log:            log,
+		spare:          func(string) int { return math.MaxInt },
+		table:          route.New(route.Options{Entry: instance, Zone: zone, Choices: choices}),
+		monitor:        health.New(health.Options{}),
+		targetStates:   map[string]*targetState{},
+		misdirected:    map[string]bool{},
+		reportedGroups: map[string]string{},
+		rng:            newRand(),
+		backpressure:   newBackpressure(instance, log),
+		streams:        newActiveStreams(), pendingRequests: newPendingRequests(), shareSuspicion: func(suspicion) {}, suspicions: health.Suspicions{ReturnOrder: rand.Float64()},
 	}
 }
 
-// serves reports whether a target is registered in the life that was given, and not about to
-// leave.
+// serves reports whether a target is registered with the given incarnation and not shutting
+// down.
 func (f *fleet) serves(t deployment.Target) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.pools[t.ID]
+	p := f.targetStates[t.ID]
 	return p != nil && p.StartedAt == t.StartedAt && !p.shuttingDown()
 }
 
-// update takes a new view of the targets.
+// update applies a new view of the targets.
 func (f *fleet) update(v *mirror.Snapshot) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drop(v.Targets)
 	targets := make([]route.Target, 0, len(v.Targets))
 	for id, t := range v.Targets {
-		if f.pools[id] == nil {
-			f.pools[id] = &pooled{Target: t, pool: upstream.NewPool(t.Addr.String(), tcp.Dial, answersTo)}
+		if f.targetStates[id] == nil {
+			f.targetStates[id] = &targetState{Target: t, pool: upstream.NewPool(t.Addr.String(), tcp.Dial, answersTo)}
 		}
-		f.pools[id].Target = t
+		f.targetStates[id].Target = t
 		targets = append(targets, f.routed(&t))
 	}
 	f.table.Update(targets)
 	f.monitor.Update(f.watched())
 }
 
-// drop forgets the targets that are gone or have started again: connections, failures
-// and silences of an earlier life say nothing of this one.
+// drop removes the state of targets that were removed or have restarted: connections,
+// failures and silences of an earlier incarnation do not apply to the new one.
 func (f *fleet) drop(now map[string]deployment.Target) {
-	for id := range f.gone {
+	for id := range f.misdirected {
 		if _, ok := now[id]; !ok {
-			delete(f.gone, id)
+			delete(f.misdirected, id)
 		}
 	}
-	for id, p := range f.pools {
+	for id, p := range f.targetStates {
 		t, ok := now[id]
 		if ok && t.Addr == p.Addr && t.StartedAt == p.StartedAt {
 			continue
 		}
 		p.pool.Close()
-		f.ended(p, ok || listensAt(now, p.Addr))
-		delete(f.pools, id)
-		delete(f.gone, id)
-		delete(f.told, id)
-		delete(f.flights.targets, id)
-		delete(f.pendings.targets, id)
-		f.doubts.Drop(id)
+		f.reportTermination(p, ok || listensAt(now, p.Addr))
+		delete(f.targetStates, id)
+		delete(f.misdirected, id)
+		delete(f.reportedGroups, id)
+		delete(f.streams.targets, id)
+		delete(f.pendingRequests.targets, id)
+		f.suspicions.Drop(id)
 		f.backpressure.drop(id, t.StartedAt, ok)
 		if i, known := f.table.Lookup(id); ok && known {
 			f.table.Restarted(i)
@@ -150,11 +151,11 @@
 			f.log.Info("target has started again", "target", id, "addr", t.Addr.String(), "born", t.StartedAt, "born-before", p.StartedAt)
 		}
 	}
-	// What the monitor knows of those that stay under their name goes as well.
+	// This also resets the monitor's state of targets that keep their name.
 	f.monitor.Update(f.watched())
 }
 
-// listensAt reports whether one of the targets has an address.
+// listensAt reports whether one of the targets has the given address.
 func listensAt(targets map[string]deployment.Target, addr netip.AddrPort) bool {
 	for _, t := range targets {
 		if t.Addr == addr {
@@ -164,35 +165,35 @@
 	return false
 }
 
-// ended tells of a target whose life is over, by the store. One that had said that it leaves has
-// not crashed.
-func (f *fleet) ended(p *pooled, replaced bool) {
+// reportTermination reports to the crash detector that an incarnation of a target has ended,
+// according to the store. A target that had announced its shutdown has not crashed.
+func (f *fleet) reportTermination(p *targetState, replaced bool) {
 	switch {
 	case p.shuttingDown():
 	case replaced:
 		f.crashes.Restarted(p.Target)
 	default:
-		f.crashes.Gone(p.Target)
+		f.crashes.Removed(p.Target)
 	}
 }
 
-// watched returns the targets whose health is watched: those with connections.
+// watched returns the targets whose health is monitored: those with connections.
 func (f *fleet) watched() []health.Member {
 	members := make([]health.Member, f.table.Len())
 	for i := range members {
 		t := f.table.Target(i)
-		if f.table.Configured(i) && f.pools[t.Name] != nil {
+		if f.table.Configured(i) && f.targetStates[t.Name] != nil {
 			members[i] = health.Member{Name: t.Name, Pool: t.Service}
 		}
 	}
 	return members
 }
 
-// routed returns a target as the table knows it.
+// routed returns a target as an entry of the routing table.
 func (f *fleet) routed(t *deployment.Target) route.Target {
 	return route.Target{
 		Name: t.ID, Zone: t.Zone, Service: t.Service, Group: f.groupOf(t),
-		Drained: f.pools[t.ID].shuttingDown() || f.gone[t.ID],
+		Drained: f.targetStates[t.ID].shuttingDown() || f.misdirected[t.ID],
 	}
 }
 
@@ -201,7 +202,7 @@
 	if t.Group.Name != "" {
 		return t.Group.Name
 	}
-	return f.told[t.ID]
+	return f.reportedGroups[t.ID]
 }
 
 // slots returns the slots of the targets by service and group.
@@ -209,7 +210,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	slots := map[string]map[string]int{}
-	for _, p := range f.pools {
+	for _, p := range f.targetStates {
 		if slots[p.Service] == nil {
 			slots[p.Service] = map[string]int{}
 		}
@@ -218,63 +219,63 @@
 	return slots
 }
 
-// answersTo tells the answer to a request by the identifier that it echoes. A
-// refusal may come without one.
+// answersTo reports whether an answer belongs to the request with an identifier, by the
+// identifier that it echoes. A refusal may lack one.
 func answersTo(status int, h http.Header, id string) bool {
 	a := platform.ParseAnswer(status, h)
 	return a.ID == id || a.ID == "" && status >= http.StatusBadRequest
 }
 
-// sent is an attempt in progress at a target.
-type sent struct {
+// activeAttempt is an attempt in progress at a target.
+type activeAttempt struct {
 	index   int
 	cost    float64
 	started time.Time
-	target  *pooled
-	// seen is what was known of the target when it was picked.
+	target  *targetState
+	// seen is the target's entry when it was picked.
 	seen deployment.Target
-	// loadAge is how old the load of the target was when it was picked; negative
-	// if none was known.
+	// loadAge is the age of the target's load report when it was picked; negative if there
+	// was none.
 	loadAge time.Duration
 }
 
 // pick chooses a target and counts the request there. It reports false if no
 // target may take it.
-func (f *fleet) pick(q *route.Query, now time.Time) (sent, bool) {
+func (f *fleet) pick(q *route.Query, now time.Time) (activeAttempt, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hold(q.Service, now)
+	f.updateThrottled(q.Service, now)
 	f.expireRefusals(now)
 	i, ok := f.table.Pick(q, now, f.rng)
 	if !ok {
-		return sent{}, false
+		return activeAttempt{}, false
 	}
-	p := f.pools[f.table.Target(i).Name]
+	p := f.targetStates[f.table.Target(i).Name]
 	if p == nil {
-		return sent{}, false
+		return activeAttempt{}, false
 	}
 	age := f.table.LoadAge(i, now)
 	f.table.Start(i, q.Cost, now)
-	f.backpressure.limits.use(p.ID, now)
+	f.backpressure.limits.recordSent(p.ID, now)
 	f.cost += (q.Cost - f.cost) * costGain
-	return sent{index: i, cost: q.Cost, started: now, target: p, seen: p.Target, loadAge: age}, true
+	return activeAttempt{index: i, cost: q.Cost, started: now, target: p, seen: p.Target, loadAge: age}, true
 }
 
 // end records that an attempt has ended.
-func (f *fleet) end(s sent) {
+func (f *fleet) end(s activeAttempt) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.table.End(s.index, s.cost, s.started)
 }
 
-// heard takes what an answer says of its target.
-func (f *fleet) heard(s sent, a platform.Answer, now time.Time) {
+// observeAnswer records what an answer states about its target.
+func (f *fleet) observeAnswer(s activeAttempt, a platform.Answer, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.Misdirected && !f.gone[s.target.ID] {
-		f.gone[s.target.ID] = true
-		// Every request that is sent there costs a retry. The next view of the
-		// store may be seconds away.
+	if a.Misdirected && !f.misdirected[s.target.ID] {
+		f.misdirected[s.target.ID] = true
+		// Each request that is sent there costs a retry, and the next view of the store
+		// may be seconds away.
 		f.table.SetLeaving(s.index, true)
 		f.log.Info("target gone", "target", s.target.ID, "reason", "another server answers at its address")
 	}
@@ -288,43 +289,43 @@
 	}
 }
 
-func (f *fleet) succeeded(s sent, latency time.Duration, now time.Time) {
+func (f *fleet) succeeded(s activeAttempt, latency time.Duration, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.monitor.Succeed(s.index, latency, now)
 }
 
-func (f *fleet) failed(s sent, severity health.Severity, now time.Time) {
+func (f *fleet) failed(s activeAttempt, severity health.Severity, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.monitor.Fail(s.index, severity, now)
-	// Otherwise it would look idle beside targets that are avoided since they refuse.
+	// Otherwise it would look idle compared to targets that are avoided because they refuse
+	// requests.
 	f.refused(s.target, now)
 }
 
-// tickEvery is how often ejections and idle connections are looked at.
+// tickEvery is how often ejections and idle connections are checked.
 const tickEvery = 100 * time.Millisecond
 
-// tick lets time pass for the health of the targets, and returns the groups that stand
-// still.
+// tick updates the health of the targets, and returns the groups that have stalled.
 func (f *fleet) tick(now time.Time) []silentGroup {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.watchPending(now)
-	f.avoidDoubted(now)
+	f.avoidSuspected(now)
 	f.watchSilence(now)
 	f.crashes.Tick(now)
 	for _, c := range f.monitor.Tick(now, f.rng) {
 		f.table.SetHealth(c.Target, c.Share, c.Probe)
 		f.log.Info("target health", "target", f.table.Target(c.Target).Name, "state", c.State.String(), "share", c.Share, "cause", c.Cause.String())
 	}
-	for _, p := range f.pools {
-		p.pool.Sweep(now)
+	for _, p := range f.targetStates {
+		p.pool.CloseIdle(now)
 	}
 	return f.silentGroups(now)
 }
 
-// severityOf says how sure a failed attempt is the target's fault.
+// severityOf returns how certain it is that a failed attempt is the target's fault.
 func severityOf(err error) health.Severity {
 	var notSent *upstream.NotSentError
 	if errors.As(err, &notSent) {
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -18,7 +18,7 @@
 	"verbenashift/standin/scripted"
 )
 
-// Guards against requests to a server that has named a limit, from a gateway without a permit.
+// Guards against requests to a server that has set a limit, from a gateway without a permit.
 func TestLimitedTargetGetsNothingWithoutAPermit(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		limited := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("1", "ok") })
@@ -32,7 +32,7 @@
 	}
 }
 
-// Guards against callers that are held, or told nothing, when all targets have named limits.
+// Guards against callers that are held, or get no retry time, when all targets have set limits.
 func TestAllTargetsLimited(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("0.5", "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
@@ -46,7 +46,7 @@
 	r.Equal(len(s.Seen()), 1)
 }
 
-// Guards against holding callers whose turn is not near, and against refusing others.
+// Guards against holding callers whose expected wait is long, and against refusing others.
 func TestOnlyNearTurnsAreWaitedFor(t *testing.T) {
 	is := is.New(t)
 	g := &gateway{fleet: newFleet("front-1", "z1", slog.New(slog.DiscardHandler))}
@@ -55,25 +55,25 @@
 	_, ok := g.fleet.pick(&route.Query{Service: "pool"}, now)
 	is.True(ok)
 	g.fleet.mu.Lock()
-	g.fleet.pause(g.fleet.pools["t0"], "r1", time.Second, now)
+	g.fleet.pause(g.fleet.targetStates["t0"], "r1", time.Second, now)
 	g.fleet.mu.Unlock()
 	for patience, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
 		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(patience)}}
-		is.Equal(c.turnIsNear(0), near)
-		is.Equal(c.comeback > 0, !near)
+		is.Equal(c.shouldWait(0), near)
+		is.Equal(c.retryAfter > 0, !near)
 	}
 }
 
-// leasing is a store that grants one lease and keeps what it is told, until it is down.
-type leasing struct {
-	written
+// leasingStore is a store that grants one lease and records all changes, until it is down.
+type leasingStore struct {
+	recordingStore
 	down    bool
 	granted int64
 }
 
 var errAway = errors.New("no answer")
 
-func (s *leasing) Grant(context.Context, time.Duration) (int64, time.Duration, error) {
+func (s *leasingStore) Grant(context.Context, time.Duration) (int64, time.Duration, error) {
 	if s.down {
 		return 0, 0, errAway
 	}
@@ -81,7 +81,7 @@
 	return s.granted, permitLease, nil
 }
 
-func (s *leasing) Keep(_ context.Context, lease int64) (time.Duration, error) {
+func (s *leasingStore) Keep(_ context.Context, lease int64) (time.Duration, error) {
 	if s.down {
 		return 0, errAway
 	}
@@ -91,33 +91,33 @@
 	return permitLease, nil
 }
 
-func (s *leasing) Change(ctx context.Context, c kv.Txn) (int64, error) {
+func (s *leasingStore) Change(ctx context.Context, c kv.Txn) (int64, error) {
 	if s.down {
 		return 0, errAway
 	}
-	return s.written.Change(ctx, c)
+	return s.recordingStore.Change(ctx, c)
 }
 
-// Guards against a gateway that goes on under permits which others may have claimed, since the
+// Guards against a gateway that keeps using permits which others may have claimed, after the
 // store has not renewed its lease.
 func TestPermitsEndWithTheirLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		var store leasing
+		var store leasingStore
 		l := newLimits("front-1", slog.New(slog.DiscardHandler))
 		l.store = &store
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
 		go l.run(ctx)
 		rate := 2.0
-		l.named(permit.Response{Target: "t0", Service: "pool", Limit: &rate, Sent: time.Now()}, time.Now())
+		l.observe(permit.Response{Target: "t0", Service: "pool", Limit: &rate, Sent: time.Now()}, time.Now())
 		ready := func() bool { return !l.unready("pool", time.Now())["t0"] }
 		is.True(!ready())
 		uses := 0
 		wait := func(d time.Duration) {
 			for range d / limitsTick {
 				if ready() {
-					l.use("t0", time.Now())
+					l.recordSent("t0", time.Now())
 					uses++
 				}
 				time.Sleep(limitsTick)
@@ -137,7 +137,7 @@
 		wait(permitLease)
 		is.Equal(sent(10*time.Second), 0)
 		store.down = false
-		is.True(sent(10*time.Second) > 0) // its permits were still its own
+		is.True(sent(10*time.Second) > 0) // its permits were still valid
 		store.granted++                   // its lease has ended
 		claims := len(store.changes)
 		wait(10 * time.Second)
--- /dev/null
+++ b/gateway/quarantine.go
@@ -0,0 +1,81 @@
+package main
+
+import (
+	"context"
+
+	"verbenashift/core/request/outcome"
+	"verbenashift/core/request/quarantine"
+)
+
+// quarantineState is what is known about calls with the same content.
+type quarantineState struct {
+	// cachedPrint is the fingerprint of the request once it was computed; suspect is set if a
+	// target may have crashed while running it.
+	cachedPrint quarantine.Fingerprint
+	suspect     bool
+	// probe is set if the request is quarantined and is sent to find out whether it still
+	// crashes targets; crashes is how many had crashed before.
+	probe   bool
+	crashes int
+}
+
+// fingerprint returns the fingerprint that the request shares with others of the same content.
+func (c *call) fingerprint() quarantine.Fingerprint {
+	if c.cachedPrint == (quarantine.Fingerprint{}) {
+		content := quarantine.Content{
+			Method: c.r.Method, Host: c.r.Host, Target: c.r.RequestURI, Workspace: c.workspaceName(), Body: c.body,
+		}
+		c.cachedPrint = content.Fingerprint()
+	}
+	return c.cachedPrint
+}
+
+// refuseIfQuarantined refuses the request at once if it is quarantined and no probe is due, and
+// reports whether it did. The request then does not occupy a place in the queue, which others
+// need.
+func (c *call) refuseIfQuarantined() bool {
+	if !c.isolator.hasQuarantined() {
+		return false
+	}
+	v := c.isolator.decide(c.fingerprint())
+	if !v.Quarantined || v.Probe {
+		return false
+	}
+	c.fail(c.quarantineRefusal(v), quarantine.ReasonQuarantined)
+	return true
+}
+
+// checkQuarantine returns why the request may not be sent now, or nil. Without it, a request that
+// crashes each server that begins to run it takes down one server after the other, with all
+// requests that run there, for as long as the caller repeats it.
+func (c *call) checkQuarantine(ctx context.Context) *outcome.Error {
+	if !c.isolator.hasQuarantined() {
+		return nil
+	}
+	v := c.isolator.decide(c.fingerprint())
+	switch {
+	case !v.Quarantined:
+		return nil
+	case c.probe && c.attempts.Errors == 0:
+		return nil // This is the probe.
+	case v.Probe && !c.probe && c.isolator.claimProbe(ctx, c.fingerprint(), v):
+		c.probe, c.crashes = true, c.isolator.crashes(c.fingerprint())
+		return nil
+	}
+	return c.quarantineRefusal(v)
+}
+
+// quarantineRefusal returns the refusal of a quarantined request, with its outcome so far and
+// when the caller may retry.
+func (c *call) quarantineRefusal(v quarantine.Decision) *outcome.Error {
+	c.suspect = true
+	metricQuarantinedCalls.Add(1)
+	return &outcome.Error{Outcome: c.attempts.Outcome(), Reason: quarantine.ReasonQuarantined, RetryAfter: v.RetryAfter}
+}
+
+// endProbe follows up a probe that has not received a complete answer.
+func (c *call) endProbe() {
+	if c.probe && !c.served {
+		go c.isolator.concludeProbe(c.fingerprint(), c.crashes)
+	}
+}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -14,9 +14,9 @@
 // streamBuffer is how much of a stream is read at once.
 const streamBuffer = 4 << 10
 
-// relay passes a stream on, event by event. The head goes out with the first
-// event, so that a stream that breaks before can be refused or sent elsewhere.
-func (c *call) relay(ctx context.Context, s sent, reply *upstream.Reply) (retry.Kind, string, bool) {
+// relay passes a stream on, event by event. The head is sent with the first
+// event, so that a stream that breaks off earlier can be refused or sent elsewhere.
+func (c *call) relay(ctx context.Context, s activeAttempt, reply *upstream.Reply) (retry.Kind, string, bool) {
 	var ev events
 	buf := make([]byte, streamBuffer)
 	first := true
@@ -24,8 +24,8 @@
 		n, err := reply.Read(buf)
 		ev.add(buf[:n])
 		for event := ev.next(); event != nil; event = ev.next() {
-			if c.flight != nil {
-				c.fleet.event(c.flight, time.Now())
+			if c.stream != nil {
+				c.fleet.event(c.stream, time.Now())
 			}
 			if first {
 				c.fleet.succeeded(s, time.Since(s.started), time.Now())
@@ -50,8 +50,8 @@
 	}
 }
 
-// begin sends the head of a stream once: a stream that goes on at another
-// server keeps the head of its first.
+// begin sends the head of a stream once: a stream that is resumed at another
+// server keeps the head of the first one.
 func (c *call) begin(reply *upstream.Reply) {
 	if c.begun {
 		return
@@ -61,7 +61,8 @@
 	c.w.WriteHeader(reply.Status)
 }
 
-// sendEvent passes one event on, once. It reports false if the caller has left.
+// sendEvent passes one event on, unless it was sent before. It reports false if the caller
+// has disconnected.
 func (c *call) sendEvent(reply *upstream.Reply, event []byte) bool {
 	id := eventID(event)
 	if id >= 0 && id <= c.lastID {
@@ -69,11 +70,11 @@
 	}
 	c.begin(reply)
 	if _, err := c.w.Write(event); err != nil {
-		c.notWritten(err)
+		c.logWriteError(err)
 		return false
 	}
 	if err := http.NewResponseController(c.w).Flush(); err != nil {
-		c.notWritten(err)
+		c.logWriteError(err)
 		return false
 	}
 	c.timeEvent(time.Now())
@@ -90,7 +91,7 @@
 		c.firstAfter = now.Sub(c.arrived)
 		metricFirst.Record(c.firstAfter.Milliseconds())
 		if c.admitter != nil {
-			c.admitter.began(c.place, c.firstAfter-c.queued)
+			c.admitter.observeFirstEvent(c.slot, c.firstAfter-c.queued)
 		}
 	} else {
 		pause := now.Sub(c.eventAt)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -36,25 +36,25 @@
 	fleet   *fleet
 	catalog atomic.Pointer[catalog]
 	bounds  boot.Bounds
-	// leaving is set by SIGTERM: the balancer is told to send nothing more.
-	leaving atomic.Bool
-	started time.Time
+	// shuttingDown is set on SIGTERM: the readiness check fails from then on.
+	shuttingDown atomic.Bool
+	started      time.Time
 	// startup holds requests until there is a configuration.
 	startup *startup.Gate
 
 	mu sync.Mutex
-	// rng is not the fleet's, which another lock guards.
-	rng     *rand.Rand
-	budgets *retry.Budgets
-	returns retry.ReturnScheduler
-	digests *digests
-	// isolator keeps requests that crash their targets from being sent.
+	// rng is separate from the fleet's, which another lock guards.
+	rng             *rand.Rand
+	budgets         *retry.Budgets
+	returnScheduler retry.ReturnScheduler
+	digests         *digests
+	// isolator quarantines requests that crash their targets.
 	isolator *isolator
-	// doubts are told to the other gateways.
-	doubts *doubts
-	// patience tells by route which callers have been here before.
-	patience map[string]*retry.ReturnDetector
-	// admitters are those of services with engines, by name.
+	// suspicions shares suspected targets with the other gateways.
+	suspicions *suspicionExchange
+	// returnDetectors detect returning callers, by route.
+	returnDetectors map[string]*retry.ReturnDetector
+	// admitters holds those of services with engines, by name.
 	admitters map[string]*admitter
 }
 
@@ -62,16 +62,16 @@
 	boot, log := env.Boot, env.Log
 	g := &gateway{
 		log: log, tracer: tracer, rng: newRand(), bounds: boot.Bounds, started: time.Now(),
-		startup:   startup.New(),
-		fleet:     newFleet(boot.Instance, boot.Zone, log),
-		budgets:   retry.NewBudgets(retryLimits(boot.Bounds)),
-		isolator:  newIsolator(boot.Instance, store, log),
-		doubts:    newDoubts(boot.Instance, store, log),
-		admitters: map[string]*admitter{},
-		patience:  map[string]*retry.ReturnDetector{},
+		startup:         startup.New(),
+		fleet:           newFleet(boot.Instance, boot.Zone, log),
+		budgets:         retry.NewBudgets(retryLimits(boot.Bounds)),
+		isolator:        newIsolator(boot.Instance, store, log),
+		suspicions:      newSuspicionExchange(boot.Instance, store, log),
+		admitters:       map[string]*admitter{},
+		returnDetectors: map[string]*retry.ReturnDetector{},
 	}
-	g.doubts.report = g.fleet.doubted
-	g.fleet.tellDoubt = g.doubts.tell
+	g.suspicions.report = g.fleet.addSuspicion
+	g.fleet.shareSuspicion = g.suspicions.share
 	g.fleet.backpressure.limits.store = store
 	g.fleet.crashes = crash.New(tcp.Dial, g.fleet.serves, log, g.isolator.crashed)
 	g.digests = newDigests(boot.Instance, log, g.digest)
@@ -80,34 +80,34 @@
 }
 
 const (
-	// retryPart is the part of the deployment's retries that is used, since
-	// what a client sends again at another gateway is counted differently.
-	retryPart = 0.85
-	// gateways is how many gateways the slack of the retries is shared among at least:
-	// restarted ones start with a new share.
-	gateways = 24
-	// gatewaysUntold is the same until somebody has told how many there are.
-	gatewaysUntold = 64
+	// retryFraction is the part of the deployment's retries that is used, since
+	// a request that a client repeats at another gateway is counted differently.
+	retryFraction = 0.85
+	// minGateways is the minimum number of gateways among which the retry slack is
+	// divided: restarted ones start with a new share.
+	minGateways = 24
+	// defaultGateways is the number used until a coordinator has reported the actual one.
+	defaultGateways = 64
 )
 
-// retryLimits shares the retries of the whole deployment. The ratio needs no
-// sharing: each gateway keeps to it for its own requests.
+// retryLimits returns this gateway's part of the retries of the whole deployment. The
+// ratio is not divided: each gateway applies it to its own requests.
 func retryLimits(b boot.Bounds) retry.Limits {
-	share := slackShare(b, gatewaysUntold)
+	share := slackShare(b, defaultGateways)
 	return retry.Limits{
-		Ratio: b.RetryRatio * retryPart, KeyBurst: share, HopBurst: share,
+		Ratio: b.RetryRatio * retryFraction, KeyBurst: share, HopBurst: share,
 		KeyStart: share / 2, HopStart: share / 2, Window: b.RetryWindow,
 	}
 }
 
-// slackShare is this gateway's part of the retries that all of them may make beside their
-// part of the requests.
+// slackShare returns this gateway's part of the retries that all gateways may make in
+// addition to the ratio of their requests.
 func slackShare(b boot.Bounds, among int) float64 {
-	return max(math.Floor(b.RetryBurst/float64(max(among, gateways))), 1)
+	return max(math.Floor(b.RetryBurst/float64(max(among, minGateways))), 1)
 }
 
-// shareRetries takes how many gateways there are, by those that ask a steward and its
-// relays.
+// shareRetries sets the number of gateways, as counted by those that poll a coordinator
+// and its relays.
 func (g *gateway) shareRetries(among int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -116,20 +116,20 @@
 	}
 }
 
-// update takes a new view of the store: configuration and targets together.
+// update applies a new view of the store: configuration and targets together.
 func (g *gateway) update(v *mirror.Snapshot) {
 	g.fleet.update(v)
-	g.admitTo(v.Config)
+	g.updateAdmitters(v.Config)
 	g.digests.update(v)
 	if c := g.catalog.Load(); c == nil || c.config != v.Config {
 		g.catalog.Store(newCatalog(v.Config))
-		g.showBudgets(v.Config)
+		g.publishBudgets(v.Config)
 	}
 	g.startup.Open()
 }
 
-// showBudgets shows how many retries each service may get now.
-func (g *gateway) showBudgets(cfg *deployment.Config) {
+// publishBudgets publishes how many retries each service has left.
+func (g *gateway) publishBudgets(cfg *deployment.Config) {
 	for i := range cfg.Services {
 		service := cfg.Services[i].Name
 		metricBudget.Set(service, expvar.Func(func() any {
@@ -138,8 +138,8 @@
 	}
 }
 
-// admitTo makes an admitter for each service with engines, and tells it their slots.
-func (g *gateway) admitTo(cfg *deployment.Config) {
+// updateAdmitters creates an admitter for each service with engines, and sets its slots.
+func (g *gateway) updateAdmitters(cfg *deployment.Config) {
 	slots := g.fleet.slots()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -155,31 +155,31 @@
 	}
 }
 
-// digest takes what a steward tells of its group.
+// digest applies what a coordinator reports of its group.
 func (g *gateway) digest(d *rankpeer.Digest, taken time.Time) {
 	g.shareRetries(d.Gateways)
 	r := g.fleet.digest(d, taken)
 	if cat := g.catalog.Load(); r.joined && cat != nil {
-		g.admitTo(cat.config)
+		g.updateAdmitters(cat.config)
 	}
 	if a := g.admitterOf(r.service); a != nil {
-		a.tell(admission.Load{Group: d.Group.Name, Complete: d.Open, Running: r.running, Queued: r.queued, PassTime: d.Pass, Entries: d.Gateways})
+		a.reportLoad(admission.Load{Group: d.Group.Name, Complete: d.Open, Running: r.running, Queued: r.queued, PassTime: d.Pass, Entries: d.Gateways})
 	}
 	if health.ShouldMoveStreams(len(r.slow), len(d.Targets)) {
-		g.fleet.leave(r.slow, g.spareRetries(r.service))
+		g.fleet.moveSlowStreams(r.slow, g.spareRetries(r.service))
 	}
 }
 
-// keptRetries is how many retries are kept for what fails by itself.
-const keptRetries = 1
+// reservedRetries is how many retries are reserved for requests that fail on their own.
+const reservedRetries = 1
 
-// spareRetries returns how many requests to a service may be moved now: each is a
-// retry, and one without would be broken off.
+// spareRetries returns how many requests to a service may be moved now. Each move takes a
+// retry; without one the request would be aborted.
 func (g *gateway) spareRetries(service string) int {
-	return int(g.retriesLeft(service)) - keptRetries
+	return int(g.retriesLeft(service)) - reservedRetries
 }
 
-// retriesLeft returns how many retries a service may get now.
+// retriesLeft returns how many retries a service has left.
 func (g *gateway) retriesLeft(service string) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -193,19 +193,19 @@
 	return g.admitters[service]
 }
 
-// comesBack reports whether a caller of a route has come back after an earlier try.
-func (g *gateway) comesBack(r *deployment.Route, patience time.Duration) bool {
+// isReturning reports whether a caller of a route is repeating an earlier attempt.
+func (g *gateway) isReturning(r *deployment.Route, patience time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	p := g.patience[r.Name]
+	p := g.returnDetectors[r.Name]
 	if p == nil {
 		p = &retry.ReturnDetector{}
-		g.patience[r.Name] = p
+		g.returnDetectors[r.Name] = p
 	}
 	return p.Returning(patience, r.Timeout)
 }
 
-// run lets time pass until the context ends.
+// run calls tick periodically until the context ends.
 func (g *gateway) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		g.tick(time.Now())
@@ -213,14 +213,14 @@
 	}
 }
 
-// tick lets time pass for targets and queues.
+// tick updates the health of targets and the state of queues.
 func (g *gateway) tick(now time.Time) {
 	for _, s := range g.fleet.tick(now) {
 		if a := g.admitterOf(s.service); a != nil {
-			a.silent(s.group, now.Add(silentFor))
+			a.markStalled(s.group, now.Add(silenceHold))
 		}
 		if s.move {
-			g.fleet.leaveGroup(s.groupKey, g.spareRetries(s.service))
+			g.fleet.moveGroupStreams(s.groupKey, g.spareRetries(s.service))
 		}
 	}
 	g.mu.Lock()
@@ -230,8 +230,8 @@
 	}
 }
 
-// ready reports whether the balancer should send callers here.
-func (g *gateway) ready() bool { return g.catalog.Load() != nil && !g.leaving.Load() }
+// ready reports whether the load balancer should send callers to this gateway.
+func (g *gateway) ready() bool { return g.catalog.Load() != nil && !g.shuttingDown.Load() }
 
 // ServeHTTP serves one request.
 func (g *gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -240,29 +240,29 @@
 		return
 	}
 	cat := g.catalog.Load()
-	if g.leaving.Load() {
+	if g.shuttingDown.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if !c.admit(cat) || c.refused() {
+	if !c.admit(cat) || c.refuseIfQuarantined() {
 		return
 	}
-	defer c.endTrial()
+	defer c.endProbe()
 	ctx, span := c.startSpan()
 	defer c.endSpan(span)
 	ctx, cancel := context.WithDeadlineCause(ctx, c.deadline, errDeadline)
 	defer cancel()
-	if c.admitter = g.admitterOf(c.service); c.admitter != nil && !c.enter(ctx) {
+	if c.admitter = g.admitterOf(c.service); c.admitter != nil && !c.acquireSlot(ctx) {
 		return
 	}
-	defer c.leave()
+	defer c.releaseSlot()
 	c.run(ctx)
 }
 
-// started waits until the gateway has a configuration. It answers and reports false if
-// the request is not to wait any longer.
+// started waits until the gateway has a configuration. If the request must not wait any
+// longer, it answers the request and reports false.
 func (c *call) started() bool {
 	err := c.startup.Wait(c.r.Context(), c.req.Timeout)
-	c.held = time.Since(c.arrived)
+	c.startupWait = time.Since(c.arrived)
 	if err == nil {
 		return true
 	}
@@ -275,18 +275,18 @@
 	return false
 }
 
-// enter waits for a place at the engines. It answers and reports false if the request
-// goes no further.
-func (c *call) enter(ctx context.Context) bool {
+// acquireSlot waits for a slot at the engines. If there is none, it answers the request and
+// reports false.
+func (c *call) acquireSlot(ctx context.Context) bool {
 	_, wait := c.tracer.Start(ctx, spanWait)
-	at, refusal := c.admitter.enter(ctx, c)
+	at, refusal := c.admitter.acquire(ctx, c)
 	wait.End()
-	c.place = at
+	c.slot = at
 	c.queued = time.Since(c.arrived)
 	metricWait.Record(c.queued.Milliseconds())
 	if c.callerLeft() {
 		if at.id != "" {
-			c.admitter.leave(at, 0)
+			c.admitter.release(at, 0)
 		}
 		return false
 	}
@@ -297,9 +297,9 @@
 	return true
 }
 
-// leave gives the place back.
-func (c *call) leave() {
+// releaseSlot returns the slot of the request.
+func (c *call) releaseSlot() {
 	if c.admitter != nil {
-		c.admitter.leave(c.place, c.cost())
+		c.admitter.release(c.slot, c.cost())
 	}
 }
