--- a/entry/listen.go
+++ b/entry/listen.go
@@ -121,9 +121,9 @@
 func (e *Entry) drain(context.Context) error {
 	e.leaving.Store(true)
 	e.log.Info("draining", "open", e.open.len())
-	time.Sleep(e.cfg.Notice)
+	time.Sleep(e.cfg.DrainNotice)
 	e.draining.Store(true)
-	if !e.idle(e.cfg.Bound) {
+	if !e.idle(e.cfg.DrainTimeout) {
 		e.log.Info("handing over", "requests", e.flows.handOver())
 		e.idle(callTimeout)
 	}
--- a/entry/main.go
+++ b/entry/main.go
@@ -55,7 +55,7 @@
 
 // serve runs the entry until it is told to stop.
 func serve(cfg Settings) int {
-	return process.Run(cfg.Notice+cfg.Bound+time.Minute,
+	return process.Run(cfg.DrainNotice+cfg.DrainTimeout+time.Minute,
 		fx.Supply(cfg),
 		fx.Provide(newLogger, newTracer, newDialer, newStore, newFollower, newEntry),
 		fx.Invoke((*Entry).start),
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -42,8 +42,8 @@
 	f.log.delivered = res.After
 	f.attempt = 1
 	f.sink = &lateSink{
-		stream: func() sink { return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.Silence) },
-		whole:  func() sink { return newWholeSink(w, f.id, e.cfg.WholeBuffer) },
+		stream: func() sink { return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.KeepAlive) },
+		whole:  func() sink { return newWholeSink(w, f.id, e.cfg.ResponseBuffer) },
 	}
 	f.relay = relay.NewReader(relay.Limits{Attaches: e.cfg.Attaches, Backoff: e.cfg.Backoff, RetryAfter: e.cfg.RetryAfter})
 	e.finish(r.Context(), f, started)
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -186,9 +186,9 @@
 
 func (e *Entry) newSink(w http.ResponseWriter, f *flow) sink {
 	if f.req.Stream {
-		return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.Silence)
+		return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.KeepAlive)
 	}
-	return newWholeSink(w, f.id, e.cfg.WholeBuffer)
+	return newWholeSink(w, f.id, e.cfg.ResponseBuffer)
 }
 
 // finish runs the request and writes its end.
@@ -203,7 +203,7 @@
 	defer stop(nil)
 	e.flows.add(f, stop)
 	defer e.flows.remove(f)
-	alive := time.AfterFunc(e.cfg.Silence, f.keepAlive)
+	alive := time.AfterFunc(e.cfg.KeepAlive, f.keepAlive)
 	f.timer.Store(alive)
 	err := f.run(ctx)
 	alive.Stop()
@@ -244,7 +244,7 @@
 func (f *flow) keepAlive() {
 	f.sink.alive()
 	if t := f.timer.Load(); t != nil {
-		t.Reset(f.entry.cfg.Silence)
+		t.Reset(f.entry.cfg.KeepAlive)
 	}
 }
 
--- a/entry/settings.go
+++ b/entry/settings.go
@@ -25,25 +25,25 @@
 	StoreTimeout time.Duration
 	Seeds        []string
 
-	Body          int
-	MaxTokens     int
-	Streams       int
-	SlowCaller    time.Duration
-	Silence       time.Duration
-	WholeBuffer   int
-	Tries         int
-	Submits       int
-	Claims        int
-	Attaches      int
-	Backoff       time.Duration
-	RetryAfter    time.Duration
-	Notice        time.Duration
-	Bound         time.Duration
-	Heartbeat     time.Duration
-	StoreRefresh  time.Duration
-	BootstrapHash string
-	Instances     string
-	InstancesPoll time.Duration
+	Body           int
+	MaxTokens      int
+	Streams        int
+	SlowCaller     time.Duration
+	KeepAlive      time.Duration
+	ResponseBuffer int
+	Tries          int
+	Submits        int
+	Claims         int
+	Attaches       int
+	Backoff        time.Duration
+	RetryAfter     time.Duration
+	DrainNotice    time.Duration
+	DrainTimeout   time.Duration
+	Heartbeat      time.Duration
+	StoreRefresh   time.Duration
+	BootstrapHash  string
+	Instances      string
+	InstancesPoll  time.Duration
 
 	TraceExport string
 	TracePerMil int
@@ -72,16 +72,16 @@
 	s.Int("limits", "max-tokens", &c.MaxTokens, 32768, 1, 1<<20, "tokens", "largest max_tokens of a request")
 	s.Int("limits", "streams", &c.Streams, 4096, 1, 1<<20, "requests", "requests in progress at this entry")
 	s.Duration("limits", "slow-caller", &c.SlowCaller, 30*time.Second, time.Second, time.Hour, "longest wait for a caller to take its answer")
-	s.Int("limits", "whole-buffer", &c.WholeBuffer, 1<<20, 1024, 64<<20, "bytes", "part of an answer held back until its end is known")
-	s.Duration("requests", "silence", &c.Silence, 3*time.Second, 100*time.Millisecond, time.Minute, "a waiting stream gets a sign of life this often")
+	s.Int("limits", "whole-buffer", &c.ResponseBuffer, 1<<20, 1024, 64<<20, "bytes", "part of an answer held back until its end is known")
+	s.Duration("requests", "silence", &c.KeepAlive, 3*time.Second, 100*time.Millisecond, time.Minute, "a waiting stream gets a sign of life this often")
 	s.Int("requests", "tries", &c.Tries, 3, 1, 10, "targets", "targets asked in a row without any piece of the answer")
 	s.Int("requests", "submits", &c.Submits, 12, 1, 100, "attempts", "attempts of one request in all")
 	s.Int("requests", "claims", &c.Claims, 7, 1, 20, "calls", "how often the home of a key is asked")
 	s.Int("requests", "attaches", &c.Attaches, 4, 1, 20, "calls", "how often a broken answer that may not be repeated is asked for")
 	s.Duration("requests", "backoff", &c.Backoff, 100*time.Millisecond, time.Millisecond, time.Minute, "first pause before such a call; it doubles")
 	s.Duration("requests", "retry-after", &c.RetryAfter, time.Second, time.Second, time.Hour, "when callers come back if nothing better is known")
-	s.Duration("drain", "notice", &c.Notice, 2*time.Second, 0, time.Minute, "time between telling the balancer and refusing new work")
-	s.Duration("drain", "bound", &c.Bound, 30*time.Second, 0, time.Hour, "longest wait for requests in progress; the rest is handed over")
+	s.Duration("drain", "notice", &c.DrainNotice, 2*time.Second, 0, time.Minute, "time between telling the balancer and refusing new work")
+	s.Duration("drain", "bound", &c.DrainTimeout, 30*time.Second, 0, time.Hour, "longest wait for requests in progress; the rest is handed over")
 	s.String("operators", "bootstrap-token-hash", &c.BootstrapHash, "", "SHA-256 in hex of the admin token for the first configuration")
 	s.Address("trace", "export", &c.TraceExport, "none", "OTLP/HTTP collector; none turns traces off")
 	s.Int("trace", "per-mille", &c.TracePerMil, 10, 0, 1000, "requests in a thousand", "share of requests traced")
