--- a/entry/app.go
+++ b/entry/app.go
@@ -24,7 +24,7 @@
 	"verbenashift/core/request/route"
 )
 
-// Entry is one entry instance: callers and operators talk to it.
+// Entry is one entry instance, the server that callers and operators connect to.
 type Entry struct {
 	cfg      Settings
 	log      *slog.Logger
@@ -35,24 +35,26 @@
 	follower *follow.Follower
 	router   *router
 	limiter  *limiter
-	returns  *returns
-	open     *openCount
+	retries  *retries
+	open     *openRequests
 	flows    flowSet
 	fleet    *fleet
 	members  *follow.Members
 
-	// leaving tells the balancer, draining refuses new work.
+	// leaving makes the readiness check fail, so that the load balancer stops
+	// sending callers; draining makes the entry refuse new work.
 	leaving  atomic.Bool
 	draining atomic.Bool
-	// incarnation tells the lives of this entry's name apart.
+	// incarnation distinguishes successive processes with this entry's name.
 	incarnation uint64
-	// homeSet names the homes of keys, agentSet all agents.
+	// homeSet holds the names of the agents that keys are hashed over, agentSet
+	// the names of all agents.
 	homeSet  atomic.Pointer[[]string]
 	agentSet atomic.Pointer[[]string]
 	stop     context.CancelFunc
 	// configured is closed when the first configuration is in force.
 	configured chan struct{}
-	// mu guards servers, which grows while the entry runs.
+	// mu guards servers, to which listeners are added while the entry runs.
 	mu      sync.Mutex
 	servers []*http.Server
 }
@@ -72,7 +74,7 @@
 }
 
 // newFollower returns a follower that watches the store only until the first
-// configuration; from then on entries hear of a change by heartbeat.
+// configuration; from then on entries learn of changes from heartbeats.
 func newFollower(cfg Settings, s *store.Client, log *slog.Logger) *follow.Follower {
 	var f *follow.Follower
 	f = follow.New(follow.Config{
@@ -87,9 +89,9 @@
 	e := &Entry{
 		cfg: cfg, log: log, tracer: tracer, metrics: processMetrics(), dialer: d, store: s, follower: f,
 		router:      newRouter(route.Options{Entry: cfg.Name, Region: cfg.Region, Zone: cfg.Zone}, log),
-		returns:     newReturns(),
+		retries:     newRetries(),
 		limiter:     newLimiter(cfg.Name),
-		open:        newOpenCount(cfg.Streams, cfg.RetryAfter),
+		open:        newOpenRequests(cfg.Streams, cfg.RetryAfter),
 		fleet:       newFleet(),
 		incarnation: uint64(time.Now().UnixMilli()),
 		configured:  make(chan struct{}),
@@ -101,13 +103,13 @@
 	f.OnChange(e.limiter.update)
 	f.OnChange(follow.ReleaseMemory)
 	f.OnChange(func(x *config.Index) { log.Info("configuration in force", "revision", x.Revision()) })
-	// The last, so that all others have taken the first configuration before a
-	// caller is let in.
+	// This callback is registered last, so that all others have processed the
+	// first configuration before a caller is accepted.
 	f.OnChange(func(*config.Index) { first.Do(func() { close(e.configured) }) })
 	return e
 }
 
-// setHomes keeps the names over which the homes of keys are hashed.
+// setHomes updates homeSet and agentSet from a configuration.
 func (e *Entry) setHomes(x *config.Index) {
 	cfg := x.Config()
 	homes, agents := config.HomeNames(cfg), config.TargetNames(cfg)
@@ -115,13 +117,13 @@
 	e.agentSet.Store(&agents)
 }
 
-// ready reports whether this entry may serve: it has a configuration.
+// ready reports whether this entry has a configuration and so may serve.
 func (e *Entry) ready() bool {
 	return e.follower.Index() != nil
 }
 
-// start opens the listeners of operators and of the platform and starts the
-// duties. One of them opens the callers' listener.
+// start opens the listeners for operators and for the platform and starts the
+// background tasks. One of them opens the listener for callers.
 func (e *Entry) start(lc fx.Lifecycle, shutdown fx.Shutdowner) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
@@ -131,8 +133,8 @@
 	})
 	go e.listenCallers(ctx, shutdown)
 	go e.follower.Run(ctx)
-	go e.spread().Run(ctx)
-	go e.router.judge(ctx)
+	go e.gossip().Run(ctx)
+	go e.router.monitorHealth(ctx)
 	go e.limiter.report(ctx, e.exchangeQuota)
 	go e.followInstances(ctx)
 	go e.followMembers(ctx)
@@ -140,21 +142,21 @@
 	return nil
 }
 
-// spread exchanges heartbeats and configurations with the agents.
-func (e *Entry) spread() *follow.Gossip {
+// gossip returns the exchange of heartbeats and configurations with the agents.
+func (e *Entry) gossip() *follow.Gossip {
 	return &follow.Gossip{
 		Name: e.cfg.Name, Follower: e.follower, Dialer: e.dialer, Log: e.log,
 		Members: e.members, Period: e.cfg.Heartbeat, Seeds: e.cfg.Seeds,
 		Describe: e.describe,
 		OnResponse: func(name string, m *wire.ExchangeResponse) {
-			e.fleet.heard(name, m)
-			e.router.heard(name, m.Load)
+			e.fleet.record(name, m)
+			e.router.record(name, m.Load)
 		},
-		OnFailure: e.router.unheard,
+		OnFailure: e.router.recordFailure,
 	}
 }
 
-// describe tells an agent of this entry.
+// describe fills a heartbeat with the state of this entry.
 func (e *Entry) describe(m *wire.ExchangeRequest) {
 	m.From, m.Kind, m.Zone = e.cfg.Name, operator.KindEntry, e.cfg.Zone
 	m.Revision, m.Draining, m.Incarnation = e.follower.Revision(), e.leaving.Load(), e.incarnation
--- a/entry/duties.go
+++ b/entry/duties.go
@@ -14,11 +14,12 @@
 	"verbenashift/core/peer/wire"
 )
 
-// exchangeQuota reports what the workspaces used to their home.
+// exchangeQuota reports the usage of workspaces to their home and returns its
+// response.
 func (e *Entry) exchangeQuota(ctx context.Context, home string, digest []byte) ([]byte, error) {
 	t, ok := e.follower.Index().Target(home)
 	if !ok {
-		return nil, errors.Errorf("home %s left the configuration", home)
+		return nil, errors.Errorf("home %s is no longer in the configuration", home)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -31,21 +32,21 @@
 	return resp.Msg.Quota, nil
 }
 
-// countPeriod is the time between two counts of the entries.
+// countPeriod is the interval at which the number of entries is estimated.
 const countPeriod = 5 * time.Second
 
-// countEntries learns how many entries there are. The limiter sets by it what
-// this entry may admit while it is cut off from a workspace's home, the router
-// which targets are in its subset.
+// countEntries tracks the number of entries. From it the limiter derives what
+// this entry may admit while it can't reach a workspace's home, and the router
+// which targets are in this entry's subset.
 func (e *Entry) countEntries(ctx context.Context) {
 	tick := time.NewTicker(countPeriod)
 	defer tick.Stop()
-	told := 0
+	last := 0
 	for {
 		if agents := e.agentSet.Load(); agents != nil {
 			n := e.fleet.estimate(len(*agents))
-			if n != told {
-				told = n
+			if n != last {
+				last = n
 				e.limiter.setFleet(n, *agents)
 				e.router.setEntries(int(xxhash.Sum64String(e.cfg.Name)%uint64(n)), n)
 			}
@@ -58,16 +59,17 @@
 	}
 }
 
-// listBytesPerSecond bounds what the reading of the platform's list may cost.
+// listBytesPerSecond limits the mean rate at which the platform's list is read.
 const listBytesPerSecond = 1024
 
-// instanceBytes is the usual size of one line of the list.
+// instanceBytes is the typical size of one line of the list.
 const instanceBytes = 90
 
-// followInstances reads the platform's list and tells the agents whose
+// followInstances polls the platform's list and notifies the agents whose
 // instance is leaving. The agent is the authority on its draining: it refuses
-// new work at once and its own word spreads, so that in a large fleet each
-// entry may read the long list seldom, and the first that does suffices.
+// new work at once, and its own state spreads by heartbeat. In a large fleet each
+// entry may therefore read the long list seldom, since it suffices that one entry
+// notices.
 func (e *Entry) followInstances(ctx context.Context) {
 	if e.cfg.Instances == "" {
 		return
@@ -78,7 +80,7 @@
 		if err != nil {
 			e.log.Warn("instance list unavailable", "error", err)
 		} else {
-			e.takeList(ctx, list)
+			e.applyInstances(ctx, list)
 		}
 		wait := max(e.cfg.InstancesPoll, time.Duration(len(list))*instanceBytes*time.Second/listBytesPerSecond)
 		select {
@@ -88,9 +90,9 @@
 	}
 }
 
-// takeList keeps new work away from targets whose instance is leaving, and
-// tells their agents.
-func (e *Entry) takeList(ctx context.Context, list []instances.Instance) {
+// applyInstances stops new work for targets whose instance is leaving, and
+// notifies their agents.
+func (e *Entry) applyInstances(ctx context.Context, list []instances.Instance) {
 	x := e.follower.Index()
 	leaving := make(map[string]bool)
 	for _, in := range list {
@@ -101,14 +103,15 @@
 		if x == nil {
 			continue
 		}
-		if t, ok := x.Target(in.Name); ok && !e.fleet.drains(t.Name) {
-			go e.tellLeaving(ctx, t)
+		if t, ok := x.Target(in.Name); ok && !e.fleet.draining(t.Name) {
+			go e.notifyLeaving(ctx, t)
 		}
 	}
 	e.members.SetLeaving(leaving)
 }
 
-func (e *Entry) tellLeaving(ctx context.Context, t *config.Target) {
+// notifyLeaving tells an agent that its instance is leaving.
+func (e *Entry) notifyLeaving(ctx context.Context, t *config.Target) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req := &wire.ExchangeRequest{Leaving: true}
@@ -118,14 +121,14 @@
 		e.log.Info("agent of a leaving instance does not answer", "target", t.Name, "error", err)
 		return
 	}
-	e.fleet.heard(t.Name, resp.Msg)
-	e.router.heard(t.Name, resp.Msg.Load)
+	e.fleet.record(t.Name, resp.Msg)
+	e.router.record(t.Name, resp.Msg.Load)
 }
 
-// memberPeriod is the time between looks at the members.
+// memberPeriod is the interval at which the members' state is applied to routing.
 const memberPeriod = 250 * time.Millisecond
 
-// followMembers keeps new work away from agents that leave, drain or are gone.
+// followMembers stops new work for agents that are leaving, draining or dead.
 func (e *Entry) followMembers(ctx context.Context) {
 	tick := time.NewTicker(memberPeriod)
 	defer tick.Stop()
--- a/entry/fleet.go
+++ b/entry/fleet.go
@@ -18,116 +18,121 @@
 	"verbenashift/core/peer/wire"
 )
 
-// The bounds of a look at the whole fleet, which an operator asks for.
+// The limits of a status query of the whole fleet, which operators request.
 const (
-	statusCalls = 64
-	statusLife  = 500 * time.Millisecond
-	// nodeLife is how long an entry counts as part of the fleet after its
-	// last heartbeat to any agent.
-	nodeLife = 15 * time.Second
-	// keptCounts is how many answers the number of entries is worked out from.
-	keptCounts = 16
+	statusConcurrency = 64
+	statusTTL         = 500 * time.Millisecond
+	// nodeTTL is how long an entry counts as part of the fleet after its last
+	// heartbeat to any agent.
+	nodeTTL = 15 * time.Second
+	// countSamples is the number of reports from which the number of entries is
+	// estimated.
+	countSamples = 16
 )
 
-// fleet holds what is known of the other processes.
+// fleet holds the last known state of the other processes.
 type fleet struct {
 	mu    sync.Mutex
 	nodes map[string]node
-	// counts are the last answers on how many entries an agent has heard.
+	// counts holds the last reports of how many entries an agent has received
+	// heartbeats from.
 	counts []uint32
-	groups map[string]groupHeard
+	groups map[string]groupRecord
 
-	// status is one look at the fleet, shared by those who ask at once.
+	// status is the last result of Status, taken at statusAt; concurrent callers
+	// share it.
 	statusMu sync.Mutex
 	status   operator.FleetStatus
-	taken    time.Time
+	statusAt time.Time
 }
 
-// groupHeard is a group as its steward last told.
-type groupHeard struct {
+// groupRecord is the state of a group as its coordinator last reported it.
+type groupRecord struct {
 	operator.GroupStatus
-	heard time.Time
+	receivedAt time.Time
 }
 
-// node is a process as last heard.
+// node is the state of a process as last received.
 type node struct {
 	operator.Node
-	heard time.Time
+	receivedAt time.Time
 }
 
 func newFleet() *fleet {
-	return &fleet{nodes: make(map[string]node), groups: make(map[string]groupHeard)}
+	return &fleet{nodes: make(map[string]node), groups: make(map[string]groupRecord)}
 }
 
-// heard takes the answer of an agent and what it knows of the entries.
-func (f *fleet) heard(name string, m *wire.ExchangeResponse) {
+// record stores an agent's response and what it reports of the entries.
+func (f *fleet) record(name string, m *wire.ExchangeResponse) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
 	f.counts = append(f.counts, m.EntriesHeard)
-	if n := len(f.counts) - keptCounts; n > 0 {
+	if n := len(f.counts) - countSamples; n > 0 {
 		f.counts = f.counts[n:]
 	}
-	f.keep(node{heard: now, Node: operator.Node{
+	f.store(node{receivedAt: now, Node: operator.Node{
 		Name: name, Kind: operator.KindAgent, Revision: m.Revision, Incarnation: m.GetLoad().GetIncarnation(),
 		Draining: m.GetLoad().GetDraining(), Queued: m.GetLoad().GetQueued(), Running: m.GetLoad().GetRunning(),
 	}})
-	f.keepGroup(m.GroupStatus, now)
+	f.storeGroup(m.GroupStatus, now)
 	for _, n := range m.Nodes {
-		f.keep(node{heard: now.Add(-time.Duration(n.AgeMs) * time.Millisecond), Node: operator.Node{
+		f.store(node{receivedAt: now.Add(-time.Duration(n.AgeMs) * time.Millisecond), Node: operator.Node{
 			Name: n.Name, Kind: operator.KindEntry, Zone: n.Zone, Revision: n.Revision,
 			Incarnation: n.Incarnation, Draining: n.Draining,
 		}})
 	}
 }
 
-// keepGroup takes a steward's word on its group. One whose lease has passed on
-// and who does not know it yet has a lower fence. The caller holds mu.
-func (f *fleet) keepGroup(data []byte, now time.Time) {
+// storeGroup stores a coordinator's report on its group. A coordinator that does
+// not know yet that it has lost its lease has a lower fencing token; its report is
+// ignored. The caller holds mu.
+func (f *fleet) storeGroup(data []byte, now time.Time) {
 	var g operator.GroupStatus
 	if len(data) == 0 || json.Unmarshal(data, &g) != nil || g.Fence < f.groups[g.Name].Fence {
 		return
 	}
-	f.groups[g.Name] = groupHeard{g, now}
+	f.groups[g.Name] = groupRecord{g, now}
 }
 
-// The life of a steward's word: for groupLife it is shown at all, and after
-// nodeLife as that of a group without a steward.
+// A coordinator's report is shown for groupTTL. Once it is older than nodeTTL,
+// the group is shown as one without a coordinator.
 const (
-	groupLife    = time.Hour
-	stateNoOwner = "no-steward"
+	groupTTL           = time.Hour
+	stateNoCoordinator = "no-steward"
 )
 
-// groupList returns the groups heard of, by name.
+// groupList returns the reported groups, sorted by name.
 func (f *fleet) groupList() []operator.GroupStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var list []operator.GroupStatus
 	for _, name := range slices.Sorted(maps.Keys(f.groups)) {
 		g := f.groups[name]
-		age := time.Since(g.heard)
+		age := time.Since(g.receivedAt)
 		g.AgeMillis = age.Milliseconds()
-		if age > nodeLife {
-			g.State = stateNoOwner
+		if age > nodeTTL {
+			g.State = stateNoCoordinator
 		}
-		if age <= groupLife {
+		if age <= groupTTL {
 			list = append(list, g.GroupStatus)
 		}
 	}
 	return list
 }
 
-// keep takes the word that was heard later. The caller holds mu.
-func (f *fleet) keep(n node) {
+// store stores n unless a newer state of the same process is known. The caller
+// holds mu.
+func (f *fleet) store(n node) {
 	key := n.Kind + "/" + n.Name
-	if old, ok := f.nodes[key]; ok && old.heard.After(n.heard) {
+	if old, ok := f.nodes[key]; ok && old.receivedAt.After(n.receivedAt) {
 		return
 	}
 	f.nodes[key] = n
 }
 
-// list returns the configured agents, heard of or not, and the entries heard
-// lately.
+// list returns the configured agents, whether they have reported or not, and the
+// entries that have reported within nodeTTL.
 func (f *fleet) list(targets []config.Target) []operator.Node {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,12 +141,12 @@
 	for _, t := range targets {
 		n, ok := f.nodes[operator.KindAgent+"/"+t.Name]
 		if !ok {
-			n = node{Node: operator.Node{Name: t.Name, Kind: operator.KindAgent}, heard: now.Add(-nodeLife)}
+			n = node{Node: operator.Node{Name: t.Name, Kind: operator.KindAgent}, receivedAt: now.Add(-nodeTTL)}
 		}
 		n.Zone = t.Zone
-		n.AgeMillis = now.Sub(n.heard).Milliseconds()
-		if now.Sub(n.heard) >= nodeLife {
-			n.Revision = 0 // its last word says nothing of what it acts on now
+		n.AgeMillis = now.Sub(n.receivedAt).Milliseconds()
+		if now.Sub(n.receivedAt) >= nodeTTL {
+			n.Revision = 0 // the last report is too old to show the revision in force
 		}
 		nodes = append(nodes, n.Node)
 	}
@@ -149,8 +154,8 @@
 		if n.Kind != operator.KindEntry {
 			continue
 		}
-		n.AgeMillis = now.Sub(n.heard).Milliseconds()
-		if now.Sub(n.heard) > nodeLife {
+		n.AgeMillis = now.Sub(n.receivedAt).Milliseconds()
+		if now.Sub(n.receivedAt) > nodeTTL {
 			delete(f.nodes, key)
 			continue
 		}
@@ -159,16 +164,17 @@
 	return nodes
 }
 
-// drains reports whether an agent has said that it takes no new work.
-func (f *fleet) drains(agent string) bool {
+// draining reports whether an agent has reported that it takes no new work.
+func (f *fleet) draining(agent string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.nodes[operator.KindAgent+"/"+agent].Draining
 }
 
-// estimate returns how many entries there are, from what the agents have heard
-// in a minute. An entry exchanges with a few agents only, so that each of them
-// hears a known part of the entries.
+// estimate returns the estimated number of entries, from the number of entries
+// that the agents have received heartbeats from within a minute. An entry
+// exchanges heartbeats with a few agents only, so that each agent knows a
+// predictable share of the entries.
 func (f *fleet) estimate(agents int) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -179,23 +185,23 @@
 	for _, c := range f.counts {
 		sum += float64(c)
 	}
-	part := 1 - unmet(member.Partners, agents)*unmet(member.SubsetSize, agents)
+	part := 1 - unreachedShare(member.Partners, agents)*unreachedShare(member.SubsetSize, agents)
 	return max(1, int(math.Round(sum/float64(len(f.counts))/part)))
 }
 
-// unmet returns the part of the agents that an entry with so many peers among
-// them does not exchange with.
-func unmet(peers, agents int) float64 {
+// unreachedShare returns the share of the agents that an entry with the given
+// number of peers among them does not exchange heartbeats with.
+func unreachedShare(peers, agents int) float64 {
 	return 1 - math.Min(1, float64(peers)/float64(agents))
 }
 
-// Status asks all agents how they are and which entries they have heard of.
-// Those that do not answer are listed as they were last heard. Operators ask
-// seldom; many who ask at once share one look.
+// Status queries all agents for their state and the entries that they know.
+// Those that do not answer are listed with their last known state. Operators
+// query seldom; concurrent queries share one result.
 func (e *Entry) Status(ctx context.Context) (operator.FleetStatus, error) {
 	e.fleet.statusMu.Lock()
 	defer e.fleet.statusMu.Unlock()
-	if time.Since(e.fleet.taken) < statusLife {
+	if time.Since(e.fleet.statusAt) < statusTTL {
 		return e.fleet.status, nil
 	}
 	x := e.follower.Index()
@@ -203,14 +209,14 @@
 		return operator.FleetStatus{Nodes: []operator.Node{e.self()}}, nil
 	}
 	targets := x.Config().Targets
-	e.askAll(ctx, targets)
+	e.pollAgents(ctx, targets)
 	s := operator.FleetStatus{Nodes: append(e.fleet.list(targets), e.self()), Groups: e.fleet.groupList()}
 	s.Nodes = distinct(s.Nodes)
-	e.fleet.status, e.fleet.taken = s, time.Now()
+	e.fleet.status, e.fleet.statusAt = s, time.Now()
 	return s, nil
 }
 
-// self is this entry as a node.
+// self returns the state of this entry.
 func (e *Entry) self() operator.Node {
 	return operator.Node{
 		Name: e.cfg.Name, Kind: operator.KindEntry, Zone: e.cfg.Zone, Revision: e.follower.Revision(),
@@ -218,7 +224,7 @@
 	}
 }
 
-// distinct keeps the last of several nodes of one kind and name.
+// distinct removes all but the last of several nodes of one kind and name.
 func distinct(nodes []operator.Node) []operator.Node {
 	at := make(map[string]int, len(nodes))
 	var out []operator.Node
@@ -234,19 +240,20 @@
 	return out
 }
 
-func (e *Entry) askAll(ctx context.Context, targets []config.Target) {
+// pollAgents queries all targets' agents and records their responses.
+func (e *Entry) pollAgents(ctx context.Context, targets []config.Target) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(statusCalls)
+	g.SetLimit(statusConcurrency)
 	for _, t := range targets {
 		g.Go(func() error {
 			req := &wire.ExchangeRequest{WantNodes: true}
 			e.describe(req)
 			resp, err := e.dialer.Agent(t.Agent).Exchange(ctx, connect.NewRequest(req))
 			if err == nil {
-				e.fleet.heard(t.Name, resp.Msg)
-				e.router.heard(t.Name, resp.Msg.Load)
+				e.fleet.record(t.Name, resp.Msg)
+				e.router.record(t.Name, resp.Msg.Load)
 			}
 			return nil
 		})
--- a/entry/flow.go
+++ b/entry/flow.go
@@ -16,12 +16,12 @@
 	"verbenashift/core/request/route"
 )
 
-// graceAfterDeadline is how long past the caller's deadline an agent may take
-// to say truthfully what became of the request.
+// graceAfterDeadline is how long past the caller's deadline an agent may take to
+// report the true outcome of the request.
 const graceAfterDeadline = 100 * time.Millisecond
 
-// flow carries one request through the entry: it takes the steps that its
-// relay decides.
+// flow processes one request in the entry. It performs the actions that its
+// relay state machine decides on.
 type flow struct {
 	entry     *Entry
 	req       caller.Request
@@ -34,62 +34,62 @@
 	query   route.Query
 	attempt uint32
 	picked  choice
-	// deadline is the caller's, zero for none.
+	// deadline is the caller's deadline, zero for none.
 	deadline time.Time
 	inFlight bool
-	// freed says that the last attempt broke with its target, so that the next
-	// one draws on no budget.
-	freed bool
-	// firstFrame is when the attempt's first piece came.
+	// budgetExempt reports that the last attempt broke because its target
+	// crashed, so that the next one isn't charged to the retry budget.
+	budgetExempt bool
+	// firstFrame is when the attempt's first data frame was received.
 	firstFrame time.Time
 
-	booked
-	// reading is the request whose answer is read: this one, or an earlier
-	// attempt with the same key.
-	reading   string
-	readingAt *config.Target
-	timer     atomic.Pointer[time.Timer]
+	keyState
+	// answerID identifies the request whose answer is read from answerTarget:
+	// this one, or an earlier attempt with the same key.
+	answerID     string
+	answerTarget *config.Target
+	timer        atomic.Pointer[time.Timer]
 }
 
-// booked is what is known of a request that may not be repeated.
-type booked struct {
+// keyState is the state of the idempotency key of a request.
+type keyState struct {
 	key       booking.Key
 	callerKey bool
 	digest    [sha256.Size]byte
 	home      *config.Target
 	grant     *wire.Grant
-	// claimedAt is when the grant was asked for.
+	// claimedAt is when the grant was requested.
 	claimedAt time.Time
 }
 
-// run takes steps until the request has its outcome.
+// run performs actions until the request has its outcome.
 func (f *flow) run(ctx context.Context) *outcome.Error {
 	for a := f.relay.Start(); ; {
 		if a.Kind == relay.Finish {
 			return a.Err
 		}
-		if f.late(a) {
-			return f.cutShort()
+		if f.pastDeadline(a) {
+			return f.abortError()
 		}
 		if err := f.pause(ctx, a.Wait); err != nil {
 			return err
 		}
 		a = f.relay.Next(f.step(ctx, a))
 		if ctx.Err() != nil && a.Kind != relay.Finish {
-			return f.cutShort()
+			return f.abortError()
 		}
 	}
 }
 
-// late reports whether a step would begin new work for a caller whose deadline
-// has passed.
-func (f *flow) late(a relay.Action) bool {
+// pastDeadline reports whether an action would start an attempt for a caller
+// whose deadline has passed.
+func (f *flow) pastDeadline(a relay.Action) bool {
 	return a.Kind == relay.Pick && !f.deadline.IsZero() && time.Now().After(f.deadline)
 }
 
-// cutShort ends a request whose caller has gone or whose deadline is over.
-// Nothing ran if no attempt has begun.
-func (f *flow) cutShort() *outcome.Error {
+// abortError returns the outcome of a request whose caller has disconnected or
+// whose deadline has passed. Nothing ran if no attempt has begun.
+func (f *flow) abortError() *outcome.Error {
 	reason := relay.ReasonCallerGone
 	if !f.deadline.IsZero() && time.Now().After(f.deadline) {
 		reason = relay.ReasonOverDeadline
@@ -101,31 +101,33 @@
 	return &outcome.Error{Outcome: o, Reason: reason, RetryAfter: f.entry.cfg.RetryAfter}
 }
 
-// pause waits, and returns the end of a request that was cut short meanwhile.
+// pause waits for d. It returns an error if the request is aborted meanwhile.
 func (f *flow) pause(ctx context.Context, d time.Duration) *outcome.Error {
 	if d == 0 || pause.For(ctx, d) {
 		return nil
 	}
-	return f.cutShort()
+	return f.abortError()
 }
 
+// step performs one action and reports the event to which it led.
 func (f *flow) step(ctx context.Context, a relay.Action) relay.Event {
 	before := f.log.delivered
 	ev := f.act(ctx, a)
 	ev.Progress = f.log.delivered > before
-	f.freed = f.lost(ev)
+	f.budgetExempt = f.attemptBroke(ev)
 	return ev
 }
 
-// lost reports whether an attempt broke because its target died, or its agent
-// did, with all that was in flight there.
-func (f *flow) lost(ev relay.Event) bool {
+// attemptBroke reports whether an attempt broke because its target or the target's
+// agent crashed, with all requests in flight there. The retry of such an attempt
+// is exempt from the budget.
+func (f *flow) attemptBroke(ev relay.Event) bool {
 	broke := ev.Kind == relay.Disconnected && !ev.NotSent
 	died := ev.Kind == relay.Ended && ev.Outcome == outcome.Unknown && !ev.Handover
 	if !broke && !died || f.req.MayNotRepeat || f.picked.target == nil {
 		return false
 	}
-	return f.entry.returns.lost(f.picked.target.Name, f.picked.started)
+	return f.entry.retries.attemptBroke(f.picked.target.Name, f.picked.started)
 }
 
 func (f *flow) act(ctx context.Context, a relay.Action) relay.Event {
@@ -145,32 +147,34 @@
 	}
 }
 
+// pick chooses the target of the next attempt, if the retry budget allows one.
 func (f *flow) pick() relay.Event {
-	f.leave(result{})
-	if f.attempt > 0 && !f.goesOn() && !f.freed && !f.entry.returns.retry(f.workspace.Name) {
+	f.endAttempt(result{})
+	if f.attempt > 0 && !f.continuesStream() && !f.budgetExempt && !f.entry.retries.retry(f.workspace.Name) {
 		f.entry.metrics.count("retry-budget-spent")
 		return relay.Event{Kind: relay.NoTarget}
 	}
 	c, ok := f.entry.router.pick(&f.query)
 	if !ok {
-		return relay.Event{Kind: relay.NoTarget, RetryAfter: f.entry.router.comeback()}
+		return relay.Event{Kind: relay.NoTarget, RetryAfter: f.entry.router.retryAfter()}
 	}
 	f.picked, f.inFlight = c, true
-	f.readingAt = c.target
+	f.answerTarget = c.target
 	return relay.Event{Kind: relay.Picked}
 }
 
-// goesOn reports whether the next attempt continues a stream where it broke.
-// When a target or its agent dies, all its streams break at once, many more
-// than the retry budget holds, and each would end as failed though it could be
-// whole. To continue one adds no load beyond what was still to do, and the
-// tries of one request are bounded, so that no storm can come of it.
-func (f *flow) goesOn() bool {
+// continuesStream reports whether the next attempt continues a stream where it
+// broke. Such an attempt isn't charged to the retry budget: when a target or its
+// agent crashes, all its streams break at once, many more than the budget
+// allows, and each would fail although it could be completed. Continuing a
+// stream adds only the work that remained, and the attempts of one request are
+// limited, so that this can't cause a retry storm.
+func (f *flow) continuesStream() bool {
 	return f.req.Stream && !f.req.MayNotRepeat && f.log.delivered > 0
 }
 
-// leave closes the attempt at the picked target, if one is open.
-func (f *flow) leave(res result) {
+// endAttempt ends the attempt at the picked target, if one is in flight.
+func (f *flow) endAttempt(res result) {
 	if !f.inFlight {
 		return
 	}
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -18,25 +18,25 @@
 	"verbenashift/core/request/relay"
 )
 
-// taken is a sink that keeps what the caller is given.
-type taken struct {
+// recordingSink is a sink that records what the caller receives.
+type recordingSink struct {
 	sink
 	text string
 }
 
-func (s *taken) head(int, []*wire.Header) {}
+func (s *recordingSink) head(int, []*wire.Header) {}
 
-func (s *taken) data(_ uint64, p []byte) error {
+func (s *recordingSink) data(_ uint64, p []byte) error {
 	s.text += string(p)
 	return nil
 }
 
-// A stream is read on at another place, from before the caller's last piece,
-// and later with a piece missing. The caller must get no piece twice, and an
-// answer with a hole, or one cut short, must never look whole.
+// A stream is resumed at another agent, which repeats frames that the caller has
+// and later skips one. The caller must get no frame twice, and an answer with a
+// gap, or a truncated one, must never look complete.
 func TestFramesReachCallerOnceAndWhole(t *testing.T) {
 	is := is.New(t)
-	s := &taken{}
+	s := &recordingSink{}
 	f := &flow{entry: &Entry{metrics: processMetrics()}, sink: s}
 	data := func(n uint64, text string) *wire.Frame {
 		return &wire.Frame{Kind: wire.FrameKind_FRAME_KIND_DATA, Sequence: n, Data: []byte(text)}
@@ -55,45 +55,45 @@
 	is.Equal(endEvent(end, 3).Kind, relay.Ended)
 }
 
-// A long answer of a service has partly left when its target dies. The caller
-// must see a broken connection: a part that ends well would be taken for the
-// whole.
+// A target crashes when part of a long answer of a service has been sent. The
+// caller must see a broken connection: a part with a regular end would be taken
+// for the complete answer.
 func TestPartOfAnswerIsAborted(t *testing.T) {
 	is := is.New(t)
-	s := newWholeSink(httptest.NewRecorder(), "r1", 2)
+	s := newBufferedSink(httptest.NewRecorder(), "r1", 2)
 	is.NoErr(s.data(1, []byte("abc"))) // over the buffer
 	is.True(!s.restart())
 	defer func() { is.Equal(recover(), http.ErrAbortHandler) }()
 	s.finish(&outcome.Error{Outcome: outcome.Failed})
-	t.Fatal("the answer ended well")
+	t.Fatal("the partial answer was ended regularly")
 }
 
-// An entry is frozen between the grant of a key and its submission, and wakes
-// when everybody has forgotten the grant. The key may have run elsewhere since.
+// An entry is suspended between the grant of a key and its submission, and resumes
+// when the grant is no longer remembered. The key may have run elsewhere since.
 func TestOldGrantIsNotUsed(t *testing.T) {
 	is := is.New(t)
-	f := &flow{booked: booked{callerKey: true, claimedAt: time.Now().Add(-booking.DefaultGrantLife - time.Second)}}
-	is.True(f.expired())
+	f := &flow{keyState: keyState{callerKey: true, claimedAt: time.Now().Add(-booking.DefaultGrantLife - time.Second)}}
+	is.True(f.grantExpired())
 	f.claimedAt = time.Now()
-	is.True(!f.expired())
+	is.True(!f.grantExpired())
 }
 
-// An entry that has no configuration yet refuses a request with a key. Its
-// caller's earlier try may have run; "not run" would have it book again under
-// another key.
+// An entry without a configuration refuses a request with a key. The caller's
+// earlier attempt may have run; after "not run" the caller could send the work
+// again under another key.
 func TestRefusalOfKeyIsUnknown(t *testing.T) {
 	is := is.New(t)
 	refusal := &outcome.Error{Outcome: outcome.NotRun, Reason: "not-ready"}
 	h := http.Header{}
-	is.Equal(unsure(refusal, h).Outcome, outcome.NotRun)
+	is.Equal(unknownForKey(refusal, h).Outcome, outcome.NotRun)
 	h.Set(caller.HeaderIdempotencyKey, "k1")
-	is.Equal(unsure(refusal, h).Outcome, outcome.Unknown)
-	is.Equal(unsure(errUnauthorized, h), errUnauthorized)
+	is.Equal(unknownForKey(refusal, h).Outcome, outcome.Unknown)
+	is.Equal(unknownForKey(errUnauthorized, h), errUnauthorized)
 }
 
-// A caller that waited for a whole answer was handed over and reads it at
-// another entry. It must get the document as the target made it, and a stream
-// must stay a stream.
+// A caller that waited for an answer was handed over and reads it at another
+// entry. It must get a document as the target produced it, and a stream must stay
+// a stream.
 func TestReadAgainKeepsItsForm(t *testing.T) {
 	for form, want := range map[string]string{
 		"application/json":  "{\"a\":\n1}",
@@ -101,11 +101,11 @@
 	} {
 		is := is.New(t)
 		w := httptest.NewRecorder()
-		s := &lateSink{
-			stream: func() sink { return newStreamSink(w, "r1", time.Second, time.Second) },
-			whole:  func() sink { return newWholeSink(w, "r1", 100) },
+		s := &deferredSink{
+			stream:   func() sink { return newStreamSink(w, "r1", time.Second, time.Second) },
+			document: func() sink { return newBufferedSink(w, "r1", 100) },
 		}
-		s.alive() // nothing is known yet, and nothing may be said
+		s.sendKeepAlive() // the form isn't known yet, so that nothing may be sent
 		s.head(http.StatusOK, []*wire.Header{{Name: "content-type", Values: []string{form}}})
 		piece := "x"
 		if form == "application/json" {
@@ -118,9 +118,8 @@
 	}
 }
 
-// A caller sends a part of its body and falls silent. A few such callers would
-// hold every place of their workspace; each is refused after a while, with a
-// word that says why.
+// A caller sends part of its body and then nothing. A few such callers would use up
+// their workspace's capacity; each must be refused after a timeout, with a reason.
 func TestSlowBodyIsRefused(t *testing.T) {
 	is := is.New(t)
 	e := &Entry{cfg: Settings{SlowCaller: 20 * time.Millisecond, Body: 100}}
--- a/entry/frames.go
+++ b/entry/frames.go
@@ -15,25 +15,27 @@
 	"verbenashift/core/request/relay"
 )
 
+// submit sends the request to the picked target's agent and relays the answer.
 func (f *flow) submit(ctx context.Context, resume bool) relay.Event {
 	ctx, span := f.entry.tracer.Start(ctx, "agent.submit", trace.WithAttributes(attribute.String("target", f.picked.target.Name)))
 	defer span.End()
-	if f.expired() {
+	if f.grantExpired() {
 		return relay.Event{Kind: relay.Disconnected, NotSent: true}
 	}
 	f.attempt++
-	f.reading = f.id
-	msg := f.message(ctx, resume)
+	f.answerID = f.id
+	msg := f.submitRequest(ctx, resume)
 	stream, err := f.entry.dialer.Submit(ctx, f.picked.target.Agent, msg)
 	if err != nil {
-		return f.broken(err)
+		return f.transportError(err)
 	}
 	return f.read(stream)
 }
 
-// message builds the call to the agent. A broken stream that may be repeated
-// goes on from the text that the caller has had; a whole answer begins again.
-func (f *flow) message(ctx context.Context, resume bool) *wire.SubmitRequest {
+// submitRequest builds the request to the agent. A broken stream that may be
+// repeated continues after the text that the caller has received; an answer that
+// isn't a stream starts again.
+func (f *flow) submitRequest(ctx context.Context, resume bool) *wire.SubmitRequest {
 	msg := &wire.SubmitRequest{
 		RequestId:    f.id,
 		Attempt:      f.attempt,
@@ -66,7 +68,7 @@
 		Model: f.req.Model, Service: f.req.Service, Stream: f.req.Stream,
 	}
 	for name, values := range f.req.Header {
-		if passes(name) {
+		if forwarded(name) {
 			c.Headers = append(c.Headers, &wire.Header{Name: name, Values: values})
 		}
 	}
@@ -76,9 +78,9 @@
 	return c
 }
 
-// passes reports whether a caller's header goes on to the target. The caller's
-// token is for the entry alone.
-func passes(name string) bool {
+// forwarded reports whether a caller's header is sent on to the target. The
+// caller's token is for the entry only.
+func forwarded(name string) bool {
 	switch name {
 	case "Authorization", peer.HeaderSharedPrefix, "X-Workspace":
 		return false
@@ -86,12 +88,13 @@
 	return true
 }
 
+// attach reads on an answer that its agent already has.
 func (f *flow) attach(ctx context.Context) relay.Event {
-	if f.readingAt == nil {
+	if f.answerTarget == nil {
 		return relay.Event{Kind: relay.RecordLost}
 	}
-	stream, err := f.entry.dialer.Attach(ctx, f.readingAt.Agent, &wire.AttachRequest{
-		RequestId:  f.reading,
+	stream, err := f.entry.dialer.Attach(ctx, f.answerTarget.Agent, &wire.AttachRequest{
+		RequestId:  f.answerID,
 		Workspace:  f.workspace.Name,
 		After:      f.log.delivered,
 		Attempt:    f.attempt,
@@ -99,7 +102,7 @@
 		Path:       f.req.Path,
 	})
 	if err != nil {
-		return f.broken(err)
+		return f.transportError(err)
 	}
 	return f.read(stream)
 }
@@ -110,7 +113,7 @@
 	var frame wire.Frame
 	for {
 		if err := stream.Receive(&frame); err != nil {
-			return f.broken(err)
+			return f.transportError(err)
 		}
 		done, ev := f.frame(&frame)
 		if done {
@@ -119,21 +122,22 @@
 	}
 }
 
-// frame takes one frame. Frames that the caller has had are dropped, and a gap
-// ends the attempt, since an answer with a hole must never look whole.
+// frame processes one frame. Frames that the caller has already received are
+// dropped, and a gap ends the attempt, since an answer with a missing part must
+// never look complete.
 func (f *flow) frame(m *wire.Frame) (done bool, ev relay.Event) {
 	switch m.Kind {
 	case wire.FrameKind_FRAME_KIND_HEAD:
 		f.sink.head(int(m.Status), m.Headers)
 		if m.Sequence == 0 && f.log.delivered > 0 && !f.req.Stream {
-			return f.beginAgain()
+			return f.restartAnswer()
 		}
 		return false, ev
 	case wire.FrameKind_FRAME_KIND_DATA:
 		return f.data(m)
 	case wire.FrameKind_FRAME_KIND_END:
 		ev := endEvent(m, f.log.delivered)
-		f.leave(result{
+		f.endAttempt(result{
 			load: m.Load, failed: ev.Outcome == outcome.Failed || ev.Outcome == outcome.Unknown, pause: pauseOf(m),
 		})
 		return true, ev
@@ -142,8 +146,9 @@
 	}
 }
 
-// beginAgain starts a whole answer afresh; it cannot once some of it has left.
-func (f *flow) beginAgain() (bool, relay.Event) {
+// restartAnswer discards what was buffered of an answer that isn't a stream. The
+// attempt fails if part of the answer has already been sent.
+func (f *flow) restartAnswer() (bool, relay.Event) {
 	if !f.sink.restart() {
 		return true, relay.Event{Kind: relay.Ended, Outcome: outcome.Failed, Reason: relay.ReasonInterrupted}
 	}
@@ -151,6 +156,7 @@
 	return false, relay.Event{}
 }
 
+// data relays one data frame to the caller.
 func (f *flow) data(m *wire.Frame) (bool, relay.Event) {
 	if m.Sequence <= f.log.delivered {
 		return false, relay.Event{}
@@ -169,8 +175,9 @@
 	return false, relay.Event{}
 }
 
-// endEvent reads an END frame. An end that claims completeness before all its
-// frames came is a broken one.
+// endEvent returns the event of an END frame. An END frame that reports a
+// complete answer before all data frames were received counts as a broken
+// connection.
 func endEvent(m *wire.Frame, delivered uint64) relay.Event {
 	o := peer.FromWire(m.Outcome)
 	if o == outcome.Complete && m.Sequence != delivered+1 {
@@ -188,7 +195,8 @@
 	}
 }
 
-// pauseOf returns for how long the target of an attempt wants nothing, by its END frame.
+// pauseOf returns for how long the target of an attempt accepts no requests,
+// according to its END frame.
 func pauseOf(m *wire.Frame) time.Duration {
 	if m.Reason != peer.ReasonPaused {
 		return 0
@@ -196,9 +204,9 @@
 	return time.Duration(m.RetryAfterMs) * time.Millisecond
 }
 
-// broken reports a transport error.
-func (f *flow) broken(err error) relay.Event {
+// transportError ends the attempt after a transport error.
+func (f *flow) transportError(err error) relay.Event {
 	unsent := peer.NotSent(err)
-	f.leave(result{failed: !errors.Is(err, context.Canceled), unsent: unsent})
+	f.endAttempt(result{failed: !errors.Is(err, context.Canceled), unsent: unsent})
 	return relay.Event{Kind: relay.Disconnected, NotSent: unsent}
 }
--- a/entry/keyed.go
+++ b/entry/keyed.go
@@ -16,8 +16,9 @@
 // callTimeout bounds one short call to an agent.
 const callTimeout = 2 * time.Second
 
-// findHome sets the home of the request's key, unless the key is the entry's
-// own: nobody else can hold a fresh request id, so that no register is asked.
+// findHome sets the home of the caller's key. Without one the entry uses the
+// fresh request id as the key: nobody else can hold it, so that no home needs to
+// be queried.
 func (f *flow) findHome(x *config.Index) {
 	if f.req.IdempotencyKey == "" {
 		return
@@ -36,16 +37,16 @@
 	}
 }
 
-// claim asks the key's home for the right to run it at the picked target.
-// Without a picked target the claim names no executor: the home then tells an
-// earlier attempt, or refuses the claim and remembers nothing.
+// claim requests a grant from the key's home to run the request at the picked
+// target. Without a picked target the claim names no executor: the home then
+// reports an earlier attempt, or refuses the claim and records nothing.
 func (f *flow) claim(ctx context.Context) relay.Event {
 	executor := ""
 	if f.inFlight {
 		executor = f.picked.target.Name
 	}
 	if f.inFlight && f.picked.incarnation == 0 {
-		f.learnIncarnation(ctx)
+		f.fetchIncarnation(ctx)
 	}
 	if !f.callerKey {
 		f.grant = &wire.Grant{Key: f.key[:], Attempt: uint64(f.attempt) + 1}
@@ -58,7 +59,7 @@
 	defer cancel()
 	ctx, span := f.entry.tracer.Start(ctx, "home.claim")
 	defer span.End()
-	asked := time.Now()
+	sentAt := time.Now()
 	resp, err := f.entry.dialer.Agent(f.home.Agent).Claim(ctx, connect.NewRequest(&wire.ClaimRequest{
 		Key: f.key[:], Workspace: f.workspace.Name, BodyDigest: f.digest[:], RequestId: f.id,
 		Executor: executor, ExecutorIncarnation: f.picked.incarnation,
@@ -67,12 +68,12 @@
 	if err != nil {
 		return relay.Event{Kind: relay.ClaimFailed}
 	}
-	return f.claimed(resp.Msg, asked)
+	return f.claimResult(resp.Msg, sentAt)
 }
 
-// learnIncarnation asks the picked agent which of its lives this is. A grant
-// is made for one incarnation, so that a restarted agent refuses it.
-func (f *flow) learnIncarnation(ctx context.Context) {
+// fetchIncarnation queries the picked agent for its incarnation. A grant is made
+// for one incarnation, so that a restarted agent refuses it.
+func (f *flow) fetchIncarnation(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := f.entry.dialer.Agent(f.picked.target.Agent).Exchange(ctx, connect.NewRequest(&wire.ExchangeRequest{
@@ -82,18 +83,20 @@
 		return
 	}
 	f.picked.incarnation = resp.Msg.GetLoad().GetIncarnation()
-	f.entry.router.heard(f.picked.target.Name, resp.Msg.GetLoad())
+	f.entry.router.record(f.picked.target.Name, resp.Msg.GetLoad())
 }
 
-func (f *flow) claimed(m *wire.ClaimResponse, asked time.Time) relay.Event {
+// claimResult stores the grant of a claim and returns the event that the home's
+// response stands for.
+func (f *flow) claimResult(m *wire.ClaimResponse, sentAt time.Time) relay.Event {
 	wait := time.Duration(m.RetryAfterMs) * time.Millisecond
 	f.grant = m.Grant
-	f.claimedAt = asked
+	f.claimedAt = sentAt
 	switch m.State {
 	case wire.ClaimState_CLAIM_STATE_GRANTED:
 		return relay.Event{Kind: relay.Granted}
 	case wire.ClaimState_CLAIM_STATE_HELD:
-		return f.hold(m)
+		return f.readEarlier(m)
 	case wire.ClaimState_CLAIM_STATE_MISMATCH:
 		return relay.Event{Kind: relay.Mismatch}
 	case wire.ClaimState_CLAIM_STATE_UNKNOWN:
@@ -109,36 +112,38 @@
 	return relay.Event{Kind: relay.ClaimFailed, RetryAfter: wait}
 }
 
-// expired reports whether the grant is too old to be used. A process that was
-// frozen after its claim must not submit a grant that everybody has forgotten.
-func (f *flow) expired() bool {
+// grantExpired reports whether the grant is too old to be used. A process that
+// was suspended after its claim must not submit a grant that its home no longer
+// remembers.
+func (f *flow) grantExpired() bool {
 	return f.callerKey && time.Since(f.claimedAt) > booking.DefaultGrantLife
 }
 
-// hold turns to the earlier attempt that has the key.
-func (f *flow) hold(m *wire.ClaimResponse) relay.Event {
-	f.leave(result{})
+// readEarlier switches the flow to the answer of the earlier attempt that holds
+// the key.
+func (f *flow) readEarlier(m *wire.ClaimResponse) relay.Event {
+	f.endAttempt(result{})
 	t, ok := f.entry.follower.Index().Target(m.Executor)
 	if !ok {
 		return relay.Event{Kind: relay.Uncertain}
 	}
-	f.reading = m.RequestId
-	f.readingAt = t
-	// The answer has the name of the attempt that made it: the caller can read
-	// it on only by that one.
-	f.sink.rename(m.RequestId)
+	f.answerID = m.RequestId
+	f.answerTarget = t
+	// The answer is stored under the id of the attempt that produced it; the
+	// caller needs that id to resume it.
+	f.sink.setID(m.RequestId)
 	f.picked.target = t
 	f.picked.incarnation = m.ExecutorIncarnation
 	return relay.Event{Kind: relay.Held}
 }
 
-// seal asks the executor what became of the attempt; if it never ran, the
+// seal queries the executor for the fate of the attempt. If it never ran, the
 // executor refuses it from now on, so that a delayed copy can do no harm.
 func (f *flow) seal(ctx context.Context) relay.Event {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	resp, err := f.entry.dialer.Agent(f.readingAt.Agent).Settle(ctx, connect.NewRequest(&wire.SettleRequest{
-		Grant: f.grant, RequestId: f.reading, Incarnation: f.picked.incarnation, BodyDigest: f.digest[:],
+	resp, err := f.entry.dialer.Agent(f.answerTarget.Agent).Settle(ctx, connect.NewRequest(&wire.SettleRequest{
+		Grant: f.grant, RequestId: f.answerID, Incarnation: f.picked.incarnation, BodyDigest: f.digest[:],
 	}))
 	if err != nil {
 		return relay.Event{Kind: relay.Disconnected}
@@ -155,8 +160,9 @@
 	}
 }
 
-// release gives the key back to its home with the executor's word as proof. A
-// lost call does no harm: the next try settles the attempt by itself.
+// release frees the key at its home. The executor's reply proves that the attempt
+// never ran. A lost call does no harm: the next attempt with the key resolves
+// this one.
 func (f *flow) release(ctx context.Context) relay.Event {
 	if !f.callerKey || f.grant == nil {
 		return relay.Event{Kind: relay.Released}
--- a/entry/late.go
+++ b/entry/late.go
@@ -9,31 +9,32 @@
 	"verbenashift/core/request/outcome"
 )
 
-// lateSink is the sink of a caller that reads an earlier answer: only the head
-// of the answer tells whether it is a stream of events or one document. Reading
-// on from the middle is always a stream.
-type lateSink struct {
-	stream func() sink
-	whole  func() sink
+// deferredSink is the sink of a caller that reads an earlier answer. Only the
+// head of the answer shows whether it is a stream of events or one document, so
+// that the sink is chosen then. An answer that is read on from the middle is
+// always a stream.
+type deferredSink struct {
+	stream   func() sink
+	document func() sink
 
 	mu     sync.Mutex
 	chosen sink
 }
 
-func (s *lateSink) choose(stream bool) sink {
+func (s *deferredSink) choose(stream bool) sink {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.chosen != nil {
 		return s.chosen
 	}
-	s.chosen = s.whole()
+	s.chosen = s.document()
 	if stream {
 		s.chosen = s.stream()
 	}
 	return s.chosen
 }
 
-func (s *lateSink) head(status int, headers []*wire.Header) {
+func (s *deferredSink) head(status int, headers []*wire.Header) {
 	stream := false
 	for _, h := range headers {
 		if http.CanonicalHeaderKey(h.Name) == "Content-Type" && len(h.Values) > 0 {
@@ -43,31 +44,31 @@
 	s.choose(stream).head(status, headers)
 }
 
-func (s *lateSink) data(id uint64, p []byte) error {
+func (s *deferredSink) data(id uint64, p []byte) error {
 	return s.choose(true).data(id, p)
 }
 
-func (s *lateSink) restart() bool {
+func (s *deferredSink) restart() bool {
 	return s.choose(true).restart()
 }
 
-// rename does nothing: the caller has named the answer itself.
-func (s *lateSink) rename(string) {}
+// setID does nothing: the caller has requested the answer by its id.
+func (s *deferredSink) setID(string) {}
 
-// alive says nothing before the answer's form is known.
-func (s *lateSink) alive() {
+// sendKeepAlive sends nothing before the form of the answer is known.
+func (s *deferredSink) sendKeepAlive() {
 	s.mu.Lock()
 	chosen := s.chosen
 	s.mu.Unlock()
 	if chosen != nil {
-		chosen.alive()
+		chosen.sendKeepAlive()
 	}
 }
 
-func (s *lateSink) finish(err *outcome.Error) {
+func (s *deferredSink) finish(err *outcome.Error) {
 	s.choose(err == nil).finish(err)
 }
 
-func (s *lateSink) handover() {
+func (s *deferredSink) handover() {
 	s.choose(true).handover()
 }
--- a/entry/limiter.go
+++ b/entry/limiter.go
@@ -10,11 +10,13 @@
 	"verbenashift/core/request/quota"
 )
 
-// reportTick is how often the limiter looks for reports that are due.
-const reportTick = 100 * time.Millisecond
+// reportPeriod is the interval at which the limiter checks for reports that are
+// due.
+const reportPeriod = 100 * time.Millisecond
 
-// limiter keeps the limits of the workspaces over all entries. Its decisions
-// need no call; what it admitted is reported to the workspace's home.
+// limiter enforces the rate limits of the workspaces across all entries. Its
+// decisions need no call; the usage that it admitted is reported to the
+// workspace's home.
 type limiter struct {
 	mu     sync.Mutex
 	quota  *quota.Limiter
@@ -25,19 +27,19 @@
 	return &limiter{quota: quota.New(entry, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))), limits: make(map[string]bool)}
 }
 
-// update takes the limits and the agents of a new configuration.
+// update applies the limits of a new configuration.
 func (l *limiter) update(x *config.Index) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	cfg := x.Config()
-	gone := l.limits
+	removed := l.limits
 	l.limits = make(map[string]bool, 2*len(cfg.Workspaces))
 	for _, limit := range quotaLimits(cfg) {
 		l.quota.SetLimit(limit.name, limit.Limit)
 		l.limits[limit.name] = true
-		delete(gone, limit.name)
+		delete(removed, limit.name)
 	}
-	for name := range gone {
+	for name := range removed {
 		l.quota.Forget(name)
 	}
 }
@@ -48,7 +50,7 @@
 	name string
 }
 
-// quotaLimits lists the limits of a configuration.
+// quotaLimits returns the limits of a configuration.
 func quotaLimits(cfg config.Config) []namedLimit {
 	var limits []namedLimit
 	for _, ws := range cfg.Workspaces {
@@ -62,14 +64,15 @@
 	return limits
 }
 
-// setFleet tells the limiter how many entries share the limits.
+// setFleet sets the number of entries that share the limits, and the agents.
 func (l *limiter) setFleet(entries int, agents []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.quota.SetMembers(entries, agents)
 }
 
-// allow takes one request of cost tokens, or returns when to come back.
+// allow charges one request of cost tokens. If a limit is reached, it returns
+// false and the delay after which to retry.
 func (l *limiter) allow(workspace string, cost uint64) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,16 +84,16 @@
 	return wait, ok
 }
 
-// settle corrects an admitted request by what it really took.
-func (l *limiter) settle(workspace string, cost, actual uint64) {
+// reconcile corrects the charge of an admitted request to its actual cost.
+func (l *limiter) reconcile(workspace string, cost, actual uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.quota.Reconcile(workspace, int64(cost), int64(actual), time.Now())
 }
 
-// report sends the reports that are due to their homes until ctx ends.
+// report sends reports that are due to the homes until ctx is done.
 func (l *limiter) report(ctx context.Context, exchange func(context.Context, string, []byte) ([]byte, error)) {
-	tick := time.NewTicker(reportTick)
+	tick := time.NewTicker(reportPeriod)
 	defer tick.Stop()
 	for {
 		for _, home := range l.due() {
--- a/entry/listen.go
+++ b/entry/listen.go
@@ -30,10 +30,11 @@
 	return nil
 }
 
-// listenCallers lets callers in when the first configuration is in force. An
-// entry that has just started can look no key up; if it took a caller, a
-// request with a key would have to end as unknown, whereas a connection that is
-// refused shows that nothing has run and that another entry is to be asked.
+// listenCallers opens the listener for callers once the first configuration is
+// in force. Without a configuration an entry can't look up idempotency keys, and
+// would have to answer a request with a key with the outcome unknown. A refused
+// connection tells the caller that nothing has run and that it should try
+// another entry.
 func (e *Entry) listenCallers(ctx context.Context, shutdown fx.Shutdowner) {
 	select {
 	case <-e.configured:
@@ -88,12 +89,13 @@
 	return m
 }
 
-// refuseAll answers every request with the same refusal.
+// refuseAll returns a handler that refuses every request with err.
 func (e *Entry) refuseAll(err *outcome.Error) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { e.refuse(w, err) })
 }
 
-// unready is the balancer's check: it fails before the entry refuses work.
+// unready returns why the load balancer should send no callers here, or "" if
+// the entry is ready. On a drain it reports so before the entry refuses work.
 func (e *Entry) unready() string {
 	switch {
 	case e.leaving.Load():
@@ -106,7 +108,7 @@
 	return ""
 }
 
-// revisions returns those that were in force here.
+// revisions returns the revision in force here and the history of those that were.
 func (e *Entry) revisions() observe.Revisions {
 	history := []uint64{}
 	for _, f := range e.follower.History() {
@@ -115,9 +117,9 @@
 	return observe.Revisions{Revision: e.follower.Revision(), History: history}
 }
 
-// drain ends the entry without cutting a request off: the balancer is told
-// first, new work is refused next, what runs may end, and what is left at the
-// bound goes on at another entry.
+// drain shuts the entry down without interrupting a request: it first fails the
+// balancer's check, then refuses new work and waits for the requests in
+// progress. Those that remain at the timeout are handed over to another entry.
 func (e *Entry) drain(context.Context) error {
 	e.leaving.Store(true)
 	e.log.Info("draining", "open", e.open.len())
@@ -141,7 +143,8 @@
 	return nil
 }
 
-// idle waits until nothing is in progress, for at most d.
+// idle waits up to d for the requests in progress to end, and reports whether
+// they did.
 func (e *Entry) idle(d time.Duration) bool {
 	return pause.Until(d, func() bool { return e.open.len() == 0 })
 }
--- a/entry/listen_test.go
+++ b/entry/listen_test.go
@@ -16,7 +16,7 @@
 	"verbenashift/core/configuration/store"
 )
 
-// oneConfig is a platform's store that holds one configuration.
+// oneConfig is a store that holds one configuration.
 type oneConfig struct {
 	head []byte
 }
@@ -30,10 +30,10 @@
 	return ctx.Err()
 }
 
-// An entry is started again while callers look for one. A caller with a key
-// that it took before it had its configuration would have to hear "unknown",
-// though nothing has run: its port opens only with the first configuration,
-// which by then all of the entry acts on.
+// An entry restarts while callers try to connect. If it accepted a caller with a
+// key before it has a configuration, it would have to answer "unknown" although
+// nothing has run. The port for callers must open only after the first
+// configuration has been applied to all parts of the entry.
 func TestCallersWaitForConfiguration(t *testing.T) {
 	is := is.New(t)
 	free := httptest.NewServer(nil)
--- a/entry/main.go
+++ b/entry/main.go
@@ -29,7 +29,7 @@
 	}.Main()
 }
 
-// check checks what no single setting shows.
+// check validates the settings that depend on one another and on files.
 func (c *Settings) check(file string) error {
 	if err := c.checkCallerKeys(); err != nil {
 		return errors.Wrapf(err, "settings file %s: [caller-tls]", file)
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// checkCallerKeys loads the callers' certificate. Without one the listeners
-// may stand on loopback only.
+// checkCallerKeys loads the certificate shown to callers and operators. Without
+// one the listeners must be on loopback addresses.
 func (c *Settings) checkCallerKeys() error {
 	if c.CallerCert != "" {
 		_, err := tls.LoadX509KeyPair(c.CallerCert, c.CallerKey)
@@ -53,7 +53,7 @@
 	return keys.CheckClear(c.Operators)
 }
 
-// serve runs the entry until it is told to stop.
+// serve runs the entry until it is asked to stop and returns the exit code.
 func serve(cfg Settings) int {
 	return process.Run(cfg.DrainNotice+cfg.DrainTimeout+time.Minute,
 		fx.Supply(cfg),
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -7,7 +7,7 @@
 	"verbenashift/core/plumbing/histogram"
 )
 
-// metrics are the entry's counters, shown by expvar.
+// metrics holds the entry's counters, published through expvar.
 type metrics struct {
 	outcomes     *expvar.Map
 	refused      *expvar.Int
@@ -17,7 +17,7 @@
 }
 
 // processMetrics returns the metrics of this process. There is one set, since
-// expvar knows each name once.
+// expvar allows each name to be published only once.
 var processMetrics = sync.OnceValue(func() *metrics {
 	return &metrics{
 		outcomes:     expvar.NewMap("entry-outcomes"),
--- a/entry/open.go
+++ b/entry/open.go
@@ -11,12 +11,13 @@
 	"verbenashift/core/request/outcome"
 )
 
-// errHandover is the cause with which the requests that are left at the end of
-// a drain are ended: their answers go on at another entry.
+// errHandover is the cancellation cause of the requests that remain at the end
+// of a drain: their answers are continued at another entry.
 var errHandover = errors.New("handed over to another entry")
 
-// openCount bounds the requests in progress, in all and for each workspace.
-type openCount struct {
+// openRequests counts and limits the requests in progress, in total and per
+// workspace.
+type openRequests struct {
 	limit      int
 	retryAfter time.Duration
 
@@ -25,13 +26,14 @@
 	counts map[string]int
 }
 
-func newOpenCount(limit int, retryAfter time.Duration) *openCount {
-	return &openCount{limit: limit, retryAfter: retryAfter, counts: make(map[string]int)}
+func newOpenRequests(limit int, retryAfter time.Duration) *openRequests {
+	return &openRequests{limit: limit, retryAfter: retryAfter, counts: make(map[string]int)}
 }
 
-// take opens a request of a workspace or refuses it. A workspace that sets no
-// bound may use half of the entry, so that it never takes the others' places.
-func (o *openCount) take(ws *config.Workspace) *outcome.Error {
+// acquire admits a request of a workspace or refuses it. A workspace without a
+// limit of its own may use half of the entry's capacity, so that it can't
+// exhaust the capacity of the others.
+func (o *openRequests) acquire(ws *config.Workspace) *outcome.Error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	bound := ws.MaxStreams
@@ -49,7 +51,7 @@
 	return nil
 }
 
-func (o *openCount) release(workspace string) {
+func (o *openRequests) release(workspace string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.total--
@@ -59,13 +61,13 @@
 	}
 }
 
-func (o *openCount) len() int {
+func (o *openRequests) len() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.total
 }
 
-// flowSet holds the requests in progress, so that a drain can hand them over.
+// flowSet tracks the requests in progress, so that a drain can hand them over.
 type flowSet struct {
 	mu    sync.Mutex
 	stops map[*flow]context.CancelCauseFunc
@@ -86,7 +88,8 @@
 	delete(s.stops, f)
 }
 
-// handOver ends every connection in progress without ending its answer.
+// handOver cancels all requests in progress with errHandover and returns their
+// number. Their answers stay readable at another entry.
 func (s *flowSet) handOver() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -11,7 +11,7 @@
 	"verbenashift/core/configuration/store"
 )
 
-// operatorRoutes serves the administration API.
+// operatorRoutes returns the handler of the administration API.
 func (e *Entry) operatorRoutes() http.Handler {
 	return operator.New(operator.Deps{
 		Store: headStore{e.store, e.follower}, Fleet: e, Current: e.follower.Index,
@@ -19,14 +19,15 @@
 	})
 }
 
-// headStore puts a configuration that the store has accepted from this entry
-// in force here at once, so that an operator's next call finds it.
+// headStore is a store client that applies a configuration written by this entry
+// here at once, so that an operator's next call sees it.
 type headStore struct {
 	*store.Client
 	follower *follow.Follower
 }
 
-// CompareAndSwap writes a key and offers a new head to this process.
+// CompareAndSwap writes a key. If that is the configuration head, it also offers
+// the new configuration to this process.
 func (s headStore) CompareAndSwap(ctx context.Context, key string, version int64, value []byte, lease int64) (int64, error) {
 	next, err := s.Client.CompareAndSwap(ctx, key, version, value, lease)
 	if err != nil || key != intent.HeadKey {
--- a/entry/progress.go
+++ b/entry/progress.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// progress is what the caller of a stream has had.
+// progress records what the caller of a stream has received.
 type progress struct {
-	// delivered counts the data frames.
+	// delivered is the number of data frames.
 	delivered uint64
-	// buf holds them one after the other, ends where each one ends; they are
-	// kept for streams that may be continued on another target.
+	// buf holds the frames' bytes and ends the offset at which each frame ends.
+	// They are retained for streams that may be continued on another target.
 	buf  []byte
 	ends []int
 }
 
-// add counts one frame and keeps its bytes if asked to.
+// add counts one frame and retains its bytes if keep is set.
 func (p *progress) add(data []byte, keep bool) {
 	p.delivered++
 	if !keep {
@@ -35,8 +35,8 @@
 	} `json:"choices"`
 }
 
-// text returns the text that the caller has had, read from the kept frames.
-// It is worked out only when a stream has to be continued.
+// text returns the text that the caller has received, parsed from the retained
+// frames. It is called only when a stream has to be continued.
 func (p *progress) text() string {
 	var sb strings.Builder
 	start := 0
--- a/entry/resume.go
+++ b/entry/resume.go
@@ -13,9 +13,9 @@
 	"verbenashift/core/request/relay"
 )
 
-// serveResume gives a caller the answer of an earlier request again, from the
-// event after the one it had last. The agents know the request's workspace and
-// show the answer to no other.
+// serveResume sends a caller the answer of an earlier request, starting after the
+// last event that it received. The agents know the request's workspace and give
+// the answer to no other.
 func (e *Entry) serveResume(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	index, ws, err := e.identify(r)
@@ -37,20 +37,20 @@
 		e.refuse(w, &outcome.Error{Outcome: outcome.Unknown, Reason: relay.ReasonAnswerGone, Status: http.StatusNotFound})
 		return
 	}
-	f := &flow{entry: e, workspace: ws, id: res.RequestID, reading: res.RequestID, readingAt: holder}
+	f := &flow{entry: e, workspace: ws, id: res.RequestID, answerID: res.RequestID, answerTarget: holder}
 	f.req = caller.Request{MayNotRepeat: true, Stream: true}
 	f.log.delivered = res.After
 	f.attempt = 1
-	f.sink = &lateSink{
-		stream: func() sink { return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.KeepAlive) },
-		whole:  func() sink { return newWholeSink(w, f.id, e.cfg.ResponseBuffer) },
+	f.sink = &deferredSink{
+		stream:   func() sink { return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.KeepAlive) },
+		document: func() sink { return newBufferedSink(w, f.id, e.cfg.ResponseBuffer) },
 	}
 	f.relay = relay.NewReader(relay.Limits{Attaches: e.cfg.Attaches, Backoff: e.cfg.Backoff, RetryAfter: e.cfg.RetryAfter})
 	e.finish(r.Context(), f, started)
 }
 
-// findHolder asks the agents which of them holds the answer. Few answers are
-// asked for again, so that asking all agents costs little.
+// findHolder queries all agents for the one that holds the answer. Answers are
+// seldom resumed, so that querying all agents costs little.
 func (e *Entry) findHolder(ctx context.Context, x *config.Index, ws *config.Workspace, res caller.Resume) *config.Target {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/entry/router.go
+++ b/entry/router.go
@@ -13,11 +13,11 @@
 	"verbenashift/core/request/route"
 )
 
-// judgePeriod is the time between two judgements of the targets' health.
-const judgePeriod = 250 * time.Millisecond
+// healthPeriod is the interval at which the targets' health is evaluated.
+const healthPeriod = 250 * time.Millisecond
 
-// router guards the routing table of this entry and the health of the targets.
-// A pick takes well under a microsecond, so that one lock serves all requests.
+// router holds the routing table of this entry and the health of the targets. A
+// pick takes well under a microsecond, so that one lock suffices for all requests.
 type router struct {
 	log *slog.Logger
 
@@ -25,7 +25,7 @@
 	table   *route.Table
 	monitor *health.Monitor
 	rng     *rand.Rand
-	// paused is until when targets want nothing.
+	// paused holds the time until which a target accepts no requests.
 	paused map[string]time.Time
 	// incarnations holds the last known incarnation of each target's agent.
 	incarnations map[string]uint64
@@ -52,7 +52,7 @@
 	}
 }
 
-// update takes a new configuration.
+// update applies a new configuration.
 func (r *router) update(x *config.Index) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 	r.index = x
 	r.table.Update(targets)
-	r.watch()
+	r.updateMonitor()
 }
 
 // adapters returns the adapters that targets of a model may load.
@@ -77,20 +77,21 @@
 	return nil
 }
 
-// setEntries tells the table its entry's place among the live entries, by
-// which their subsets of targets are spread evenly.
+// setEntries sets this entry's index among the live entries, by which their
+// subsets of targets are balanced.
 func (r *router) setEntries(index, entries int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table.SetEntries(index, entries)
 }
 
-// watch has the monitor watch the targets at their places in the table.
-func (r *router) watch() {
+// updateMonitor sets the targets that the health monitor watches, at the same
+// indexes as in the table.
+func (r *router) updateMonitor() {
 	members := make([]health.Member, r.table.Len())
 	for i := range members {
 		if !r.table.Configured(i) {
-			continue // an empty member is none, and counts in no floor
+			continue // the monitor ignores an empty member, also in its minimum of healthy ones
 		}
 		t := r.table.Target(i)
 		members[i] = health.Member{Name: t.Name, Pool: t.Model + "/" + t.Service, Group: t.Group}
@@ -98,21 +99,21 @@
 	r.monitor.Update(members)
 }
 
-// judge applies the monitor's word on the targets until ctx ends.
-func (r *router) judge(ctx context.Context) {
-	tick := time.NewTicker(judgePeriod)
+// monitorHealth applies the monitor's results to the table until ctx is done.
+func (r *router) monitorHealth(ctx context.Context) {
+	tick := time.NewTicker(healthPeriod)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			r.apply(now)
+			r.applyHealth(now)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (r *router) apply(now time.Time) {
+func (r *router) applyHealth(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.monitor.Tick(now, r.rng) {
@@ -145,9 +146,9 @@
 	return choice{slot: slot, target: t, incarnation: r.incarnations[name], cost: q.Cost, started: now}, true
 }
 
-// comeback returns when the first target that has asked for a pause takes requests again; 0 if
-// none has.
-func (r *router) comeback() time.Duration {
+// retryAfter returns the time until the first paused target accepts requests
+// again, or 0 if none is paused.
+func (r *router) retryAfter() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	first := time.Duration(0)
@@ -159,20 +160,20 @@
 	return first
 }
 
-// result is how an attempt at a target went.
+// result is the result of an attempt at a target.
 type result struct {
-	// load is what the agent said last, nil if nothing.
+	// load is the agent's last load report, nil if there was none.
 	load *wire.Load
-	// firstToken is the time to the first frame, 0 if none came.
+	// firstToken is the time to the first frame, 0 if none was received.
 	firstToken time.Duration
-	// failed says that the target or the way to it failed, unsent that nothing
-	// reached it.
+	// failed reports that the target or the connection to it failed, unsent that
+	// nothing reached the target.
 	failed, unsent bool
-	// pause is how long the target wants nothing; 0 if it takes requests.
+	// pause is how long the target accepts no requests, 0 if it accepts them.
 	pause time.Duration
 }
 
-// end closes an attempt.
+// end records the end of an attempt.
 func (r *router) end(c choice, res result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,7 +195,7 @@
 	}
 }
 
-// pause sends nothing to a target for a time. The caller holds mu.
+// pause excludes a target from picks for d. The caller holds mu.
 func (r *router) pause(target string, d time.Duration, now time.Time) {
 	slot, ok := r.table.Lookup(target)
 	if !ok {
@@ -205,7 +206,7 @@
 	r.table.SetPaused(slot, true)
 }
 
-// resume sends again to targets whose pause is over. The caller holds mu.
+// resume includes the targets whose pause is over again. The caller holds mu.
 func (r *router) resume(now time.Time) {
 	for target, until := range r.paused {
 		if now.Before(until) {
@@ -218,8 +219,8 @@
 	}
 }
 
-// heard takes an agent's load from a heartbeat.
-func (r *router) heard(name string, load *wire.Load) {
+// record stores an agent's load from a heartbeat.
+func (r *router) record(name string, load *wire.Load) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if slot, ok := r.table.Lookup(name); ok && load != nil {
@@ -227,8 +228,8 @@
 	}
 }
 
-// unheard tells that an agent did not answer a heartbeat.
-func (r *router) unheard(name string) {
+// recordFailure records that an agent did not answer a heartbeat.
+func (r *router) recordFailure(name string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if slot, ok := r.table.Lookup(name); ok {
@@ -236,6 +237,7 @@
 	}
 }
 
+// observe records an agent's load. The caller holds mu.
 func (r *router) observe(slot int, name string, l *wire.Load) {
 	r.incarnations[name] = max(r.incarnations[name], l.Incarnation)
 	r.monitor.RecordStep(slot, l.StepMs, time.Now())
@@ -245,7 +247,7 @@
 	}, time.Now())
 }
 
-// setLeaving takes the names of the targets that may get no new work.
+// setLeaving sets the names of the targets that may get no new work.
 func (r *router) setLeaving(leaving map[string]bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -254,7 +256,7 @@
 	}
 }
 
-// slot returns the table's place of a target, for exclusion.
+// slot returns a target's index in the table, for exclusion from a query.
 func (r *router) slot(name string) (int, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/entry/router_test.go
+++ b/entry/router_test.go
@@ -14,8 +14,8 @@
 	"verbenashift/core/request/route"
 )
 
-// Guards against requests to a target that has asked to be left alone, also when it is the only
-// one, and against leaving it alone for longer.
+// Guards against requests to a target that has requested a pause, also when it is
+// the only one, and against a pause that lasts longer than requested.
 func TestPausedTargetGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -27,10 +27,10 @@
 		r.end(c, result{pause: pauseOf(&wire.Frame{Reason: peer.ReasonPaused, RetryAfterMs: 3000})})
 		_, ok = pick()
 		is.True(!ok)
-		is.Equal(r.comeback(), 3*time.Second)
+		is.Equal(r.retryAfter(), 3*time.Second)
 		time.Sleep(3 * time.Second)
 		_, ok = pick()
 		is.True(ok)
-		is.Equal(r.comeback(), time.Duration(0))
+		is.Equal(r.retryAfter(), time.Duration(0))
 	})
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -22,7 +22,7 @@
 	"verbenashift/core/request/route"
 )
 
-// The refusals that are made before a request is looked at.
+// The refusals that don't depend on the content of a request.
 var (
 	errUnauthorized = &outcome.Error{Outcome: outcome.NotRun, Reason: "unauthorized", Status: http.StatusUnauthorized}
 	errMethod       = &outcome.Error{Outcome: outcome.NotRun, Reason: "method-not-allowed", Status: http.StatusMethodNotAllowed}
@@ -37,12 +37,12 @@
 	return strings.ToLower(base32.StdEncoding.EncodeToString(b[:]))
 }
 
-// serveCall answers a request for a model or a service.
+// serveCall handles a request for a model or a service.
 func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request) {
 	started := time.Now()
 	index, workspace, err := e.identify(r)
 	if err != nil {
-		e.refuse(w, unsure(err, r.Header))
+		e.refuse(w, unknownForKey(err, r.Header))
 		return
 	}
 	refused := e.admit(workspace)
@@ -68,21 +68,22 @@
 	e.finish(ctx, f, started)
 }
 
-// read reads a request. A caller that sends its body too slowly is refused, or
-// a few of them would hold all places of their workspace open.
+// read reads a request. A caller that sends its body too slowly is refused;
+// otherwise a few such callers could use up their workspace's capacity.
 func (e *Entry) read(w http.ResponseWriter, r *http.Request) (caller.Request, error) {
 	rc := http.NewResponseController(w)
 	_ = rc.SetReadDeadline(time.Now().Add(e.cfg.SlowCaller))
 	req, err := caller.Read(w, r, e.callerLimits())
 	if err == nil {
-		// Without a deadline from here on: the connection is only watched for
-		// the caller's going.
+		// From here on the connection is only read to notice that the caller
+		// disconnects, so that no deadline applies.
 		_ = rc.SetReadDeadline(time.Time{})
 	}
 	return req, err
 }
 
-// identify checks who calls.
+// identify returns the configuration in force and the workspace of the caller's
+// token.
 func (e *Entry) identify(r *http.Request) (*config.Index, *config.Workspace, *outcome.Error) {
 	index := e.follower.Index()
 	if index == nil {
@@ -95,19 +96,19 @@
 	return index, workspace, nil
 }
 
-// admit checks whether the entry can take a request of the workspace. What it
-// opens is closed by e.open.release.
+// admit admits a request of the workspace unless the entry is draining or at a
+// limit. An admitted request must be ended by e.open.release.
 func (e *Entry) admit(workspace *config.Workspace) *outcome.Error {
 	if e.draining.Load() {
 		return &outcome.Error{Outcome: outcome.NotRun, Reason: "draining", RetryAfter: e.cfg.RetryAfter}
 	}
-	return e.open.take(workspace)
+	return e.open.acquire(workspace)
 }
 
-// unsure turns a refusal into unknown where the caller gave a key and nobody
-// can be asked about it: an earlier try of the key may have run, and a caller
-// who hears "not run" could send the work again under another key.
-func unsure(err *outcome.Error, h http.Header) *outcome.Error {
+// unknownForKey turns a refusal into the outcome unknown if the caller sent a key
+// that can't be looked up: an earlier attempt with the key may have run, and a
+// caller that receives "not run" could send the work again under another key.
+func unknownForKey(err *outcome.Error, h http.Header) *outcome.Error {
 	if err == errUnauthorized || h.Get(caller.HeaderIdempotencyKey) == "" {
 		return err
 	}
@@ -123,16 +124,16 @@
 	return caller.Limits{Body: int64(e.cfg.Body), MaxTokens: e.cfg.MaxTokens}
 }
 
-// newFlow prepares the steps of one request. With refused set the request is
-// not run; only an earlier try of its key is looked for.
+// newFlow prepares the processing of one request. If refused is set, the request
+// isn't run; only an earlier attempt with its key is looked up.
 func (e *Entry) newFlow(w http.ResponseWriter, req caller.Request, ws *config.Workspace, x *config.Index, refused *outcome.Error) (*flow, *outcome.Error) {
-	if err := known(req, x); err != nil {
+	if err := checkDestination(req, x); err != nil {
 		return nil, err
 	}
 	if req.Service != "" {
 		req.MayNotRepeat = req.MayNotRepeat || x.MayNotRepeat(req.Service, req.Method, req.Path)
 	}
-	// A key asks for one run, whatever the route says.
+	// A key demands at most one run, whatever the route allows.
 	req.MayNotRepeat = req.MayNotRepeat || req.IdempotencyKey != ""
 	if refused == nil {
 		refused = e.limit(ws, req)
@@ -144,7 +145,7 @@
 		Model: req.Model, Service: req.Service, Cost: float64(req.Cost), Prefix: affinity(req, ws),
 		Urgent: req.Priority == caller.Urgent, MayNotRepeat: req.MayNotRepeat,
 	}
-	e.returns.request(ws.Name)
+	e.retries.recordRequest(ws.Name)
 	f.findHome(x)
 	f.sink = e.newSink(w, f)
 	f.relay = relay.New(relay.Request{Repeatable: !req.MayNotRepeat, CallerKey: f.callerKey, Refused: refused}, relay.Limits{
@@ -153,7 +154,7 @@
 	return f, nil
 }
 
-// limit charges a request to its workspace's limits, or refuses it.
+// limit charges a request against its workspace's rate limits, or refuses it.
 func (e *Entry) limit(ws *config.Workspace, req caller.Request) *outcome.Error {
 	wait, ok := e.limiter.allow(ws.Name, req.Cost)
 	if ok {
@@ -162,7 +163,8 @@
 	return &outcome.Error{Outcome: outcome.NotRun, Reason: "workspace-limit", RetryAfter: wait, Status: http.StatusTooManyRequests}
 }
 
-func known(req caller.Request, x *config.Index) *outcome.Error {
+// checkDestination refuses a request whose service or model isn't configured.
+func checkDestination(req caller.Request, x *config.Index) *outcome.Error {
 	if req.Service != "" {
 		if _, ok := x.Service(req.Service); !ok {
 			return &outcome.Error{Outcome: outcome.NotRun, Reason: "unknown-service", Status: http.StatusNotFound}
@@ -175,8 +177,9 @@
 	return nil
 }
 
-// affinity is the prompt's hash, salted by the workspace unless it shares its
-// prefixes, so that no timing shows one workspace what another has asked.
+// affinity returns the hash of the prompt's prefix. It is salted with the
+// workspace unless the workspace shares its prefixes, so that timing reveals no
+// prompt of one workspace to another.
 func affinity(req caller.Request, ws *config.Workspace) uint64 {
 	if req.Model == "" || ws.SharedPrefix {
 		return req.Prefix
@@ -188,10 +191,10 @@
 	if f.req.Stream {
 		return newStreamSink(w, f.id, e.cfg.SlowCaller, e.cfg.KeepAlive)
 	}
-	return newWholeSink(w, f.id, e.cfg.ResponseBuffer)
+	return newBufferedSink(w, f.id, e.cfg.ResponseBuffer)
 }
 
-// finish runs the request and writes its end.
+// finish runs the request and writes the end of its answer.
 func (e *Entry) finish(ctx context.Context, f *flow, started time.Time) {
 	cancel := func() {}
 	if f.req.Deadline > 0 {
@@ -207,10 +210,12 @@
 	f.timer.Store(alive)
 	err := f.run(ctx)
 	alive.Stop()
-	f.leave(result{})
+	f.endAttempt(result{})
 	e.conclude(ctx, f, err, started)
 }
 
+// conclude records the outcome of a request and ends its answer, or hands the
+// answer over on a drain.
 func (e *Entry) conclude(ctx context.Context, f *flow, err *outcome.Error, started time.Time) {
 	if context.Cause(ctx) == errHandover {
 		e.metrics.count("handover")
@@ -221,14 +226,14 @@
 		f.cancel(ctx)
 	}
 	e.metrics.count(outcomeName(err))
-	e.returns.end(err)
+	e.retries.recordEnd(err)
 	if err != nil {
 		e.log.Info("request not complete", "request-id", f.id, "workspace", f.workspace.Name,
 			"outcome", err.Outcome.String(), "reason", err.Reason, "attempts", f.attempt)
 	}
 	e.metrics.total.Record(time.Since(started).Microseconds())
 	if err == nil && f.req.Stream && f.req.Model != "" {
-		e.limiter.settle(f.workspace.Name, f.req.Cost, f.req.Cost-f.req.Generated+f.log.delivered)
+		e.limiter.reconcile(f.workspace.Name, f.req.Cost, f.req.Cost-f.req.Generated+f.log.delivered)
 	}
 	f.sink.finish(err)
 }
@@ -240,23 +245,24 @@
 	return err.Outcome.String()
 }
 
-// keepAlive shows a waiting caller that its request is not forgotten.
+// keepAlive sends a keep-alive to the waiting caller and rearms its timer.
 func (f *flow) keepAlive() {
-	f.sink.alive()
+	f.sink.sendKeepAlive()
 	if t := f.timer.Load(); t != nil {
 		t.Reset(f.entry.cfg.KeepAlive)
 	}
 }
 
-// cancel stops the target's work for a caller that has gone. What may not be
-// repeated goes on: its answer waits for the caller's next try.
+// cancel stops the target's work for a caller that has disconnected or whose
+// deadline has passed. A request that may not be repeated continues: its answer
+// is retained for the caller's next attempt.
 func (f *flow) cancel(ctx context.Context) {
-	if f.req.MayNotRepeat || f.readingAt == nil || f.attempt == 0 {
+	if f.req.MayNotRepeat || f.answerTarget == nil || f.attempt == 0 {
 		return
 	}
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer stop()
-	_, _ = f.entry.dialer.Agent(f.readingAt.Agent).Cancel(ctx, connect.NewRequest(&wire.CancelRequest{
-		RequestId: f.reading, Workspace: f.workspace.Name,
+	_, _ = f.entry.dialer.Agent(f.answerTarget.Agent).Cancel(ctx, connect.NewRequest(&wire.CancelRequest{
+		RequestId: f.answerID, Workspace: f.workspace.Name,
 	}))
 }
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -11,22 +11,24 @@
 	"verbenashift/core/request/outcome"
 )
 
-// sink takes one request's answer to its caller. Its methods are called by
-// one goroutine, but for alive.
+// sink writes the answer of one request to its caller. All methods but
+// sendKeepAlive are called by one goroutine.
 type sink interface {
-	// head takes the status and headers of the answer.
+	// head sets the status and headers of the answer.
 	head(status int, headers []*wire.Header)
-	// data takes the piece numbered id, from 1.
+	// data writes the data frame numbered id; the first is 1.
 	data(id uint64, p []byte) error
-	// restart forgets what was taken; false if some of it has left.
+	// restart discards what was buffered. It returns false if part of the answer
+	// has already been sent.
 	restart() bool
-	// rename sets the request id that the caller is told, if none was yet.
-	rename(id string)
-	// alive shows the caller that the request waits.
-	alive()
+	// setID sets the request id that the caller receives, if none was sent yet.
+	setID(id string)
+	// sendKeepAlive shows the caller that the request is still being processed.
+	sendKeepAlive()
 	// finish ends the answer; err is nil for a complete one.
 	finish(err *outcome.Error)
-	// handover ends the connection but not the answer.
+	// handover ends the connection but not the answer, which the caller can read
+	// on at another entry.
 	handover()
 }
 
@@ -35,19 +37,20 @@
 	w       http.ResponseWriter
 	id      string
 	timeout time.Duration
-	// silence is how long the caller may hear nothing.
-	silence time.Duration
+	// keepAliveAfter is how long the caller may receive nothing before
+	// sendKeepAlive sends a comment.
+	keepAliveAfter time.Duration
 
-	mu      sync.Mutex
-	stream  *caller.Stream
-	refused *wholeSink
-	ended   bool
-	// written is when the caller was last sent anything.
-	written time.Time
+	mu        sync.Mutex
+	stream    *caller.Stream
+	nonStream *bufferedSink
+	ended     bool
+	// lastWrite is when something was last sent to the caller.
+	lastWrite time.Time
 }
 
-func newStreamSink(w http.ResponseWriter, id string, timeout, silence time.Duration) *streamSink {
-	return &streamSink{w: w, id: id, timeout: timeout, silence: silence}
+func newStreamSink(w http.ResponseWriter, id string, timeout, keepAliveAfter time.Duration) *streamSink {
+	return &streamSink{w: w, id: id, timeout: timeout, keepAliveAfter: keepAliveAfter}
 }
 
 func (s *streamSink) open() *caller.Stream {
@@ -57,7 +60,7 @@
 	return s.stream
 }
 
-// head keeps an answer that is no stream, such as a target's 400, as it is.
+// head passes an answer that is no stream, such as a target's 400, on unchanged.
 func (s *streamSink) head(status int, headers []*wire.Header) {
 	if status == http.StatusOK {
 		return
@@ -65,38 +68,38 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.stream == nil {
-		s.refused = newWholeSink(s.w, s.id, 1<<20)
-		s.refused.head(status, headers)
+		s.nonStream = newBufferedSink(s.w, s.id, 1<<20)
+		s.nonStream.head(status, headers)
 	}
 }
 
 func (s *streamSink) data(id uint64, p []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refused != nil {
-		return s.refused.data(id, p)
+	if s.nonStream != nil {
+		return s.nonStream.data(id, p)
 	}
-	s.written = time.Now()
+	s.lastWrite = time.Now()
 	return s.open().Event(id, p)
 }
 
-// restart is not needed: a stream is continued, never begun again.
+// restart does nothing: a stream is continued, never started again.
 func (s *streamSink) restart() bool {
 	return true
 }
 
-func (s *streamSink) rename(id string) {
+func (s *streamSink) setID(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.stream == nil && s.refused == nil {
+	if s.stream == nil && s.nonStream == nil {
 		s.id = id
 	}
 }
 
-func (s *streamSink) alive() {
+func (s *streamSink) sendKeepAlive() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended || s.refused != nil || time.Since(s.written) < s.silence {
+	if s.ended || s.nonStream != nil || time.Since(s.lastWrite) < s.keepAliveAfter {
 		return
 	}
 	_ = s.open().Comment("waiting")
@@ -107,8 +110,8 @@
 	defer s.mu.Unlock()
 	s.ended = true
 	switch {
-	case s.refused != nil:
-		s.refused.finish(err)
+	case s.nonStream != nil:
+		s.nonStream.finish(err)
 	case err == nil:
 		_ = s.open().Done()
 	case s.stream == nil:
@@ -125,9 +128,10 @@
 	_ = s.open().Handover(s.id)
 }
 
-// wholeSink holds an answer back until its end is known, so that a broken one
-// can be begun again unseen. Past its buffer it passes the answer on.
-type wholeSink struct {
+// bufferedSink buffers an answer until its end is known, so that a broken one can
+// be started again without the caller noticing. If the answer exceeds the buffer,
+// it is sent on as it arrives.
+type bufferedSink struct {
 	w       http.ResponseWriter
 	id      string
 	buffer  int
@@ -137,15 +141,15 @@
 	sent    bool
 }
 
-func newWholeSink(w http.ResponseWriter, id string, buffer int) *wholeSink {
-	return &wholeSink{w: w, id: id, buffer: buffer}
+func newBufferedSink(w http.ResponseWriter, id string, buffer int) *bufferedSink {
+	return &bufferedSink{w: w, id: id, buffer: buffer}
 }
 
-func (s *wholeSink) head(status int, headers []*wire.Header) {
+func (s *bufferedSink) head(status int, headers []*wire.Header) {
 	s.status, s.headers = status, headers
 }
 
-func (s *wholeSink) data(_ uint64, p []byte) error {
+func (s *bufferedSink) data(_ uint64, p []byte) error {
 	s.buf = append(s.buf, p...)
 	if len(s.buf) <= s.buffer {
 		return nil
@@ -153,7 +157,7 @@
 	return s.flush()
 }
 
-func (s *wholeSink) flush() error {
+func (s *bufferedSink) flush() error {
 	if !s.sent {
 		s.sent = true
 		s.writeHead()
@@ -163,7 +167,7 @@
 	return err
 }
 
-func (s *wholeSink) writeHead() {
+func (s *bufferedSink) writeHead() {
 	h := s.w.Header()
 	for _, x := range s.headers {
 		h[http.CanonicalHeaderKey(x.Name)] = x.Values
@@ -175,20 +179,20 @@
 	s.w.WriteHeader(s.status)
 }
 
-func (s *wholeSink) restart() bool {
+func (s *bufferedSink) restart() bool {
 	s.buf = s.buf[:0]
 	return !s.sent
 }
 
-func (s *wholeSink) rename(id string) {
+func (s *bufferedSink) setID(id string) {
 	s.id = id
 }
 
-func (s *wholeSink) alive() {}
+func (s *bufferedSink) sendKeepAlive() {}
 
-// finish aborts the connection when an answer that has partly left cannot be
-// ended whole: a truncated answer must never look complete.
-func (s *wholeSink) finish(err *outcome.Error) {
+// finish aborts the connection when an answer that was partly sent can't be
+// completed: a truncated answer must never look complete.
+func (s *bufferedSink) finish(err *outcome.Error) {
 	if err != nil && s.sent {
 		panic(http.ErrAbortHandler)
 	}
@@ -202,7 +206,7 @@
 	_ = s.flush()
 }
 
-func (s *wholeSink) handover() {
+func (s *bufferedSink) handover() {
 	if s.sent {
 		panic(http.ErrAbortHandler)
 	}
