--- a/ctl/configs.go
+++ b/ctl/configs.go
@@ -17,7 +17,7 @@
 			{
 				Name: "put", Usage: "replace the configuration by FILE; - is standard input", ArgsUsage: "FILE",
 				Description: "The change is refused if the configuration is no longer at the base revision:\n" +
-					"the one of -base, else the one in FILE, else the one of the moment.",
+					"the one of -base, else the one in FILE, else the current one.",
 				Flags: []cli.Flag{
 					&cli.Uint64Flag{Name: "base", Usage: "`REVISION` that FILE was made from"},
 					&cli.BoolFlag{Name: "dry-run", Usage: "print what would move and change nothing"},
--- a/ctl/ctl_test.go
+++ b/ctl/ctl_test.go
@@ -24,15 +24,15 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// fleet is a deployment in memory: store, nodes and the API's transport.
+// fleet is an in-memory deployment: a store, nodes and a transport to the API.
 type fleet struct {
 	keys    map[string]store.KV
 	version int64
 	nodes   []operator.Node
-	// visits counts status calls; catchUp is the one at which all nodes have
-	// the newest revision in force.
-	visits, catchUp int
-	handler         http.Handler
+	// statusCalls counts status calls; catchUp is the call at which all nodes have
+	// revision 9 in force.
+	statusCalls, catchUp int
+	handler              http.Handler
 }
 
 func newFleet() *fleet {
@@ -66,8 +66,8 @@
 }
 
 func (f *fleet) Status(context.Context) (operator.FleetStatus, error) {
-	f.visits++
-	if f.visits == f.catchUp {
+	f.statusCalls++
+	if f.statusCalls == f.catchUp {
 		for i := range f.nodes {
 			f.nodes[i].Revision = 9
 		}
@@ -96,7 +96,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// golden compares text with testdata/name; -update writes it.
+// golden compares text with the golden file name; -update writes the file.
 func golden(t *testing.T, name, text string) {
 	t.Helper()
 	is := is.New(t)
@@ -131,7 +131,7 @@
 		{"config-history", "config history"},
 		{"status", "status"},
 	}
-	// The bubble's clock makes the times in the history the same each time.
+	// The bubble's fake clock makes the times in the history reproducible.
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet()
@@ -194,12 +194,12 @@
 	is.Equal(p.run(t.Context(), []string{"ctl", "status"}), exitUnavailable)
 }
 
-// broken is a network on which nothing is answered.
+// broken is a transport that fails every request.
 type broken struct{}
 
 func (broken) RoundTrip(*http.Request) (*http.Response, error) { return nil, http.ErrServerClosed }
 
-// silent is a network on which the request arrives and no answer comes.
+// silent is a transport that delivers a request but never returns a response.
 type silent struct{}
 
 func (silent) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -207,8 +207,8 @@
 	return nil, r.Context().Err()
 }
 
-// The server takes a confirmation and is silent until the operator's time is
-// up. Exit code 1 would read as "not done"; it may well have been done.
+// The server receives a confirmation and does not respond before the timeout. Exit
+// code 1 would mean "not done", but the confirmation may have taken effect.
 func TestTimeoutIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -219,8 +219,8 @@
 	})
 }
 
-// An entry's certificate comes from the operators' own authority. Without
-// -ca-file the connection must fail; with it, the answer must come.
+// An entry's certificate is issued by a private CA. Without -ca-file the connection
+// must fail; with it, the command must succeed.
 func TestCAFile(t *testing.T) {
 	is := is.New(t)
 	srv := httptest.NewTLSServer(newFleet().handler)
@@ -245,7 +245,7 @@
 		f.catchUp = 5
 		code, out, errs := f.ctl(t.Context(), "status", "-wait-revision", "9")
 		is.Equal([]any{code, errs}, []any{exitOK, ""})
-		is.Equal(f.visits, 5)
+		is.Equal(f.statusCalls, 5)
 		is.True(strings.Contains(out, "caption-1  agent  merkato  9"))
 		code, _, errs = f.ctl(t.Context(), "status", "-wait-revision", "10", "-timeout", "3s")
 		is.Equal(code, exitUnavailable)
--- a/ctl/doubts_test.go
+++ b/ctl/doubts_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-// Guards against a table that leaves out whose evidence a doubt was.
+// Guards against a table that omits whose evidence a suspicion was based on.
 func TestDoubts(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -13,8 +13,8 @@
 
 func (p *program) explainCommand() *cli.Command {
 	return &cli.Command{
-		Name: "explain", Usage: "tell the story of a request from log files", ArgsUsage: "ID [FILE...]",
-		Description: "Prints the request's own lines and what its gateway and the stewards believed\n" +
+		Name: "explain", Usage: "show the history of a request from log files", ArgsUsage: "ID [FILE...]",
+		Description: "Prints the request's own lines and what its gateway and the stewards logged\n" +
 			"meanwhile, in the order of time, and the cause of its end. Without files the log is read from standard input.",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			if cmd.Args().Len() < 1 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// explain reads the logs and prints the story of a request.
+// explain reads the logs and prints the history of a request.
 func (p *program) explain(id string, files []string) error {
 	lines, err := p.readLogs(files)
 	if err != nil {
@@ -56,7 +56,7 @@
 			return nil, errors.Wrap(err, "open log")
 		}
 		lines = append(lines, story.Read(f)...)
-		// Nothing was written.
+		// The file was only read, so that an error of Close can be ignored.
 		_ = f.Close()
 	}
 	return lines, nil
--- a/ctl/explain_test.go
+++ b/ctl/explain_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// A caller was refused. The story has its own lines, the queue of its gateway and
-// what the steward saw, and nothing of others or of later.
+// A caller was refused. Its history must contain its own lines, the queue of its
+// gateway and what the steward logged, and no lines of other requests or of later.
 func TestExplain(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
--- a/ctl/fleet.go
+++ b/ctl/fleet.go
@@ -12,7 +12,7 @@
 	"verbenashift/core/configuration/operator"
 )
 
-// pollInterval is the time between two looks at the fleet.
+// pollInterval is the time between two status queries.
 const pollInterval = 500 * time.Millisecond
 
 func (p *program) targetCommand() *cli.Command {
@@ -20,8 +20,8 @@
 		Name: "target", Usage: "list and drain targets",
 		Commands: []*cli.Command{
 			{Name: "list", Usage: "list the targets", Action: p.action(0, 0, listTargets)},
-			{Name: "drain", Usage: "give a target no new work", ArgsUsage: "TARGET", Action: p.action(1, 1, drain(true))},
-			{Name: "undrain", Usage: "give a target work again", ArgsUsage: "TARGET", Action: p.action(1, 1, drain(false))},
+			{Name: "drain", Usage: "stop sending new work to a target", ArgsUsage: "TARGET", Action: p.action(1, 1, drain(true))},
+			{Name: "undrain", Usage: "send work to a target again", ArgsUsage: "TARGET", Action: p.action(1, 1, drain(false))},
 		},
 	}
 }
@@ -125,19 +125,20 @@
 	}
 	want := s.cmd.Uint64("wait-revision")
 	for s.cmd.IsSet("wait-revision") && !inForce(st, want) {
-		if st, err = next(ctx, s, st, want); err != nil {
+		if st, err = pollStatus(ctx, s, st, want); err != nil {
 			return err
 		}
 	}
 	return s.show(st, func() { printStatus(s.out, st) })
 }
 
-// next waits and looks again. An entry that does not answer for a while does
-// not end the waiting: it may be the one that is being replaced.
-func next(ctx context.Context, s *session, last operator.Status, want uint64) (operator.Status, error) {
+// pollStatus waits for pollInterval and queries the status again. If the entry does
+// not answer, it returns the last status, so that the wait continues: the entry may
+// be the one that is being replaced.
+func pollStatus(ctx context.Context, s *session, last operator.Status, want uint64) (operator.Status, error) {
 	select {
 	case <-ctx.Done():
-		n, m := reached(last, want)
+		n, m := countInForce(last, want)
 		return last, &operator.Error{
 			Kind:    operator.KindUnavailable,
 			Message: fmt.Sprintf("revision %d is in force on %d of %d nodes only", want, n, m),
@@ -151,12 +152,15 @@
 	return st, err
 }
 
+// inForce reports whether revision want is in force on all nodes.
 func inForce(st operator.Status, want uint64) bool {
-	n, m := reached(st, want)
+	n, m := countInForce(st, want)
 	return m > 0 && n == m
 }
 
-func reached(st operator.Status, want uint64) (n, m int) {
+// countInForce returns the number of nodes on which revision want or a later one is
+// in force, and the number of all nodes.
+func countInForce(st operator.Status, want uint64) (n, m int) {
 	for _, node := range st.Nodes {
 		if node.Revision >= want {
 			n++
--- a/ctl/group.go
+++ b/ctl/group.go
@@ -18,7 +18,7 @@
 
 const megabyte = 1e6
 
-// printGroup prints what is known of one group beside its row in the table.
+// printGroup prints the details of one group that its row in the table lacks.
 func printGroup(w io.Writer, g operator.GroupStatus) {
 	fmt.Fprintln(w)
 	t := newTable(w, "steward", fmt.Sprintf("%s, fence %d, heard %s ago", g.Coordinator, g.Fence, time.Duration(g.AgeMillis)*time.Millisecond))
--- a/ctl/intents.go
+++ b/ctl/intents.go
@@ -33,9 +33,9 @@
 	return []cli.Flag{
 		&cli.StringFlag{Name: "name", Usage: "`NAME` of the closing"},
 		&cli.StringFlag{Name: "preset", Usage: "lightbox (skew counts more) or lakeshore (moves cost more)"},
-		&cli.StringSliceFlag{Name: "model", Usage: "`MODEL` that takes part; may be given again"},
-		&cli.StringSliceFlag{Name: "target", Usage: "`TARGET` that takes part; may be given again"},
-		&cli.StringSliceFlag{Name: "share", Usage: "`WORKSPACE=SHARE`; may be given again"},
+		&cli.StringSliceFlag{Name: "model", Usage: "`MODEL` that takes part; may be repeated"},
+		&cli.StringSliceFlag{Name: "target", Usage: "`TARGET` that takes part; may be repeated"},
+		&cli.StringSliceFlag{Name: "share", Usage: "`WORKSPACE=SHARE`; may be repeated"},
 		&cli.FloatFlag{Name: "skew-weight", Usage: "weight of skew, without a preset"},
 		&cli.FloatFlag{Name: "cost-weight", Usage: "weight of moves, without a preset"},
 		&cli.FloatFlag{Name: "max-skew", Usage: "highest expected skew"},
@@ -116,8 +116,8 @@
 		Name: "plan", Usage: "show and close plans",
 		Commands: []*cli.Command{
 			{Name: "show", Usage: "show what a plan moves and costs", ArgsUsage: "PLAN", Action: p.action(1, 1, onPlan((*session).showPlan))},
-			{Name: "confirm", Usage: "make a plan a revision", ArgsUsage: "PLAN", Action: p.action(1, 1, onPlan((*session).confirmPlan))},
-			{Name: "abandon", Usage: "refuse a plan", ArgsUsage: "PLAN", Action: p.action(1, 1, onPlan((*session).abandonPlan))},
+			{Name: "confirm", Usage: "turn a plan into a revision", ArgsUsage: "PLAN", Action: p.action(1, 1, onPlan((*session).confirmPlan))},
+			{Name: "abandon", Usage: "reject a plan", ArgsUsage: "PLAN", Action: p.action(1, 1, onPlan((*session).abandonPlan))},
 		},
 	}
 }
--- a/ctl/main.go
+++ b/ctl/main.go
@@ -1,8 +1,8 @@
 // Ctl is the operators' command line over the administration API.
 //
 // It declares intents, shows and confirms plans, edits the configuration and
-// tells the state of the fleet. It runs one command and ends, so that it is
-// not built on a container of long-lived parts like the other programs.
+// shows the state of the fleet. It runs one command and exits, so that it does not
+// need the dependency injection container of the other programs.
 //
 // # Usage
 //
--- a/ctl/program.go
+++ b/ctl/program.go
@@ -37,7 +37,7 @@
   4  not found
   5  unavailable, or unknown whether the change took effect`
 
-// The names of the flags that all commands have.
+// The names of the global flags.
 const (
 	flagServer    = "server"
 	flagToken     = "token"
@@ -55,7 +55,7 @@
 	defaultTimeout = 30 * time.Second
 )
 
-// program is one run of the command line.
+// program is one run of ctl.
 type program struct {
 	in  io.Reader
 	out io.Writer
@@ -64,7 +64,7 @@
 	transport http.RoundTripper
 }
 
-// usageError is a command line that could not be understood.
+// usageError reports an invalid command line.
 type usageError struct {
 	Message string
 }
@@ -76,7 +76,7 @@
 	return &usageError{Message: fmt.Sprintf(format, args...)}
 }
 
-// run runs the command line and returns its exit code.
+// run runs the command that args name and returns its exit code.
 func (p *program) run(ctx context.Context, args []string) int {
 	err := p.command().Run(ctx, args)
 	if err == nil {
@@ -119,12 +119,13 @@
 		},
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 	}
-	prepare(root)
+	wrapUsageErrors(root)
 	return root
 }
 
-// prepare makes a wrong flag or command anywhere a *usageError.
-func prepare(c *cli.Command) {
+// wrapUsageErrors makes c and its subcommands report invalid flags and commands as
+// *usageError.
+func wrapUsageErrors(c *cli.Command) {
 	c.OnUsageError = func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 		return &usageError{Message: err.Error()}
 	}
@@ -137,7 +138,7 @@
 		}
 	}
 	for _, sub := range c.Commands {
-		prepare(sub)
+		wrapUsageErrors(sub)
 	}
 }
 
@@ -152,14 +153,14 @@
 			Sources: cli.EnvVars("VERBENASHIFT_TOKEN"), HideDefault: true,
 		},
 		&cli.StringFlag{Name: flagTokenFile, Usage: "`FILE` that holds the operator's token"},
-		&cli.StringFlag{Name: flagCAFile, Usage: "`FILE` with the certificates that vouch for the server; default the system's"},
+		&cli.StringFlag{Name: flagCAFile, Usage: "`FILE` with the CA certificates that the server's certificate is checked against; default: the system's"},
 		&cli.StringFlag{Name: flagOutput, Value: outputTable, Usage: "json or table"},
 		&cli.DurationFlag{Name: flagTimeout, Value: defaultTimeout, Usage: "longest time for the command"},
 		&cli.StringFlag{Name: flagRequestID, Usage: "repeat the write with this `ID` after a lost answer"},
 	}
 }
 
-// session is what one command needs.
+// session holds what a command needs to run: the client and the output.
 type session struct {
 	*operator.Client
 	cmd  *cli.Command
@@ -167,11 +168,12 @@
 	json bool
 }
 
-// action opens a session with the number of arguments that the command takes.
-func (p *program) action(least, most int, f func(context.Context, *session) error) cli.ActionFunc {
+// action returns an action that checks the number of arguments, opens a session
+// and calls f.
+func (p *program) action(minArgs, maxArgs int, f func(context.Context, *session) error) cli.ActionFunc {
 	return func(ctx context.Context, cmd *cli.Command) error {
-		if n := cmd.Args().Len(); n < least || n > most {
-			return usagef("%s: %d arguments given, want %s", cmd.FullName(), n, count(least, most))
+		if n := cmd.Args().Len(); n < minArgs || n > maxArgs {
+			return usagef("%s: %d arguments given, want %s", cmd.FullName(), n, count(minArgs, maxArgs))
 		}
 		s, err := p.open(cmd)
 		if err != nil {
@@ -183,11 +185,12 @@
 	}
 }
 
-func count(least, most int) string {
-	if least == most {
-		return fmt.Sprint(least)
+// count returns the text for a number of arguments from minArgs to maxArgs.
+func count(minArgs, maxArgs int) string {
+	if minArgs == maxArgs {
+		return fmt.Sprint(minArgs)
 	}
-	return fmt.Sprintf("%d to %d", least, most)
+	return fmt.Sprintf("%d to %d", minArgs, maxArgs)
 }
 
 func (p *program) open(cmd *cli.Command) (*session, error) {
@@ -210,7 +213,8 @@
 	return &session{Client: c, cmd: cmd, out: p.out, json: output == outputJSON}, nil
 }
 
-// roundTripper trusts the certificates in caFile, if one is given.
+// roundTripper returns a transport that trusts the certificates in caFile instead
+// of the system's, if caFile is set.
 func (p *program) roundTripper(caFile string) (http.RoundTripper, error) {
 	if p.transport != nil || caFile == "" {
 		return p.transport, nil
@@ -240,7 +244,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-// show prints v as JSON, or calls table.
+// show prints v as JSON if that is the output format, and calls table otherwise.
 func (s *session) show(v any, table func()) error {
 	if s.json {
 		return s.printJSON(v)
--- a/ctl/shares.go
+++ b/ctl/shares.go
@@ -12,9 +12,9 @@
 
 func (p *program) sharesCommand() *cli.Command {
 	return &cli.Command{
-		Name: "shares", Usage: "tell from log files who was served", ArgsUsage: "[FILE...]",
-		Description: "Prints what became of the requests of each workspace, route, size, instance or reason, one\n" +
-			"line a group. Each try of a caller counts. Without files the log is read from standard input.",
+		Name: "shares", Usage: "show from log files whose requests were served", ArgsUsage: "[FILE...]",
+		Description: "Prints the outcomes of the requests of each workspace, route, size, instance or reason, one\n" +
+			"line per group. Each attempt of a caller counts. Without files the log is read from standard input.",
 		Flags: []cli.Flag{&cli.StringFlag{Name: "by", Value: "workspace", Usage: "workspace, route, size, instance or reason"}},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			return p.shares(cmd.String("by"), cmd.Args().Slice())
@@ -22,7 +22,7 @@
 	}
 }
 
-// shares reads the logs and prints a table of who was served.
+// shares reads the logs and prints a table of outcomes, one row per group.
 func (p *program) shares(by string, files []string) error {
 	lines, err := p.readLogs(files)
 	if err != nil {
--- a/ctl/shares_test.go
+++ b/ctl/shares_test.go
@@ -8,8 +8,8 @@
 	"github.com/matryer/is"
 )
 
-// One workspace is served and another is refused. The table shows it, and a group that
-// nobody knows is an error of usage.
+// One workspace is served and another is refused, which the table must show. An unknown
+// grouping must be a usage error.
 func TestShares(t *testing.T) {
 	is := is.New(t)
 	var out, errs bytes.Buffer
--- a/ctl/stewards.go
+++ b/ctl/stewards.go
@@ -12,17 +12,18 @@
 
 func (p *program) stewardsCommand() *cli.Command {
 	return &cli.Command{
-		Name: "stewards", Usage: "tell from log files how expert groups were steered", ArgsUsage: "[FILE...]",
-		Description: "Prints for each expert group how many times it got a steward, how many acted at once at\n" +
-			"most, for how long none did, its changes of map, the mean and the 95th percentile of its\n" +
-			"skew, and its mean pass. Without files the log is read from standard input.",
+		Name: "stewards", Usage: "show from log files how expert groups were coordinated", ArgsUsage: "[FILE...]",
+		Description: "Prints for each expert group how many times it got a steward, the most that acted at the same\n" +
+			"time, for how long none did, its changes of map, the mean and the 95th percentile of its skew,\n" +
+			"and its mean time per forward pass. Without files the log is read from standard input.",
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			return p.stewards(cmd.Args().Slice())
 		},
 	}
 }
 
-// stewards reads the logs and prints a table of the groups.
+// stewards reads the logs and prints a table of the groups and their
+// coordinators.
 func (p *program) stewards(files []string) error {
 	lines, err := p.readLogs(files)
 	if err != nil {
--- a/ctl/table.go
+++ b/ctl/table.go
@@ -11,7 +11,7 @@
 	"verbenashift/core/configuration/operator"
 )
 
-// columnGap is the number of spaces between two columns.
+// columnGap is the minimum number of spaces between two columns.
 const columnGap = 2
 
 // table prints rows in aligned columns.
@@ -39,6 +39,7 @@
 
 func (t *table) flush() { _ = t.w.Flush() }
 
+// cell returns the text of a value, or "-" if that is empty.
 func cell(v any) string {
 	if s := fmt.Sprint(v); s != "" {
 		return s
@@ -46,7 +47,8 @@
 	return "-"
 }
 
-func when(unixMillis int64) string {
+// timestamp formats a time of the API, or returns "-" if it is not set.
+func timestamp(unixMillis int64) string {
 	if unixMillis == 0 {
 		return "-"
 	}
@@ -61,8 +63,7 @@
 	t.flush()
 }
 
-// printPlan prints one plan with what moves, what is expected and what it
-// costs.
+// printPlan prints one plan with its moves and its forecast.
 func printPlan(w io.Writer, p intent.Plan) {
 	fmt.Fprintf(w, "plan %s: %s\n", p.ID, p.State)
 	if p.Reason != "" {
@@ -86,15 +87,16 @@
 
 func printForecast(w io.Writer, f intent.Forecast) {
 	fmt.Fprintf(w, "\nexpected (%s):\n", f.Confidence)
-	fmt.Fprintf(w, "  skew     %s -> %s\n", known(f.SkewBefore, "%.2f"), known(f.SkewAfter, "%.2f"))
-	fmt.Fprintf(w, "  moved    %s\n", known(float64(f.Bytes), "%.0f bytes"))
-	fmt.Fprintf(w, "  lasting  %s\n", known(f.Seconds, "%.1f s"))
+	fmt.Fprintf(w, "  skew     %s -> %s\n", formatKnown(f.SkewBefore, "%.2f"), formatKnown(f.SkewAfter, "%.2f"))
+	fmt.Fprintf(w, "  moved    %s\n", formatKnown(float64(f.Bytes), "%.0f bytes"))
+	fmt.Fprintf(w, "  lasting  %s\n", formatKnown(f.Seconds, "%.1f s"))
 	if f.Note != "" {
 		fmt.Fprintln(w, "  note     "+f.Note)
 	}
 }
 
-func known(x float64, format string) string {
+// formatKnown formats x, which is 0 if it is not known.
+func formatKnown(x float64, format string) string {
 	if x == 0 {
 		return "not known"
 	}
@@ -112,7 +114,7 @@
 func printRevisions(w io.Writer, list []operator.RevisionState) {
 	t := newTable(w, "REVISION", "STATE", "IN FORCE", "OPERATOR", "WHEN", "ACTION")
 	for _, r := range list {
-		t.add(r.Revision, r.State, fmt.Sprintf("%d of %d", r.InForce, r.Nodes), r.Operator, when(r.UnixMillis), r.Action)
+		t.add(r.Revision, r.State, fmt.Sprintf("%d of %d", r.InForce, r.Nodes), r.Operator, timestamp(r.UnixMillis), r.Action)
 	}
 	t.flush()
 }
--- a/ctl/workspaces.go
+++ b/ctl/workspaces.go
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// set stores a flag that was given.
+// set stores the value of a flag in dst if the flag was given.
 func set[T any](cmd *cli.Command, name string, dst *T, get func(string) T) {
 	if cmd.IsSet(name) {
 		*dst = get(name)
