--- a/bench/accepted/accepted.go
+++ b/bench/accepted/accepted.go
@@ -1,5 +1,5 @@
-// Package accepted keeps the figures that were last accepted and holds new
-// ones against them.
+// Package accepted stores the last accepted benchmark figures and compares new
+// figures with them.
 //
 // # Usage
 //
@@ -26,8 +26,8 @@
 	"verbenashift/bench/figure"
 )
 
-// Tolerance is by how much of its accepted value a gated figure may get worse
-// while it keeps its bound.
+// Tolerance is the fraction of its accepted value by which a figure may
+// regress, even while it is within its bound.
 const Tolerance = 0.25
 
 // Figure is one accepted figure.
@@ -41,18 +41,19 @@
 	Gate   bool    `json:"gate"`
 }
 
-// Set is all accepted figures, sorted by suite and name.
+// Set holds all accepted figures, sorted by suite and name.
 type Set struct {
 	Figures []Figure
 }
 
-// Problem is one way in which a figure is not as it should be.
+// Problem describes a figure that violates its bound, has regressed, has lost
+// its gate or is missing.
 type Problem struct {
-	// Name is the figure's.
+	// Name is the name of the figure.
 	Name string
-	// Text says what is wrong.
+	// Text describes the problem.
 	Text string
-	// Fatal problems fail a run, others inform.
+	// Fatal makes the problem fail the run; other problems are only reported.
 	Fatal bool
 }
 
@@ -81,8 +82,8 @@
 	return &s, nil
 }
 
-// Save writes the set with one figure on a line, so that a diff shows which
-// figures have changed.
+// Save writes the set to a file with one figure per line, so that a diff shows
+// which figures have changed.
 func (s *Set) Save(name string) error {
 	var b bytes.Buffer
 	b.WriteString("[\n")
@@ -117,7 +118,8 @@
 	})
 }
 
-// round keeps four significant digits: more would only make noise in a diff.
+// round rounds v to four significant digits: more would only add noise to a
+// diff.
 func round(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return v
@@ -126,15 +128,15 @@
 	return math.Round(v*scale) / scale
 }
 
-// Check holds the figures of a suite against their bounds and against the
-// accepted ones.
+// Check compares the figures of a suite with their bounds and with the accepted
+// figures. It also reports accepted figures that are no longer measured.
 func (s *Set) Check(suite string, figures []figure.Figure) []Problem {
 	var problems []Problem
 	measured := make(map[string]bool, len(figures))
 	for _, f := range figures {
 		measured[f.Name] = true
-		old, known := s.find(suite, f.Name)
-		if p, ok := check(f, old, known); ok {
+		old, found := s.find(suite, f.Name)
+		if p, ok := check(f, old, found); ok {
 			problems = append(problems, p)
 		}
 	}
@@ -155,29 +157,29 @@
 	return Figure{}, false
 }
 
-// check returns what is wrong with one figure, if anything is.
+// check returns the problem of one figure, if it has one.
 func check(f figure.Figure, old Figure, known bool) (Problem, bool) {
 	if !f.OK() {
 		return Problem{f.Name, fmt.Sprintf("%.4g %s, bound %.4g", f.Value, f.Unit, f.Bound), f.Gate}, true
 	}
 	if known && old.Gate && !f.Gate {
-		return Problem{f.Name, "was a gate and is none any more", true}, true
+		return Problem{f.Name, "was gated and no longer is", true}, true
 	}
-	if known && worse(f, old.Value) {
+	if known && regressed(f, old.Value) {
 		return Problem{f.Name, fmt.Sprintf("%.4g %s, accepted %.4g", f.Value, f.Unit, old.Value), f.Gate}, true
 	}
 	return Problem{}, false
 }
 
-// worse reports whether f has got worse than an accepted value by more than
+// regressed reports whether f has regressed from its accepted value by more than
 // the tolerance.
-func worse(f figure.Figure, old float64) bool {
-	slack := math.Abs(old) * Tolerance
+func regressed(f figure.Figure, old float64) bool {
+	tolerance := math.Abs(old) * Tolerance
 	switch f.Better {
 	case figure.Lower:
-		return f.Value > old+slack
+		return f.Value > old+tolerance
 	case figure.Higher:
-		return f.Value < old-slack
+		return f.Value < old-tolerance
 	default:
 		return false
 	}
--- a/bench/figure/figure.go
+++ b/bench/figure/figure.go
@@ -1,4 +1,4 @@
-// Package figure is the form of one measured figure with its bound.
+// Package figure defines a benchmark figure: a measured value and its bound.
 //
 // # Usage
 //
@@ -9,11 +9,11 @@
 
 import "encoding/json"
 
-// The directions in which a figure may be better than its bound.
+// The values of Figure.Better: which direction is an improvement.
 const (
-	// Lower says that the value must not exceed the bound.
+	// Lower means that the value must not exceed the bound.
 	Lower = "lower"
-	// Higher says that the value must not fall below the bound.
+	// Higher means that the value must not fall below the bound.
 	Higher = "higher"
 )
 
@@ -22,18 +22,21 @@
 	Name  string  `json:"name"`
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
-	// Bound is the accepted limit; Better says on which side of it.
+	// Bound is the limit on the value. Better, Lower or Higher, tells whether
+	// it is an upper or a lower limit; if Better is empty, there is no limit.
 	Bound  float64 `json:"bound"`
 	Better string  `json:"better,omitempty"`
-	// Gate makes a breach fail the run; other figures only inform.
+	// Gate makes a violation of the bound fail the run. Violations of other
+	// figures are only reported.
 	Gate bool `json:"gate"`
-	// Baseline is the same measure of the simplest way, where there is one.
+	// Baseline is the same measurement of the simplest alternative, if there
+	// is one.
 	Baseline float64 `json:"baseline,omitempty"`
 	Note     string  `json:"note,omitempty"`
 }
 
-// OK reports whether the value keeps its bound. A figure without a direction
-// has no bound and is always OK.
+// OK reports whether the value is within its bound. A figure with an empty
+// Better has no bound and is always OK.
 func (f Figure) OK() bool {
 	switch f.Better {
 	case Lower:
@@ -45,7 +48,7 @@
 	}
 }
 
-// MarshalJSON adds the verdict as "ok".
+// MarshalJSON encodes the figure with the result of OK as the member "ok".
 func (f Figure) MarshalJSON() ([]byte, error) {
 	type plain Figure
 	return json.Marshal(struct {
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,10 +1,10 @@
-// Bench measures the figures of the project and holds them against their
-// bounds.
+// Bench runs the benchmark suites of the project and compares the measured
+// figures with their bounds.
 //
-// Each figure is printed as one JSON line. A gated figure out of its bound, or
-// worse than its last accepted value by more than a quarter, fails the run;
-// the other figures only inform. The last accepted figures are in
-// bench/accepted/figures.json.
+// Each figure is printed as one JSON line. A gated figure that violates its
+// bound, or is worse than its last accepted value by more than a quarter, fails
+// the run; the other figures are only reported. The last accepted figures are
+// in bench/accepted/figures.json.
 //
 // # Usage
 //
@@ -12,10 +12,10 @@
 //
 //	go run ./bench                      # everything
 //	go run ./bench -run path,routing    # two suites
-//	go run ./bench -run booking -accept # take its figures as the accepted ones
+//	go run ./bench -run booking -accept # store its figures as the accepted ones
 //
-// The exit status is 0 if all is well, 1 if a figure failed or a suite could
-// not be measured, and 2 for a wrong command line.
+// The exit status is 0 on success, 1 if a figure failed or a suite could not be
+// measured, and 2 for an invalid command line.
 package main
 
 import (
@@ -41,11 +41,10 @@
 	"verbenashift/standin/deployment"
 )
 
-// measure is a function that measures some figures and tells w of its
-// progress.
+// measure measures some figures and writes its progress to w.
 type measure func(w io.Writer) ([]figure.Figure, error)
 
-// suite is one group of measurements that can be run by its name.
+// suite is a named group of measurements that can be selected with -run.
 type suite struct {
 	name  string
 	parts []measure
@@ -61,25 +60,26 @@
 	}
 }
 
-// errFailed says that what failed has been printed already.
+// errFailed is returned by run when a figure or suite failed and the problem has
+// already been printed.
 var errFailed = errors.New("figures failed")
 
-// usageError is a mistake in the command line.
+// usageError is an invalid command line.
 type usageError struct {
 	message string
 }
 
-// Error returns the message.
+// Error implements error.
 func (e *usageError) Error() string {
 	return e.message
 }
 
-// options are the settings of one run.
+// options configures one run.
 type options struct {
 	suites   []suite
 	accepted string
 	accept   bool
-	// progress takes what the suites tell while they run.
+	// progress receives the progress output of the suites.
 	progress io.Writer
 	out      io.Writer
 	problems io.Writer
@@ -104,14 +104,14 @@
 func command(out, problems io.Writer) *cli.Command {
 	return &cli.Command{
 		Name:      "bench",
-		Usage:     "measure the figures of the project and hold them against their bounds",
+		Usage:     "measure the figures of the project and compare them with their bounds",
 		Writer:    out,
 		ErrWriter: problems,
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "run", Usage: "suites to run, separated by commas: " + strings.Join(names(), ", ") + " (default: all)"},
-			&cli.BoolFlag{Name: "accept", Usage: "take the figures of this run as the accepted ones"},
+			&cli.StringFlag{Name: "run", Usage: "suites to run, separated by commas: " + strings.Join(suiteNames(), ", ") + " (default: all)"},
+			&cli.BoolFlag{Name: "accept", Usage: "store the figures of this run as the accepted ones"},
 			&cli.StringFlag{Name: "accepted", Value: "bench/accepted/figures.json", Usage: "file of the accepted figures"},
-			&cli.BoolFlag{Name: "v", Usage: "show what the suites tell while they run"},
+			&cli.BoolFlag{Name: "v", Usage: "print the progress of the suites"},
 		},
 		OnUsageError: func(_ context.Context, _ *cli.Command, err error, _ bool) error {
 			return &usageError{err.Error()}
@@ -120,12 +120,12 @@
 			if c.NArg() > 0 {
 				return &usageError{fmt.Sprintf("unexpected argument %q", c.Args().First())}
 			}
-			chosen, err := choose(c.String("run"))
+			selected, err := selectSuites(c.String("run"))
 			if err != nil {
 				return err
 			}
 			o := options{
-				suites: chosen, accepted: c.String("accepted"), accept: c.Bool("accept"),
+				suites: selected, accepted: c.String("accepted"), accept: c.Bool("accept"),
 				progress: io.Discard, out: out, problems: problems,
 			}
 			if c.Bool("v") {
@@ -136,7 +136,7 @@
 	}
 }
 
-func names() []string {
+func suiteNames() []string {
 	var list []string
 	for _, s := range suites() {
 		list = append(list, s.name)
@@ -144,34 +144,36 @@
 	return list
 }
 
-// choose returns the suites of a list of names, all for an empty one.
-func choose(list string) ([]suite, error) {
+// selectSuites returns the suites in a comma-separated list of names, or all
+// suites if the list is empty.
+func selectSuites(list string) ([]suite, error) {
 	if list == "" {
 		return suites(), nil
 	}
 	wanted := strings.Split(list, ",")
 	for _, name := range wanted {
-		if !slices.Contains(names(), name) {
-			return nil, &usageError{fmt.Sprintf("unknown suite %q: want some of %s", name, strings.Join(names(), ", "))}
+		if !slices.Contains(suiteNames(), name) {
+			return nil, &usageError{fmt.Sprintf("unknown suite %q: want some of %s", name, strings.Join(suiteNames(), ", "))}
 		}
 	}
-	var chosen []suite
+	var selected []suite
 	for _, s := range suites() {
 		if slices.Contains(wanted, s.name) {
-			chosen = append(chosen, s)
+			selected = append(selected, s)
 		}
 	}
-	return chosen, nil
+	return selected, nil
 }
 
-// run measures the suites one after the other and holds them against the
-// accepted figures.
+// run measures the suites one after the other and compares their figures with
+// the accepted ones.
 func run(o options) error {
 	old, err := accepted.Load(o.accepted)
 	if err != nil {
 		return err
 	}
-	// The suites that start processes build the programs once for all.
+	// The suites that start processes share one build of the programs, which is
+	// removed at the end.
 	defer func() { _ = deployment.Clean() }()
 	failed := false
 	for _, s := range o.suites {
