--- a/bench/capacity/documents.go
+++ b/bench/capacity/documents.go
@@ -31,7 +31,7 @@
 		Revision: 1, ChangeID: "first", Models: []config.Model{{Name: "caption"}},
 		Operators: []config.Operator{{Name: "operator", Role: config.RoleAdmin, TokenHash: config.HashToken("operator")}},
 	}
-	path.Fleet(&c, workspaces, targets)
+	path.AddFleet(&c, workspaces, targets)
 	return c
 }
 
--- a/bench/capacity/nodes.go
+++ b/bench/capacity/nodes.go
@@ -61,7 +61,7 @@
 func entryAmong(ctx context.Context, n int) (float64, error) {
 	var t traffic
 	for i := range n {
-		s, _, err := listen(&agent{name: "server"}, path.FleetAgent(i), &t)
+		s, _, err := listen(&agent{name: "server"}, path.FleetAgentAddr(i), &t)
 		if err != nil {
 			return 0, err
 		}
@@ -70,7 +70,7 @@
 	largest := sizes[len(sizes)-1]
 	d, err := deployment.Start(ctx, deployment.Shape{
 		Block: "127.0.52", Entries: 1, ModelTargets: 1,
-		Configure: func(c *config.Config) { path.Fleet(c, largest.workspaces, largest.targets) },
+		Configure: func(c *config.Config) { path.AddFleet(c, largest.workspaces, largest.targets) },
 	})
 	if err != nil {
 		return 0, err
@@ -90,7 +90,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return path.Memory(pid)
+	return path.ResidentMemory(pid)
 }
 
 // agentMemory connects more and more nodes to one agent.
@@ -99,7 +99,7 @@
 	largest := sizes[len(sizes)-1]
 	d, err := deployment.Start(ctx, deployment.Shape{
 		Block: "127.0.52", Entries: 1, ModelTargets: 1,
-		Configure: func(c *config.Config) { path.Fleet(c, largest.workspaces, largest.targets) },
+		Configure: func(c *config.Config) { path.AddFleet(c, largest.workspaces, largest.targets) },
 	})
 	if err != nil {
 		return nil, err
--- a/bench/path/memory.go
+++ b/bench/path/memory.go
@@ -19,9 +19,9 @@
 	settleTime      = 10 * time.Second
 )
 
-// Fleet adds workspaces, targets, models and groups to c until it has so many.
+// AddFleet adds workspaces, targets, models and groups to c until it has so many.
 // The agents of the added targets are at addresses where nobody listens.
-func Fleet(c *config.Config, workspaces, targets int) {
+func AddFleet(c *config.Config, workspaces, targets int) {
 	for n := len(c.Models); n < fleetModels; n++ {
 		c.Models = append(c.Models, config.Model{Name: fmt.Sprintf("model-%d", n), Version: "2026-11"})
 	}
@@ -42,13 +42,13 @@
 		k := n % fleetModels
 		c.Targets = append(c.Targets, config.Target{
 			Name: fmt.Sprintf("server-%04d", n), Region: fmt.Sprintf("region-%d", n%3), Zone: fmt.Sprintf("zone-%d", n%9),
-			Agent: FleetAgent(n), Model: c.Models[k].Name, Version: "2026-11", Group: fmt.Sprintf("group-%d", k), HonoursFencing: true,
+			Agent: FleetAgentAddr(n), Model: c.Models[k].Name, Version: "2026-11", Group: fmt.Sprintf("group-%d", k), HonoursFencing: true,
 		})
 	}
 }
 
-// FleetAgent returns the address of the agent of an added target.
-func FleetAgent(n int) string {
+// FleetAgentAddr returns the address of the agent of an added target.
+func FleetAgentAddr(n int) string {
 	return fmt.Sprintf("127.0.%d.%d:7000", 53+n/200, 1+n%200)
 }
 
@@ -57,7 +57,7 @@
 func measureMemory(ctx context.Context) ([]figure.Figure, error) {
 	d, err := deployment.Start(ctx, deployment.Shape{
 		Block: "127.0.51", Entries: 1, ModelTargets: 1, Workspaces: []string{workspace},
-		Configure: func(c *config.Config) { Fleet(c, fleetWorkspaces, fleetTargets) },
+		Configure: func(c *config.Config) { AddFleet(c, fleetWorkspaces, fleetTargets) },
 	})
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 		if err != nil {
 			return nil, err
 		}
-		bytes, err := Memory(pid)
+		bytes, err := ResidentMemory(pid)
 		if err != nil {
 			return nil, err
 		}
--- a/bench/path/process.go
+++ b/bench/path/process.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		return usage{}, err
 	}
-	cpu, err := CPU(pid)
+	cpu, err := CPUTime(pid)
 	if err != nil {
 		return usage{}, err
 	}
@@ -112,9 +112,9 @@
 	return float64(vars.Memstats.Mallocs), nil
 }
 
-// CPU returns the processor time that a process has used, in user and system
+// CPUTime returns the processor time that a process has used, in user and system
 // mode, with a resolution of 10 ms.
-func CPU(pid int) (time.Duration, error) {
+func CPUTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, errors.Wrap(err, "read processor time")
@@ -136,8 +136,8 @@
 	return time.Duration(ticks) * clockTick, nil
 }
 
-// Memory returns the resident memory of a process in bytes.
-func Memory(pid int) (float64, error) {
+// ResidentMemory returns the resident memory of a process in bytes.
+func ResidentMemory(pid int) (float64, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		return 0, errors.Wrap(err, "read resident memory")
