--- a/bench/path/memory.go
+++ b/bench/path/memory.go
@@ -10,8 +10,8 @@
 	"verbenashift/standin/deployment"
 )
 
-// The size to design for, and the time after which an idle process has
-// settled.
+// The size of the fleet to design for, and the time after which the memory of
+// an idle process is stable.
 const (
 	fleetWorkspaces = 930
 	fleetTargets    = 670
@@ -19,8 +19,9 @@
 	settleTime      = 10 * time.Second
 )
 
-// AddFleet adds workspaces, targets, models and groups to c until it has so many.
-// The agents of the added targets are at addresses where nobody listens.
+// AddFleet adds models, groups, workspaces and targets to c until it has the
+// given numbers of workspaces and targets. The agents of the added targets have
+// addresses on which nothing listens.
 func AddFleet(c *config.Config, workspaces, targets int) {
 	for n := len(c.Models); n < fleetModels; n++ {
 		c.Models = append(c.Models, config.Model{Name: fmt.Sprintf("model-%d", n), Version: "2026-11"})
@@ -47,13 +48,13 @@
 	}
 }
 
-// FleetAgentAddr returns the address of the agent of an added target.
+// FleetAgentAddr returns the address of the agent of the nth added target.
 func FleetAgentAddr(n int) string {
 	return fmt.Sprintf("127.0.%d.%d:7000", 53+n/200, 1+n%200)
 }
 
 // measureMemory loads an entry and an agent with the configuration of the
-// whole fleet and reads their resident memory when they have settled.
+// whole fleet and reads their resident memory once it is stable.
 func measureMemory(ctx context.Context) ([]figure.Figure, error) {
 	d, err := deployment.Start(ctx, deployment.Shape{
 		Block: "127.0.51", Entries: 1, ModelTargets: 1, Workspaces: []string{workspace},
--- a/bench/path/path.go
+++ b/bench/path/path.go
@@ -1,10 +1,10 @@
-// Package path measures what the way through an entry and an agent costs,
-// against a direct call to the same stand-in in the same run.
+// Package path measures the overhead of the request path through an entry and
+// an agent, compared with direct calls to the same stand-in in the same run.
 //
-// The programs run as processes on loopback. Times are compared by turns, one
-// direct call and one through the system, so that both see the same machine.
-// What a frame costs is the slope between short and long streams, so that the
-// cost of a request and of an idle process falls out.
+// The programs run as processes on loopback. Direct calls and calls through the
+// system alternate, so that both see the same load on the machine. The cost of
+// a frame is the slope between short and long streams, which cancels out the
+// cost of a request and of an idle process.
 //
 // # Usage
 //
@@ -22,7 +22,7 @@
 	"verbenashift/standin/deployment"
 )
 
-// The load of one run.
+// The load of one run: numbers of calls, tokens, and durations.
 const (
 	pings        = 2000
 	shortAnswers = 400
@@ -47,13 +47,13 @@
 
 const workspace = "harbor-home"
 
-// Run starts the deployments, measures and stops them. It writes one line for
-// each figure to w.
+// Run starts the deployments, takes the measurements and stops the deployments.
+// It writes one line for each figure to w.
 func Run(w io.Writer) ([]figure.Figure, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), runTime)
 	defer cancel()
 	var all []figure.Figure
-	for _, part := range []func(context.Context) ([]figure.Figure, error){measureWay, measureMemory} {
+	for _, part := range []func(context.Context) ([]figure.Figure, error){measureRequestPath, measureMemory} {
 		figures, err := part(ctx)
 		if err != nil {
 			return all, err
@@ -68,9 +68,9 @@
 	return all, nil
 }
 
-// measureWay measures times, processor time and allocations on the way of a
+// measureRequestPath measures the added latency, CPU time and allocations of a
 // request.
-func measureWay(ctx context.Context) (figures []figure.Figure, err error) {
+func measureRequestPath(ctx context.Context) (figures []figure.Figure, err error) {
 	d, err := deployment.Start(ctx, deployment.Shape{
 		Block: "127.0.50", Entries: 1, ModelTargets: 1, ServiceTargets: 1, Workspaces: []string{workspace},
 		EngineFlags: []string{"-step", "2ms", "-slots", "32"}, PlainFlags: []string{"-work", "0s"},
@@ -79,8 +79,8 @@
 		return nil, err
 	}
 	defer func() { _ = d.Close() }()
-	for _, part := range []func(context.Context, *way) ([]figure.Figure, error){addedTimes, callCosts, frameCosts} {
-		more, err := part(ctx, newWay(d))
+	for _, part := range []func(context.Context, *loadClient) ([]figure.Figure, error){addedTimes, callCosts, frameCosts} {
+		more, err := part(ctx, newLoadClient(d))
 		if err != nil {
 			return nil, err
 		}
@@ -89,14 +89,14 @@
 	return figures, nil
 }
 
-// addedTimes compares calls of a plain service and streams of one token with
-// direct ones.
-func addedTimes(ctx context.Context, y *way) ([]figure.Figure, error) {
-	_, calls, err := alternate(ctx, pings, y.directPing, y.ping)
+// addedTimes measures the latency that the system adds to calls of a plain
+// service and to streams of one token.
+func addedTimes(ctx context.Context, c *loadClient) ([]figure.Figure, error) {
+	_, calls, err := callAlternately(ctx, pings, c.directPing, c.ping)
 	if err != nil {
 		return nil, err
 	}
-	first, whole, err := alternate(ctx, shortAnswers, y.directShort, y.short)
+	first, total, err := callAlternately(ctx, shortAnswers, c.directShort, c.short)
 	if err != nil {
 		return nil, err
 	}
@@ -105,21 +105,22 @@
 		calls.added("path-added-p99", 0.99, addedP99Bound),
 		first.added("path-first-token-added-median", 0.5, addedMedianBound),
 		first.added("path-first-token-added-p99", 0.99, addedP99Bound),
-		whole.added("path-short-answer-added-median", 0.5, addedMedianBound),
-		whole.added("path-short-answer-added-p99", 0.99, addedP99Bound),
+		total.added("path-short-answer-added-median", 0.5, addedMedianBound),
+		total.added("path-short-answer-added-p99", 0.99, addedP99Bound),
 	}, nil
 }
 
-// callCosts measures what a short call costs both processes.
-func callCosts(ctx context.Context, y *way) ([]figure.Figure, error) {
-	entry, agent := y.probe("entry-1"), y.probe("agent-2")
-	idle, err := during(ctx, []probe{entry, agent}, func() error { return sleep(ctx, idleTime) })
+// callCosts measures the CPU time and allocations of a short call in the entry
+// and the agent.
+func callCosts(ctx context.Context, c *loadClient) ([]figure.Figure, error) {
+	entry, agent := c.probe("entry-1"), c.probe("agent-2")
+	idle, err := usageDuring(ctx, []probe{entry, agent}, func() error { return sleep(ctx, idleTime) })
 	if err != nil {
 		return nil, err
 	}
-	load, err := during(ctx, []probe{entry, agent}, func() error {
-		return together(loadWorkers, loadCalls, func() error {
-			_, err := y.ping(ctx)
+	load, err := usageDuring(ctx, []probe{entry, agent}, func() error {
+		return runConcurrently(loadWorkers, loadCalls, func() error {
+			_, err := c.ping(ctx)
 			return err
 		})
 	})
@@ -128,7 +129,7 @@
 	}
 	var figures []figure.Figure
 	for i, name := range []string{"entry", "agent"} {
-		net := load[i].less(idle[i])
+		net := load[i].minusIdle(idle[i])
 		figures = append(figures,
 			figure.Figure{
 				Name: "path-call-cpu-" + name, Value: net.cpu.Seconds() * 1e6 / loadCalls, Unit: "us", Bound: callCPUBound, Better: figure.Lower,
@@ -139,19 +140,19 @@
 	return figures, nil
 }
 
-// frameCosts measures what one relayed frame costs: the slope between short
-// and long streams.
-func frameCosts(ctx context.Context, y *way) ([]figure.Figure, error) {
-	probes := []probe{y.probe("entry-1"), y.probe("agent-1")}
+// frameCosts measures the CPU time and allocations of one relayed frame: the
+// slope between short and long streams.
+func frameCosts(ctx context.Context, c *loadClient) ([]figure.Figure, error) {
+	probes := []probe{c.probe("entry-1"), c.probe("agent-1")}
 	play := func(tokens int) ([]usage, error) {
-		return during(ctx, probes, func() error {
-			return together(streams, streams, func() error { return y.stream(ctx, tokens) })
+		return usageDuring(ctx, probes, func() error {
+			return runConcurrently(streams, streams, func() error { return c.stream(ctx, tokens) })
 		})
 	}
 	if _, err := play(shortTokens); err != nil {
 		return nil, err
 	}
-	idle, err := during(ctx, probes, func() error { return sleep(ctx, idleTime) })
+	idle, err := usageDuring(ctx, probes, func() error { return sleep(ctx, idleTime) })
 	if err != nil {
 		return nil, err
 	}
@@ -167,8 +168,8 @@
 	note := fmt.Sprintf("slope from %d to %d frames over %d streams, 2 ms a step", shortTokens, longTokens, streams)
 	var figures []figure.Figure
 	for i, name := range []string{"entry", "agent"} {
-		net := long[i].less(idle[i])
-		base := short[i].less(idle[i])
+		net := long[i].minusIdle(idle[i])
+		base := short[i].minusIdle(idle[i])
 		figures = append(figures,
 			figure.Figure{
 				Name: "path-frame-allocs-" + name, Value: (net.mallocs - base.mallocs) / frames, Unit: "allocs",
@@ -182,7 +183,7 @@
 	return figures, nil
 }
 
-// sleep waits, and returns why it was cut short.
+// sleep waits for d and returns the error of ctx if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	pause.For(ctx, d)
 	return ctx.Err()
--- a/bench/path/process.go
+++ b/bench/path/process.go
@@ -15,33 +15,33 @@
 	"verbenashift/standin/deployment"
 )
 
-// clockTick is the unit of the processor times in /proc, which on Linux is a
-// hundredth of a second for every architecture.
+// clockTick is the unit of the CPU times in /proc, which on Linux is a
+// hundredth of a second on every architecture.
 const clockTick = 10 * time.Millisecond
 
-// probe reads what one process has used.
+// probe reads the resource usage of one process.
 type probe struct {
 	d    *deployment.Deployment
 	name string
 }
 
-// usage is what a process has used, or used within some time.
+// usage is the resource usage of a process, in total or within a period.
 type usage struct {
 	cpu     time.Duration
 	mallocs float64
 	time    time.Duration
 }
 
-// less takes away what an idle process uses in the same time.
-func (u usage) less(idle usage) usage {
-	part := u.time.Seconds() / idle.time.Seconds()
-	u.cpu -= time.Duration(float64(idle.cpu) * part)
-	u.mallocs -= idle.mallocs * part
+// minusIdle returns u less what an idle process uses in the same time.
+func (u usage) minusIdle(idle usage) usage {
+	scale := u.time.Seconds() / idle.time.Seconds()
+	u.cpu -= time.Duration(float64(idle.cpu) * scale)
+	u.mallocs -= idle.mallocs * scale
 	return u
 }
 
-// during runs f and returns what each process used meanwhile.
-func during(ctx context.Context, probes []probe, f func() error) ([]usage, error) {
+// usageDuring runs f and returns what each process used while it ran.
+func usageDuring(ctx context.Context, probes []probe, f func() error) ([]usage, error) {
 	before, err := readAll(ctx, probes)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	for i, p := range probes {
 		u, err := p.read(ctx)
 		if err != nil {
-			return nil, errors.Wrapf(err, "read the use of %s", p.name)
+			return nil, errors.Wrapf(err, "read resource usage of %s", p.name)
 		}
 		list[i] = u
 	}
@@ -88,7 +88,8 @@
 	return usage{cpu: cpu, mallocs: mallocs}, err
 }
 
-// mallocs reads the allocations so far from the process's own metrics.
+// mallocs reads the number of allocations so far from the process's own
+// metrics.
 func (p probe) mallocs(ctx context.Context) (float64, error) {
 	address := p.d.Address(p.name)
 	if strings.HasPrefix(p.name, "entry") {
@@ -112,24 +113,24 @@
 	return float64(vars.Memstats.Mallocs), nil
 }
 
-// CPUTime returns the processor time that a process has used, in user and system
-// mode, with a resolution of 10 ms.
+// CPUTime returns the CPU time that a process has used in user and system mode,
+// with a resolution of 10 ms.
 func CPUTime(pid int) (time.Duration, error) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return 0, errors.Wrap(err, "read processor time")
+		return 0, errors.Wrap(err, "read CPU time")
 	}
 	// The second field is the name in parentheses, which may hold spaces.
 	fields := strings.Fields(string(data[strings.LastIndexByte(string(data), ')')+1:]))
 	const userField, systemField = 11, 12
 	if len(fields) <= systemField {
-		return 0, errors.New("processor time has too few fields")
+		return 0, errors.New("too few fields in /proc/PID/stat")
 	}
 	var ticks int64
 	for _, f := range fields[userField : systemField+1] {
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
-			return 0, errors.Wrap(err, "parse processor time")
+			return 0, errors.Wrap(err, "parse CPU time")
 		}
 		ticks += n
 	}
@@ -153,5 +154,5 @@
 		}
 		return kb * 1024, nil
 	}
-	return 0, errors.New("no resident memory in status")
+	return 0, errors.New("no VmRSS in /proc/PID/status")
 }
--- a/bench/path/way.go
+++ b/bench/path/way.go
@@ -19,94 +19,97 @@
 	"verbenashift/standin/deployment"
 )
 
-// way makes the same calls through the system and past it.
-type way struct {
-	d      *deployment.Deployment
-	client *http.Client
-	entry  string
-	engine string
-	plain  string
-	number atomic.Int64
-}
-
-func newWay(d *deployment.Deployment) *way {
-	return &way{
-		d: d, entry: d.Address("entry-1"), engine: d.Address("target-1"), plain: d.Address("target-2"),
+// loadClient makes the same calls through the entry and directly to the
+// stand-ins.
+type loadClient struct {
+	d            *deployment.Deployment
+	client       *http.Client
+	entry        string
+	engine       string
+	service      string
+	promptNumber atomic.Int64
+}
+
+func newLoadClient(d *deployment.Deployment) *loadClient {
+	return &loadClient{
+		d: d, entry: d.Address("entry-1"), engine: d.Address("target-1"), service: d.Address("target-2"),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2 * streams}},
 	}
 }
 
-func (y *way) probe(name string) probe {
-	return probe{d: y.d, name: name}
+func (c *loadClient) probe(name string) probe {
+	return probe{d: c.d, name: name}
 }
 
-// taken is how long a call took to the first byte of its answer's body and to
-// the end.
-type taken struct {
-	first, whole time.Duration
+// callTime is the time of a call until the first byte of the response body and
+// until its end.
+type callTime struct {
+	first, total time.Duration
 }
 
-func (y *way) ping(ctx context.Context) (taken, error) {
-	_, t, err := y.call(ctx, y.entry, "/services/"+y.d.Shape.Service+"/pings", `{"at":"counter"}`)
+func (c *loadClient) ping(ctx context.Context) (callTime, error) {
+	_, t, err := c.call(ctx, c.entry, "/services/"+c.d.Shape.Service+"/pings", `{"at":"counter"}`)
 	return t, err
 }
 
-func (y *way) directPing(ctx context.Context) (taken, error) {
-	_, t, err := y.call(ctx, y.plain, "/pings", `{"at":"counter"}`)
+func (c *loadClient) directPing(ctx context.Context) (callTime, error) {
+	_, t, err := c.call(ctx, c.service, "/pings", `{"at":"counter"}`)
 	return t, err
 }
 
-// short streams an answer of one token.
-func (y *way) short(ctx context.Context) (taken, error) {
-	_, t, err := y.call(ctx, y.entry, "/v1/completions", y.body(1))
+// short streams a response of one token.
+func (c *loadClient) short(ctx context.Context) (callTime, error) {
+	_, t, err := c.call(ctx, c.entry, "/v1/completions", c.body(1))
 	return t, err
 }
 
-func (y *way) directShort(ctx context.Context) (taken, error) {
-	_, t, err := y.call(ctx, y.engine, "/v1/completions", y.body(1))
+func (c *loadClient) directShort(ctx context.Context) (callTime, error) {
+	_, t, err := c.call(ctx, c.engine, "/v1/completions", c.body(1))
 	return t, err
 }
 
-// stream reads an answer of so many tokens and checks that it is whole.
-func (y *way) stream(ctx context.Context, tokens int) error {
-	answer, _, err := y.call(ctx, y.entry, "/v1/completions", y.body(tokens))
+// stream reads a response of the given number of tokens and checks that it is
+// complete.
+func (c *loadClient) stream(ctx context.Context, tokens int) error {
+	answer, _, err := c.call(ctx, c.entry, "/v1/completions", c.body(tokens))
 	if err != nil {
 		return err
 	}
-	// The last chunk, with the reason of the end, comes on top of the tokens.
+	// One more chunk follows the tokens: the last, with the finish reason.
 	if got := bytes.Count(answer, []byte("data: {")); got != tokens+1 {
 		return errors.Errorf("stream of %d tokens had %d chunks", tokens, got)
 	}
 	return nil
 }
 
-func (y *way) body(tokens int) string {
-	n := strconv.FormatInt(y.number.Add(1), 10)
-	return `{"model":"` + y.d.Shape.Model + `","prompt":"caption ` + n + `","stream":true,"max_tokens":` + strconv.Itoa(tokens) + `}`
+func (c *loadClient) body(tokens int) string {
+	n := strconv.FormatInt(c.promptNumber.Add(1), 10)
+	return `{"model":"` + c.d.Shape.Model + `","prompt":"caption ` + n + `","stream":true,"max_tokens":` + strconv.Itoa(tokens) + `}`
 }
 
-// call makes one call and returns the whole answer, which must be a success.
-func (y *way) call(ctx context.Context, address, path, body string) ([]byte, taken, error) {
+// call makes one call and returns the response body. A status other than 200 is
+// an error.
+func (c *loadClient) call(ctx context.Context, address, path, body string) ([]byte, callTime, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(body))
 	if err != nil {
-		return nil, taken{}, errors.Wrap(err, "make request")
+		return nil, callTime{}, errors.Wrap(err, "make request")
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("Authorization", "Bearer "+y.d.Token(workspace))
+	req.Header.Set("Authorization", "Bearer "+c.d.Token(workspace))
 	began := time.Now()
-	resp, err := y.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
-		return nil, taken{}, errors.Wrap(err, "call")
+		return nil, callTime{}, errors.Wrap(err, "call")
 	}
 	defer func() { _ = resp.Body.Close() }()
-	var t taken
+	var t callTime
 	in := bufio.NewReader(resp.Body)
 	_, _ = in.Peek(1)
 	t.first = time.Since(began)
 	answer, err := io.ReadAll(in)
-	t.whole = time.Since(began)
+	t.total = time.Since(began)
 	if err != nil {
-		return nil, t, errors.Wrap(err, "read answer")
+		return nil, t, errors.Wrap(err, "read response")
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, t, errors.Errorf("%s%s: status %d: %s", address, path, resp.StatusCode, answer)
@@ -114,8 +117,8 @@
 	return answer, t, nil
 }
 
-// together makes n calls by so many workers.
-func together(workers, n int, call func() error) error {
+// runConcurrently makes n calls, spread over the given number of workers.
+func runConcurrently(workers, n int, call func() error) error {
 	var g errgroup.Group
 	var next atomic.Int64
 	for range workers {
@@ -131,46 +134,47 @@
 	return g.Wait()
 }
 
-// series is one time of the same calls past the system and through it.
-type series struct {
+// latencies holds the times of the same calls, made directly and through the
+// system.
+type latencies struct {
 	direct, through []time.Duration
 }
 
-// alternate makes n calls of each kind by turns, after a few to warm up, and
-// returns the times to the first byte and to the end.
-func alternate(ctx context.Context, n int, direct, through func(context.Context) (taken, error)) (first, whole series, err error) {
+// callAlternately makes n calls of each kind in turn, after a few to warm up,
+// and returns the sorted times to the first byte and to the end.
+func callAlternately(ctx context.Context, n int, direct, through func(context.Context) (callTime, error)) (first, total latencies, err error) {
 	const warm = 20
 	for i := range n + warm {
 		d, err := direct(ctx)
 		if err != nil {
-			return first, whole, err
+			return first, total, err
 		}
 		t, err := through(ctx)
 		if err != nil {
-			return first, whole, err
+			return first, total, err
 		}
 		if i < warm {
 			continue
 		}
 		first.direct, first.through = append(first.direct, d.first), append(first.through, t.first)
-		whole.direct, whole.through = append(whole.direct, d.whole), append(whole.through, t.whole)
+		total.direct, total.through = append(total.direct, d.total), append(total.through, t.total)
 	}
-	for _, list := range [][]time.Duration{first.direct, first.through, whole.direct, whole.through} {
+	for _, list := range [][]time.Duration{first.direct, first.through, total.direct, total.through} {
 		slices.Sort(list)
 	}
-	return first, whole, nil
+	return first, total, nil
 }
 
-// added is the figure of how much later a quantile is through the system.
-func (s series) added(name string, quantile, bound float64) figure.Figure {
-	direct, through := at(s.direct, quantile), at(s.through, quantile)
+// added returns the figure of the latency that the system adds at a quantile.
+func (s latencies) added(name string, quantile, bound float64) figure.Figure {
+	direct, through := quantileOf(s.direct, quantile), quantileOf(s.through, quantile)
 	return figure.Figure{
 		Name: name, Value: through - direct, Unit: "us", Bound: bound, Better: figure.Lower, Baseline: direct,
 		Note: "on loopback; baseline is the direct call's own quantile",
 	}
 }
 
-func at(sorted []time.Duration, quantile float64) float64 {
+func quantileOf(sorted []time.Duration, quantile float64) float64 {
 	i := min(int(quantile*float64(len(sorted))), len(sorted)-1)
 	return float64(sorted[i].Nanoseconds()) / 1e3
 }
