--- a/bench/booking/booking.go
+++ b/bench/booking/booking.go
@@ -1,5 +1,5 @@
-// Package booking measures the at-most-once registers: the cost of a claim,
-// the bytes of a key and the cost of a rebuild.
+// Package booking measures the at-most-once registers: the time of a claim, the
+// memory of a key and the time of a rebuild.
 //
 // # Usage
 //
@@ -21,30 +21,30 @@
 )
 
 const (
-	// claims is how many claims one figure is averaged over.
-	claims = 20000
-	// peak is the requests a second that the fleet is designed for, all taken
-	// as not repeatable.
-	peak = 6200
-	// fleet is the number of targets that it is designed for.
+	// claimCount is the number of claims over which a figure is averaged.
+	claimCount = 20000
+	// peakRate is the number of requests per second for which the fleet is
+	// designed. All of them are assumed to be non-repeatable.
+	peakRate = 6200
+	// fleet is the number of targets in the fleet at that rate.
 	fleet = 670
 	// megabyte is the unit of the memory figures.
 	megabyte = 1 << 20
 )
 
-// Run measures every figure and tells w of its progress.
+// Run measures all figures and writes its progress to w.
 func Run(w io.Writer) ([]figure.Figure, error) {
 	var figures []figure.Figure
 	for _, n := range []int{19, 67, fleet} {
 		fmt.Fprintf(w, "booking: %d executors\n", n)
-		figures = append(figures, claim(n), rebuild(n))
+		figures = append(figures, measureClaim(n), measureRebuild(n))
 	}
-	figures = append(figures, sealScan(), homeAllocs(), acceptAllocs())
-	return handover(append(figures, memory()...))
+	figures = append(figures, measureSealScan(), homeAllocs(), acceptAllocs())
+	return measureHandover(append(figures, measureMemory()...))
 }
 
-// names returns the names of n targets.
-func names(n int) []string {
+// targetNames returns the names of n targets.
+func targetNames(n int) []string {
 	out := make([]string, n)
 	for i := range out {
 		out[i] = fmt.Sprintf("caption-%03d", i)
@@ -52,8 +52,8 @@
 	return out
 }
 
-// keys returns n distinct keys.
-func keys(n int) []core.Key {
+// distinctKeys returns n distinct keys.
+func distinctKeys(n int) []core.Key {
 	out := make([]core.Key, n)
 	for i := range out {
 		out[i] = core.KeyOf("lightbox", fmt.Sprint(i))
@@ -61,20 +61,20 @@
 	return out
 }
 
-// newHome returns a home that knows no keys, among n targets.
+// newHome returns a home without keys, one of n targets.
 func newHome(n int) *core.Home {
-	all := names(n)
-	h := &core.Home{Name: all[0], Incarnation: 1, First: true, Limits: core.Limits{MaxKeys: 2 * claims}}
+	all := targetNames(n)
+	h := &core.Home{Name: all[0], Incarnation: 1, First: true, Limits: core.Limits{MaxKeys: 2 * claimCount}}
 	h.Configure(core.Generation{Revision: 1, Names: all}, 0)
 	return h
 }
 
-// ownKeys returns keys of newHome(n): as many as it has of all the claims, and
+// homeKeys returns keys that belong to newHome(n): its share of claimCount, and
 // 100 more.
-func ownKeys(n int) []core.Key {
-	all := names(n)
-	own := make([]core.Key, 0, claims)
-	for i := 0; len(own) < claims/n+100; i++ {
+func homeKeys(n int) []core.Key {
+	all := targetNames(n)
+	own := make([]core.Key, 0, claimCount)
+	for i := 0; len(own) < claimCount/n+100; i++ {
 		if key := core.KeyOf("lightbox", fmt.Sprint(i)); core.HomeOf(key, all) == all[0] {
 			own = append(own, key)
 		}
@@ -82,21 +82,21 @@
 	return own
 }
 
-func request(key core.Key, id, executor string) core.Claim {
+func newClaim(key core.Key, id, executor string) core.Claim {
 	return core.Claim{Key: key, RequestID: id, Executor: executor, ExecutorIncarnation: 1, Revision: 1}
 }
 
-// claim measures a first claim with n targets in the list: the best of some
-// rounds, since other work on the machine only adds to it.
-func claim(n int) figure.Figure {
+// measureClaim measures the time of a first claim with n targets. It takes the
+// fastest round, since other work on the machine can only slow a round down.
+func measureClaim(n int) figure.Figure {
 	const rounds = 7
-	own := ownKeys(n)
+	own := homeKeys(n)
 	best := time.Duration(math.MaxInt64)
 	for range rounds {
 		h := newHome(n)
 		start := time.Now()
 		for _, key := range own {
-			h.Claim(request(key, "0123456789abcdef0123456789abcdef", "caption-001"), 0)
+			h.Claim(newClaim(key, "0123456789abcdef0123456789abcdef", "caption-001"), 0)
 		}
 		best = min(best, time.Since(start))
 	}
@@ -107,14 +107,15 @@
 	}
 }
 
-// rebuild measures the home's side of a rebuild in process: it merges the
-// lists of n executors, which hold the peak rate's keys of one home.
-func rebuild(n int) figure.Figure {
-	all := names(n)
+// measureRebuild measures the home's side of a rebuild, without the network:
+// merging the key lists of the executors, which together hold the keys that one
+// home has at the peak rate.
+func measureRebuild(n int) figure.Figure {
+	all := targetNames(n)
 	h := &core.Home{Name: all[0], Incarnation: 2}
 	h.Configure(core.Generation{Revision: 1, Names: all}, 0)
-	perHome := int(peak * core.DefaultRetention.Seconds() / fleet)
-	held := keys(perHome)
+	perHome := int(peakRate * core.DefaultRetention.Seconds() / fleet)
+	held := distinctKeys(perHome)
 	executors := make([]*core.Executor, n)
 	for i := range executors {
 		executors[i] = &core.Executor{Name: all[i], Incarnation: 1, First: true}
@@ -134,12 +135,12 @@
 	}
 }
 
-// sealScan measures an executor's side of a rebuild: it looks through all its
-// keys at the peak rate for those of one home.
-func sealScan() figure.Figure {
+// measureSealScan measures the executor's side of a rebuild: scanning all keys
+// that it holds at the peak rate for those of one home.
+func measureSealScan() figure.Figure {
 	e := &core.Executor{Name: "a", Incarnation: 1, First: true}
-	count := int(peak * core.DefaultRetention.Seconds() / fleet)
-	for i, key := range keys(count) {
+	count := int(peakRate * core.DefaultRetention.Seconds() / fleet)
+	for i, key := range distinctKeys(count) {
 		grant := core.Grant{Key: key, Home: fmt.Sprint(i % fleet)}
 		e.Accept(core.Submission{Grant: grant, RequestID: "0123456789abcdef", Incarnation: 1}, 0)
 	}
@@ -151,18 +152,18 @@
 	}
 }
 
-// memory measures the bytes of a key in both registers and works out those of
-// an agent at the peak rate.
-func memory() []figure.Figure {
+// measureMemory measures the memory of a key in both registers and computes the
+// memory of an agent at the peak rate.
+func measureMemory() []figure.Figure {
 	const count = 50000
-	before := heap()
+	before := liveHeap()
 	limits := core.Limits{MaxKeys: 2 * count}
 	h := &core.Home{Name: "a", Incarnation: 1, First: true, Limits: limits}
 	h.Configure(core.Generation{Revision: 1, Names: []string{"a"}}, 0)
 	for i := range count {
-		h.Claim(request(core.KeyOf("w", fmt.Sprint(i)), fmt.Sprintf("%032d", i), "a"), time.Duration(i))
+		h.Claim(newClaim(core.KeyOf("w", fmt.Sprint(i)), fmt.Sprintf("%032d", i), "a"), time.Duration(i))
 	}
-	middle := heap()
+	middle := liveHeap()
 	e := &core.Executor{Name: "a", Incarnation: 1, First: true, Limits: limits}
 	for i := range count {
 		key := core.KeyOf("w", fmt.Sprint(i))
@@ -170,11 +171,11 @@
 		e.Start(key, time.Duration(i))
 		e.End(key, time.Duration(i))
 	}
-	after := heap()
+	after := liveHeap()
 	perHome, perExecutor := (middle-before)/count, (after-middle)/count
 	runtime.KeepAlive(h)
 	runtime.KeepAlive(e)
-	rate := float64(peak) / fleet
+	rate := float64(peakRate) / fleet
 	agent := rate * (perHome*core.Limits{}.Window().Seconds() + perExecutor*(core.DefaultRetention+10*time.Second).Seconds())
 	return []figure.Figure{
 		{Name: "booking-home-key", Value: perHome, Unit: "bytes", Bound: 512, Better: figure.Lower, Gate: true},
@@ -186,7 +187,7 @@
 	}
 }
 
-func heap() float64 {
+func liveHeap() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -194,17 +195,17 @@
 	return float64(m.HeapAlloc)
 }
 
-// handover adds the encoded size of a key that is handed over.
-func handover(figures []figure.Figure) ([]figure.Figure, error) {
+// measureHandover appends the encoded size of a key in a handover to figures.
+func measureHandover(figures []figure.Figure) ([]figure.Figure, error) {
 	const count = 5000
 	h := &core.Home{Name: "a", Incarnation: 1, First: true}
 	h.Configure(core.Generation{Revision: 1, Names: []string{"a"}}, 0)
 	for i := range count {
-		h.Claim(request(core.KeyOf("w", fmt.Sprint(i)), fmt.Sprintf("%032d", i), "a"), 0)
+		h.Claim(newClaim(core.KeyOf("w", fmt.Sprint(i)), fmt.Sprintf("%032d", i), "a"), 0)
 	}
-	var size counter
+	var size byteCounter
 	if err := gob.NewEncoder(&size).Encode(h.Export(0)); err != nil {
-		return nil, errors.Wrap(err, "encode the handover")
+		return nil, errors.Wrap(err, "encode handover")
 	}
 	return append(figures, figure.Figure{
 		Name: "booking-handover-key", Value: float64(size) / count, Unit: "bytes", Bound: 256, Better: figure.Lower, Gate: true,
@@ -212,11 +213,11 @@
 	}), nil
 }
 
-// counter counts the bytes that are written to it.
-type counter int
+// byteCounter counts the bytes written to it.
+type byteCounter int
 
-// Write counts p.
-func (c *counter) Write(p []byte) (int, error) {
-	*c += counter(len(p))
+// Write implements io.Writer.
+func (c *byteCounter) Write(p []byte) (int, error) {
+	*c += byteCounter(len(p))
 	return len(p), nil
 }
