--- a/bench/capacity/capacity.go
+++ b/bench/capacity/capacity.go
@@ -1,10 +1,10 @@
-// Package capacity measures the slopes from which the needs of a large fleet
-// are worked out.
+// Package capacity measures how resource usage grows with the size of the fleet,
+// as a base for capacity planning.
 //
-// Each quantity is measured at three sizes or more by the real packages and
-// programs, and a line is fitted through the points by least squares: the
-// figure NAME-slope is what one more item costs, NAME-intercept what there is
-// without any. Sizes stand in the names of the single figures.
+// Each quantity is measured with the real packages and programs at three or more
+// sizes, and a line is fitted through the points by least squares: the figure
+// NAME-slope is the cost of one more item, NAME-intercept the cost without any
+// items. The names of the single figures contain the size.
 //
 // # Usage
 //
@@ -24,12 +24,12 @@
 
 const runTime = 5 * time.Minute
 
-// Run measures everything and writes one line for each figure to w.
+// Run measures all figures and writes one line for each to w.
 func Run(w io.Writer) ([]figure.Figure, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), runTime)
 	defer cancel()
 	parts := []func(context.Context) ([]figure.Figure, error){
-		measureDocuments, measureTables, measureStore, measureExchanges, measureKeys, measureIdle, measureNodeLists, measureSpread, measureConnections,
+		measureDocuments, measureTables, measureStore, measureExchanges, measureMutualTLS, measureIdleConnections, measureNodeLists, measureGossip, measureConnections,
 	}
 	var all []figure.Figure
 	for _, part := range parts {
@@ -51,22 +51,24 @@
 type series struct {
 	name string
 	unit string
-	// per names the item of which there are more and more.
+	// per is the item that the size counts.
 	per    string
 	points []point
-	// bound, if set, gates the value at the largest size.
+	// bound, if positive, is a gated upper bound on the value at the largest
+	// size.
 	bound float64
 	note  string
 }
 
 type point struct {
-	// label stands in the name of the figure, size on the axis.
+	// label is the size as the name of the figure shows it; size is the x value
+	// of the fit.
 	label string
 	size  float64
 	value float64
 }
 
-// figures returns the points and the line through them.
+// figures returns the figures of the points and of the line fitted to them.
 func (s series) figures() []figure.Figure {
 	var list []figure.Figure
 	for i, p := range s.points {
@@ -82,7 +84,7 @@
 		figure.Figure{Name: "capacity-" + s.name + "-intercept", Value: intercept, Unit: s.unit})
 }
 
-// fit returns the line of least squares through the points.
+// fit returns the least-squares line through the points.
 func fit(points []point) (slope, intercept float64) {
 	var n, sx, sy, sxx, sxy float64
 	for _, p := range points {
@@ -96,9 +98,9 @@
 	return slope, (sy - slope*sx) / n
 }
 
-// heap returns the bytes of the live heap.
-func heap() float64 {
-	// Two collections, since the first may leave what finalizers still hold.
+// liveHeap returns the size of the live heap in bytes.
+func liveHeap() float64 {
+	// Two collections, since objects with finalizers survive the first.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -106,16 +108,16 @@
 	return float64(m.HeapAlloc)
 }
 
-// held returns the bytes that what build returns keeps alive.
-func held[T any](build func() T) (T, float64) {
-	before := heap()
+// retained returns the result of build and the bytes of heap that it retains.
+func retained[T any](build func() T) (T, float64) {
+	before := liveHeap()
 	v := build()
-	after := heap()
+	after := liveHeap()
 	runtime.KeepAlive(v)
 	return v, after - before
 }
 
-// sleep waits, and returns why it was cut short.
+// sleep waits for d and returns the error of ctx if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	pause.For(ctx, d)
 	return ctx.Err()
--- a/bench/capacity/documents.go
+++ b/bench/capacity/documents.go
@@ -17,8 +17,8 @@
 	"verbenashift/core/request/route"
 )
 
-// sizes are numbers of workspaces and targets; the last is the size to design
-// for.
+// sizes are the numbers of workspaces and targets to measure. The last is the
+// size to design for.
 var sizes = []struct{ workspaces, targets int }{{95, 70}, {330, 250}, {930, 670}}
 
 const (
@@ -35,11 +35,11 @@
 	return c
 }
 
-// measureDocuments measures the configuration: its text, its compressed form,
-// what its index holds and how long a node takes to read it.
+// measureDocuments measures the configuration: the size of its JSON and gzip
+// forms, the memory of its index and the time in which a node reads it.
 func measureDocuments(context.Context) ([]figure.Figure, error) {
 	text := series{name: "config-json", unit: "bytes", per: "item", bound: maxDocument, note: "workspaces-targets; an item is one of either"}
-	packed := series{name: "config-gzip", unit: "bytes", per: "item", bound: maxDocument}
+	gzipped := series{name: "config-gzip", unit: "bytes", per: "item", bound: maxDocument}
 	index := series{name: "config-index", unit: "bytes", per: "item", bound: maxIndex, note: "live heap of the decoded document and its index"}
 	read := series{name: "config-read", unit: "ms", per: "item", note: "decompress, decode, validate and index"}
 	for _, s := range sizes {
@@ -48,32 +48,32 @@
 		if err != nil {
 			return nil, err
 		}
-		small, err := config.EncodeGzip(c)
+		compressed, err := config.EncodeGzip(c)
 		if err != nil {
 			return nil, err
 		}
 		began := time.Now()
 		const reads = 5
 		for range reads {
-			if _, err := config.Decode(small); err != nil {
+			if _, err := config.Decode(compressed); err != nil {
 				return nil, err
 			}
 		}
 		took := time.Since(began) / reads
-		_, bytes := held(func() *config.Index {
-			decoded, _ := config.Decode(small)
+		_, bytes := retained(func() *config.Index {
+			decoded, _ := config.Decode(compressed)
 			return config.NewIndex(decoded)
 		})
 		label, size := fmt.Sprintf("%d-%d", s.workspaces, s.targets), float64(s.workspaces+s.targets)
 		text.points = append(text.points, point{label, size, float64(len(plain))})
-		packed.points = append(packed.points, point{label, size, float64(len(small))})
+		gzipped.points = append(gzipped.points, point{label, size, float64(len(compressed))})
 		index.points = append(index.points, point{label, size, bytes})
 		read.points = append(read.points, point{label, size, took.Seconds() * 1e3})
 	}
-	return together(text, packed, index, read), nil
+	return allFigures(text, gzipped, index, read), nil
 }
 
-func together(all ...series) []figure.Figure {
+func allFigures(all ...series) []figure.Figure {
 	var list []figure.Figure
 	for _, s := range all {
 		list = append(list, s.figures()...)
@@ -81,22 +81,23 @@
 	return list
 }
 
-// measureTables measures an entry's routing table and one pick from it.
+// measureTables measures the memory of an entry's routing table and the time of
+// a pick.
 func measureTables(context.Context) ([]figure.Figure, error) {
 	memory := series{name: "route-table", unit: "bytes", per: "target", bound: maxIndex}
 	pick := series{name: "route-pick", unit: "ns", per: "target", note: "over all models"}
 	for _, s := range sizes {
 		c := fleet(0, s.targets)
-		table, bytes := held(func() *route.Table { return table(c) })
-		took := picks(table)
+		table, bytes := retained(func() *route.Table { return newTable(c) })
+		took := pickTime(table)
 		label, size := fmt.Sprint(s.targets), float64(s.targets)
 		memory.points = append(memory.points, point{label, size, bytes})
 		pick.points = append(pick.points, point{label, size, float64(took.Nanoseconds())})
 	}
-	return together(memory, pick), nil
+	return allFigures(memory, pick), nil
 }
 
-func table(c config.Config) *route.Table {
+func newTable(c config.Config) *route.Table {
 	t := route.New(route.Options{Entry: "entry-1", Region: "region-0", Zone: "zone-0", Entries: 390})
 	targets := make([]route.Target, 0, len(c.Targets))
 	for _, x := range c.Targets {
@@ -110,8 +111,8 @@
 	return t
 }
 
-// picks returns the mean time of a pick with its start and end.
-func picks(t *route.Table) time.Duration {
+// pickTime returns the mean time of a pick, including Start and End.
+func pickTime(t *route.Table) time.Duration {
 	const rounds = 200_000
 	rng := rand.New(rand.NewPCG(1, 2))
 	now := time.Now()
@@ -134,7 +135,8 @@
 	return time.Since(began) / rounds
 }
 
-// countingStore counts the calls of a follower, a waiting watch as one.
+// countingStore is a store that counts the calls of a follower. A watch counts
+// as one call, however long it waits.
 type countingStore struct {
 	calls atomic.Int64
 	value []byte
@@ -151,8 +153,8 @@
 	return ctx.Err()
 }
 
-// measureStore counts the calls to the store that one follower makes in one
-// refresh, and works out the fleet's from the programs' settings.
+// measureStore counts the store calls of one follower per refresh and computes
+// the rate of the fleet from the refresh intervals of the programs.
 func measureStore(ctx context.Context) ([]figure.Figure, error) {
 	const (
 		refresh       = 20 * time.Millisecond
@@ -161,8 +163,8 @@
 		agents        = 670
 		entryRefresh  = 30.0
 		agentRefresh  = 300.0
-		perRefreshMax = 2.6
-		fleetMax      = 100
+		maxPerRefresh = 2.6
+		maxPerSecond  = 100
 	)
 	value, err := config.EncodeGzip(fleet(10, 10))
 	if err != nil {
@@ -175,16 +177,16 @@
 	f.Run(ctx)
 	calls := float64(s.calls.Load()) / (followTime.Seconds() / refresh.Seconds())
 	if calls == 0 {
-		return nil, errors.New("the follower made no call")
+		return nil, errors.New("follower made no store calls")
 	}
 	return []figure.Figure{
 		{
-			Name: "capacity-store-calls-per-refresh", Value: calls, Unit: "calls", Bound: perRefreshMax, Better: figure.Lower, Gate: true,
+			Name: "capacity-store-calls-per-refresh", Value: calls, Unit: "calls", Bound: maxPerRefresh, Better: figure.Lower, Gate: true,
 			Note: "a read and a watch",
 		},
 		{
 			Name: "capacity-store-calls-per-second-1060", Value: calls * (entries/entryRefresh + agents/agentRefresh), Unit: "calls/s",
-			Bound: fleetMax, Better: figure.Lower, Gate: true, Note: "390 entries that refresh every 30 s and 670 agents every 300 s, no fault",
+			Bound: maxPerSecond, Better: figure.Lower, Gate: true, Note: "390 entries that refresh every 30 s and 670 agents every 300 s, no fault",
 		},
 	}, nil
 }
--- a/bench/capacity/exchange.go
+++ b/bench/capacity/exchange.go
@@ -20,16 +20,16 @@
 	"verbenashift/core/peer/wire/wireconnect"
 )
 
-// traffic counts the bytes on a listener's connections in both directions,
-// without what TCP and IP add.
-type traffic struct {
+// trafficCounter counts the connections of a listener and their bytes in both
+// directions, without the overhead of TCP and IP.
+type trafficCounter struct {
 	bytes atomic.Int64
 	conns atomic.Int64
 }
 
 type countedListener struct {
 	net.Listener
-	traffic *traffic
+	traffic *trafficCounter
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
@@ -43,7 +43,7 @@
 
 type countedConn struct {
 	net.Conn
-	traffic *traffic
+	traffic *trafficCounter
 }
 
 func (c countedConn) Read(b []byte) (int, error) {
@@ -58,22 +58,22 @@
 	return n, err
 }
 
-// quietDigest is the size of a digest of members when there is no news.
-const quietDigest = 96
+// emptyDigestSize is the size of a membership digest without updates, in bytes.
+const emptyDigestSize = 96
 
-// agent answers heartbeats as an agent does.
-type agent struct {
+// stubAgent answers heartbeats like an agent.
+type stubAgent struct {
 	wireconnect.UnimplementedAgentServiceHandler
 	name  string
 	nodes []*wire.NodeState
-	// members is the agent's view of the others; without one its digests are
-	// fillers.
+	// members is the agent's membership view. If it is nil, digests are
+	// emptyDigestSize zero bytes.
 	members *follow.Members
 }
 
-func (a *agent) digest(m *wire.ExchangeRequest) ([]byte, error) {
+func (a *stubAgent) digest(m *wire.ExchangeRequest) ([]byte, error) {
 	if a.members == nil {
-		return make([]byte, quietDigest), nil
+		return make([]byte, emptyDigestSize), nil
 	}
 	if err := a.members.Merge(m.Digest); err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
@@ -81,7 +81,7 @@
 	return a.members.Digest(m.From), nil
 }
 
-func (a *agent) Exchange(_ context.Context, req *connect.Request[wire.ExchangeRequest]) (*connect.Response[wire.ExchangeResponse], error) {
+func (a *stubAgent) Exchange(_ context.Context, req *connect.Request[wire.ExchangeRequest]) (*connect.Response[wire.ExchangeResponse], error) {
 	digest, err := a.digest(req.Msg)
 	if err != nil {
 		return nil, err
@@ -96,13 +96,13 @@
 	return connect.NewResponse(resp), nil
 }
 
-// listen serves an agent at addr and counts its traffic in t.
-func listen(a *agent, addr string, t *traffic) (*http.Server, string, error) {
-	return listenWith(a, addr, t, nil)
+// listen serves a in clear text at addr and counts its traffic in t.
+func listen(a *stubAgent, addr string, t *trafficCounter) (*http.Server, string, error) {
+	return listenTLS(a, addr, t, nil)
 }
 
-// listenWith serves with keys, or in clear text if they are nil.
-func listenWith(a *agent, addr string, t *traffic, keys *tls.Config) (*http.Server, string, error) {
+// listenTLS is like listen, but uses TLS if config is not nil.
+func listenTLS(a *stubAgent, addr string, t *trafficCounter, config *tls.Config) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, "", errors.Wrap(err, "listen")
@@ -110,16 +110,16 @@
 	path, h := wireconnect.NewAgentServiceHandler(a, connect.WithCompression("gzip", nil, nil))
 	m := http.NewServeMux()
 	m.Handle(path, h)
-	s := peer.NewServer(m, keys)
+	s := peer.NewServer(m, config)
 	go func() { _ = peer.Serve(s, countedListener{l, t}) }()
 	return s, l.Addr().String(), nil
 }
 
-// heartbeat is what an entry sends.
+// heartbeat returns the heartbeat that an entry sends.
 func heartbeat() *wire.ExchangeRequest {
 	return &wire.ExchangeRequest{
 		From: "entry-0390", Kind: "entry", Zone: "zone-8", Revision: 420, Incarnation: uint64(time.Now().UnixMilli()),
-		Digest: make([]byte, quietDigest),
+		Digest: make([]byte, emptyDigestSize),
 	}
 }
 
@@ -131,23 +131,23 @@
 	return nil
 }
 
-// The bounds of an exchange.
+// The bounds on one heartbeat exchange.
 const (
-	maxExchange    = 600 // bytes
-	maxFirst       = 1200
-	maxExchangeCPU = 400 // µs
+	maxExchange      = 600 // bytes
+	maxFirstExchange = 1200
+	maxExchangeCPU   = 400 // µs
 )
 
-// measureExchanges measures one heartbeat: its bytes on a new and on a kept
-// connection and the processor time of both ends.
+// measureExchanges measures one heartbeat exchange: its bytes on a new and on an
+// established connection, and the mean CPU time of the two ends.
 func measureExchanges(ctx context.Context) ([]figure.Figure, error) {
-	var t traffic
-	s, addr, err := listen(&agent{name: "server-0670"}, "127.0.59.1:0", &t)
+	var t trafficCounter
+	s, addr, err := listen(&stubAgent{name: "server-0670"}, "127.0.59.1:0", &t)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = s.Close() }()
-	first, err := newConnections(ctx, addr, &t)
+	first, err := firstExchangeBytes(ctx, addr, &t)
 	if err != nil {
 		return nil, err
 	}
@@ -159,16 +159,16 @@
 			return nil, err
 		}
 	}
-	bytes, cpu := t.bytes.Load(), processor()
+	bytes, cpu := t.bytes.Load(), cpuTime()
 	for range rounds {
 		if err := exchange(ctx, d, addr, heartbeat()); err != nil {
 			return nil, err
 		}
 	}
-	spent := processor() - cpu
+	spent := cpuTime() - cpu
 	return []figure.Figure{
 		{
-			Name: "capacity-exchange-first-bytes", Value: first, Unit: "bytes", Bound: maxFirst, Better: figure.Lower, Gate: true,
+			Name: "capacity-exchange-first-bytes", Value: first, Unit: "bytes", Bound: maxFirstExchange, Better: figure.Lower, Gate: true,
 			Note: "on a new connection in clear text, both directions, above TCP",
 		},
 		{
@@ -182,8 +182,9 @@
 	}, nil
 }
 
-// newConnections returns the mean bytes of a first exchange on a connection.
-func newConnections(ctx context.Context, addr string, t *traffic) (float64, error) {
+// firstExchangeBytes returns the mean bytes of the first exchange on a new
+// connection.
+func firstExchangeBytes(ctx context.Context, addr string, t *trafficCounter) (float64, error) {
 	const rounds = 50
 	before := t.bytes.Load()
 	for range rounds {
@@ -196,22 +197,22 @@
 	return float64(t.bytes.Load()-before) / rounds, nil
 }
 
-// processor returns the processor time of this process.
-func processor() time.Duration {
+// cpuTime returns the CPU time that this process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// measureIdle measures what a connection costs on which nobody speaks: its
-// pings.
-func measureIdle(ctx context.Context) ([]figure.Figure, error) {
+// measureIdleConnections measures the cost of connections without requests:
+// their keep-alive pings.
+func measureIdleConnections(ctx context.Context) ([]figure.Figure, error) {
 	const watch = 20 * time.Second
 	bytes := series{name: "idle-connections", unit: "bytes/s", per: "connection", note: "pings in both directions, above TCP"}
 	cpu := series{name: "idle-connections-cpu", unit: "us/s", per: "connection", note: "of one end"}
 	for _, n := range []int{70, 250, 670} {
-		var t traffic
-		spent, err := idle(ctx, n, watch, &t)
+		var t trafficCounter
+		spent, err := idleConnections(ctx, n, watch, &t)
 		if err != nil {
 			return nil, err
 		}
@@ -219,13 +220,13 @@
 		bytes.points = append(bytes.points, point{label, size, float64(t.bytes.Load()) / watch.Seconds()})
 		cpu.points = append(cpu.points, point{label, size, spent.Seconds() * 1e6 / watch.Seconds() / 2})
 	}
-	return together(bytes, cpu), nil
+	return allFigures(bytes, cpu), nil
 }
 
-// idle opens n connections, lets them be and counts what happens on them
-// meanwhile.
-func idle(ctx context.Context, n int, watch time.Duration, t *traffic) (time.Duration, error) {
-	s, addr, err := listen(&agent{name: "server-0670"}, "127.0.59.1:0", t)
+// idleConnections opens n connections and returns the CPU time that is used
+// while they are idle for the watch time. Their traffic in that time is in t.
+func idleConnections(ctx context.Context, n int, watch time.Duration, t *trafficCounter) (time.Duration, error) {
+	s, addr, err := listen(&stubAgent{name: "server-0670"}, "127.0.59.1:0", t)
 	if err != nil {
 		return 0, err
 	}
@@ -241,24 +242,25 @@
 		return 0, err
 	}
 	t.bytes.Store(0)
-	cpu := processor()
+	cpu := cpuTime()
 	err = sleep(ctx, watch)
-	return processor() - cpu, err
+	return cpuTime() - cpu, err
 }
 
-// measureNodeLists measures the answer in which an agent tells of the entries
-// that it has heard, which each entry asks for every few seconds.
+// measureNodeLists measures the exchange in which an agent lists the entries
+// that it has received heartbeats from. Each entry requests that list every few
+// seconds.
 func measureNodeLists(ctx context.Context) ([]figure.Figure, error) {
 	bytes := series{name: "node-list", unit: "bytes", per: "entry", note: "answer to want-nodes on a kept connection"}
 	for _, n := range []int{8, 64, 390} {
-		var t traffic
-		a := &agent{name: "server-0670"}
+		var t trafficCounter
+		a := &stubAgent{name: "server-0670"}
 		for i := range n {
 			a.nodes = append(a.nodes, &wire.NodeState{
 				Name: fmt.Sprintf("entry-%04d", i), Zone: "zone-8", Revision: 420, AgeMs: uint64(100 * i), Incarnation: uint64(time.Now().UnixMilli()),
 			})
 		}
-		value, err := nodeList(ctx, a, &t)
+		value, err := nodeListBytes(ctx, a, &t)
 		if err != nil {
 			return nil, err
 		}
@@ -267,7 +269,7 @@
 	return bytes.figures(), nil
 }
 
-func nodeList(ctx context.Context, a *agent, t *traffic) (float64, error) {
+func nodeListBytes(ctx context.Context, a *stubAgent, t *trafficCounter) (float64, error) {
 	s, addr, err := listen(a, "127.0.59.1:0", t)
 	if err != nil {
 		return 0, err
--- a/bench/capacity/keys.go
+++ b/bench/capacity/keys.go
@@ -18,10 +18,10 @@
 	"verbenashift/core/peer"
 )
 
-// measureKeys measures the first heartbeat on a connection with keys at both
-// ends, which is what a heartbeat to a random agent mostly is.
-func measureKeys(ctx context.Context) ([]figure.Figure, error) {
-	cert, pool, err := keyPair()
+// measureMutualTLS measures the first heartbeat on a connection with mutual TLS.
+// Most heartbeats to a random agent are the first on their connection.
+func measureMutualTLS(ctx context.Context) ([]figure.Figure, error) {
+	cert, pool, err := selfSignedCert()
 	if err != nil {
 		return nil, err
 	}
@@ -29,14 +29,14 @@
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
 	}
-	var t traffic
-	s, addr, err := listenWith(&agent{name: "server-0670"}, "127.0.59.1:0", &t, server)
+	var t trafficCounter
+	s, addr, err := listenTLS(&stubAgent{name: "server-0670"}, "127.0.59.1:0", &t, server)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = s.Close() }()
 	const rounds = 100
-	cpu, bytes := processor(), t.bytes.Load()
+	cpu, bytes := cpuTime(), t.bytes.Load()
 	for range rounds {
 		d := peer.NewDialer(peer.DialConfig{TLS: &tls.Config{
 			MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert}, RootCAs: pool,
@@ -46,7 +46,7 @@
 		}
 		d.Close()
 	}
-	spent := processor() - cpu
+	spent := cpuTime() - cpu
 	return []figure.Figure{
 		{
 			Name: "capacity-exchange-first-bytes-with-keys", Value: float64(t.bytes.Load()-bytes) / rounds, Unit: "bytes",
@@ -59,8 +59,9 @@
 	}, nil
 }
 
-// keyPair returns a certificate for 127.0.59.1 that signs itself.
-func keyPair() (tls.Certificate, *x509.CertPool, error) {
+// selfSignedCert returns a self-signed certificate for 127.0.59.1, and a pool
+// that contains it.
+func selfSignedCert() (tls.Certificate, *x509.CertPool, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return tls.Certificate{}, nil, errors.Wrap(err, "generate key")
--- a/bench/capacity/nodes.go
+++ b/bench/capacity/nodes.go
@@ -14,14 +14,15 @@
 )
 
 const (
-	// settleTime is when a process has settled after its connections were made.
+	// settleTime is the time after which the memory of a process is stable once
+	// its connections have been made.
 	settleTime = 5 * time.Second
-	// nodeMemory is what a node may use.
-	nodeMemory = 32 << 20
+	// maxNodeMemory is the bound on the resident memory of a node, in bytes.
+	maxNodeMemory = 32 << 20
 )
 
-// measureConnections measures how the resident memory of the programs grows
-// with the nodes that are connected to them.
+// measureConnections measures how the resident memory of the entry and the agent
+// grows with the number of connected nodes.
 func measureConnections(ctx context.Context) ([]figure.Figure, error) {
 	entries, err := entryMemory(ctx)
 	if err != nil {
@@ -34,23 +35,24 @@
 	return append(entries, agents...), nil
 }
 
-// entryMemory runs an entry with the configuration of the whole fleet among so
-// many agents that answer. An operator's look at the fleet makes it connect to
-// all of them, as its heartbeats do in time.
+// entryMemory measures an entry that has the configuration of the whole fleet,
+// with various numbers of agents that answer. A status request by an operator
+// makes the entry connect to all of them, as its heartbeats would over time.
 func entryMemory(ctx context.Context) ([]figure.Figure, error) {
 	memory := series{name: "entry-memory", unit: "bytes", per: "connection", note: "resident, 930 workspaces and 670 targets, connected to so many agents"}
 	for _, n := range []int{0, 70, 250, 670} {
-		value, err := entryAmong(ctx, n)
+		value, err := entryMemoryWith(ctx, n)
 		if err != nil {
 			return nil, err
 		}
 		memory.points = append(memory.points, point{fmt.Sprint(n), float64(n), value})
 	}
-	return memory.limited(nodeMemory), nil
+	return memory.withBound(maxNodeMemory), nil
 }
 
-// limited returns the figures with a bound that informs.
-func (s series) limited(bound float64) []figure.Figure {
+// withBound returns the figures of the series with an ungated upper bound on
+// each point.
+func (s series) withBound(bound float64) []figure.Figure {
 	list := s.figures()
 	for i := range s.points {
 		list[i].Bound, list[i].Better = bound, figure.Lower
@@ -58,10 +60,10 @@
 	return list
 }
 
-func entryAmong(ctx context.Context, n int) (float64, error) {
-	var t traffic
+func entryMemoryWith(ctx context.Context, n int) (float64, error) {
+	var t trafficCounter
 	for i := range n {
-		s, _, err := listen(&agent{name: "server"}, path.FleetAgentAddr(i), &t)
+		s, _, err := listen(&stubAgent{name: "server"}, path.FleetAgentAddr(i), &t)
 		if err != nil {
 			return 0, err
 		}
@@ -93,7 +95,7 @@
 	return path.ResidentMemory(pid)
 }
 
-// agentMemory connects more and more nodes to one agent.
+// agentMemory measures an agent with an increasing number of connected nodes.
 func agentMemory(ctx context.Context) ([]figure.Figure, error) {
 	memory := series{name: "agent-memory", unit: "bytes", per: "connection", note: "resident, 930 workspaces and 670 targets, so many nodes connected to it"}
 	largest := sizes[len(sizes)-1]
@@ -123,5 +125,5 @@
 		}
 		memory.points = append(memory.points, point{fmt.Sprint(n), float64(n), value})
 	}
-	return memory.limited(nodeMemory), nil
+	return memory.withBound(maxNodeMemory), nil
 }
--- a/bench/capacity/spread.go
+++ b/bench/capacity/spread.go
@@ -16,43 +16,45 @@
 )
 
 const (
-	// entryShare is the share of entries among all nodes.
+	// entryShare is the fraction of the nodes that are entries.
 	entryShare = 390.0 / (390 + 670)
-	spreadTime = 6 * time.Second
-	// controlBound is what a node may send and receive for control.
-	controlBound = 4096
+	gossipTime = 6 * time.Second
+	// maxControlBytes is the bound on the control traffic of a node in both
+	// directions, in bytes per second.
+	maxControlBytes = 4096
 )
 
-// measureSpread runs the exchange of heartbeats between many peers in this
-// process and counts the bytes of all. The first seconds of a fleet are shown:
+// measureGossip runs heartbeats between many peers in this process and measures
+// their traffic. The figures are those of the first seconds of a fleet, in which
 // most exchanges open a connection.
-func measureSpread(ctx context.Context) ([]figure.Figure, error) {
+func measureGossip(ctx context.Context) ([]figure.Figure, error) {
 	bytes := series{name: "control", unit: "bytes/s", per: "node", note: "a node, both directions, above TCP, in the first seconds"}
 	cpu := series{name: "control-cpu", unit: "us/s", per: "node", note: "a node, in the first seconds"}
 	conns := series{name: "control-connections", unit: "connections", per: "node", note: "a node, opened in the first seconds"}
 	for _, n := range []int{8, 64, 512} {
-		var t traffic
-		spent, err := spread(ctx, n, &t)
+		var t trafficCounter
+		spent, err := runGossip(ctx, n, &t)
 		if err != nil {
 			return nil, err
 		}
 		label, size := fmt.Sprint(n), float64(n)
 		// Each byte is sent by one node and received by another.
-		bytes.points = append(bytes.points, point{label, size, 2 * float64(t.bytes.Load()) / size / spreadTime.Seconds()})
-		cpu.points = append(cpu.points, point{label, size, spent.Seconds() * 1e6 / size / spreadTime.Seconds()})
+		bytes.points = append(bytes.points, point{label, size, 2 * float64(t.bytes.Load()) / size / gossipTime.Seconds()})
+		cpu.points = append(cpu.points, point{label, size, spent.Seconds() * 1e6 / size / gossipTime.Seconds()})
 		conns.points = append(conns.points, point{label, size, 2 * float64(t.conns.Load()) / size})
 	}
-	list := together(bytes, cpu, conns)
+	list := allFigures(bytes, cpu, conns)
 	for i := range list {
 		if list[i].Name == "capacity-control-512" {
-			list[i].Bound, list[i].Better = controlBound, figure.Lower
+			list[i].Bound, list[i].Better = maxControlBytes, figure.Lower
 		}
 	}
 	return list, nil
 }
 
-// spread has n nodes exchange heartbeats for spreadTime.
-func spread(ctx context.Context, n int, t *traffic) (time.Duration, error) {
+// runGossip starts n nodes, lets them exchange heartbeats for gossipTime and
+// returns their CPU time.
+func runGossip(ctx context.Context, n int, t *trafficCounter) (time.Duration, error) {
 	entries := max(1, int(entryShare*float64(n)))
 	c := config.Config{Revision: 420, ChangeID: "last", Models: []config.Model{{Name: "caption"}}}
 	views := make([]*follow.Members, n)
@@ -65,7 +67,7 @@
 		if !self.Agent {
 			continue
 		}
-		s, addr, err := listen(&agent{name: self.Name, members: views[i]}, fmt.Sprintf("127.0.59.%d:0", 1+i%200), t)
+		s, addr, err := listen(&stubAgent{name: self.Name, members: views[i]}, fmt.Sprintf("127.0.59.%d:0", 1+i%200), t)
 		if err != nil {
 			return 0, err
 		}
@@ -76,16 +78,16 @@
 	if err != nil {
 		return 0, err
 	}
-	return run(ctx, views, entries, value)
+	return runNodes(ctx, views, entries, value)
 }
 
-// run has the processes with the given views exchange heartbeats and returns
-// the processor time of all.
-func run(ctx context.Context, views []*follow.Members, entries int, value []byte) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, spreadTime)
+// runNodes runs a follower and a gossip loop for each of the views and returns
+// their CPU time.
+func runNodes(ctx context.Context, views []*follow.Members, entries int, value []byte) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, gossipTime)
 	defer cancel()
 	var wg sync.WaitGroup
-	cpu := processor()
+	cpu := cpuTime()
 	for i, members := range views {
 		d := peer.NewDialer(peer.DialConfig{})
 		defer d.Close()
@@ -104,5 +106,5 @@
 		})
 	}
 	wg.Wait()
-	return processor() - cpu, nil
+	return cpuTime() - cpu, nil
 }
