--- a/bench/fairness/fairness.go
+++ b/bench/fairness/fairness.go
@@ -1,10 +1,11 @@
-// Package fairness measures how workspaces share a target and the fleet: waits
-// beside a burst, overload, limits over all entries, and the membership view.
+// Package fairness measures how workspaces share a target and the fleet: wait
+// times during a burst of another workspace, overload, rate limits enforced by
+// all entries together, and the membership protocol.
 //
-// All trials run the packages of core in virtual time with fixed seeds, on a
-// small event loop with one target or in rounds of the fleet; the figures are
-// the same in each run. Bytes count what is encoded plus messageOverhead for
-// each message in either direction.
+// All simulations run the packages of core in virtual time with fixed seeds, on
+// a small event loop with one target or in rounds of the whole fleet, so the
+// figures are the same in each run. Byte counts are the encoded size plus
+// messageOverhead for each message in either direction.
 //
 // # Usage
 //
@@ -21,19 +22,21 @@
 	"verbenashift/bench/figure"
 )
 
-// messageOverhead stands for the framing of one message: 9 bytes of an HTTP/2
-// data frame, some 20 of compressed headers, 22 of a TLS record and, with both
+// messageOverhead is the framing of one message in bytes: 9 of an HTTP/2 data
+// frame, about 20 of compressed headers, 22 of a TLS record and, with all of it
 // in one packet, 40 of TCP and IP.
 const messageOverhead = 91
 
-// controlBudget is what a node may spend on control, in bytes a second.
+// controlBudget is the bound on the control traffic of a node, in bytes per
+// second.
 const controlBudget = 4096
 
-// Run measures all figures and writes a line for each to w.
+// Run measures all figures and writes one line for each to w.
 func Run(w io.Writer) ([]figure.Figure, error) {
 	parts := []func() ([]figure.Figure, error){runBurst, runOverload, runLimits, runMembers, runControl}
 	measured := make([][]figure.Figure, len(parts))
-	// Each is a trial of its own in virtual time, so that they may run side by side.
+	// The parts are independent simulations in virtual time, so running them
+	// concurrently does not change their figures.
 	var g errgroup.Group
 	for i, part := range parts {
 		g.Go(func() (err error) {
@@ -80,14 +83,14 @@
 	return f
 }
 
-// gated sets whether a breach of the bound fails the run.
-func gated(gate bool, f figure.Figure) figure.Figure {
+// withGate returns f with the given Gate.
+func withGate(gate bool, f figure.Figure) figure.Figure {
 	f.Gate = gate
 	return f
 }
 
-// inform returns a figure without a bound.
-func inform(name string, value float64, unit string, baseline float64, note string) figure.Figure {
+// informational returns a figure without a bound.
+func informational(name string, value float64, unit string, baseline float64, note string) figure.Figure {
 	return figure.Figure{Name: name, Value: value, Unit: unit, Baseline: baseline, Note: note}
 }
 
--- a/bench/fairness/fairness_test.go
+++ b/bench/fairness/fairness_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-// The gated figures hold.
+// All gated figures are within their bounds.
 func TestRun(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -22,7 +22,7 @@
 	t.Log("\n" + out.String())
 }
 
-// A second run gives the same figures.
+// A second run gives the same results.
 func TestRunsAreAlike(t *testing.T) {
 	t.Parallel()
 	is := is.New(t)
@@ -31,14 +31,14 @@
 	second, err := runOverload()
 	is.NoErr(err)
 	is.Equal(first, second)
-	one, err := playMembers(memberSizes[1], 2)
+	one, err := simulateMembers(memberSizes[1], 2)
 	is.NoErr(err)
-	two, err := playMembers(memberSizes[1], 2)
+	two, err := simulateMembers(memberSizes[1], 2)
 	is.NoErr(err)
 	is.Equal(one, two)
-	busy, err := playTraffic(limitSizes[1], busyHeadroom)
+	busy, err := simulateTraffic(limitSizes[1], busyHeadroom)
 	is.NoErr(err)
-	again, err := playTraffic(limitSizes[1], busyHeadroom)
+	again, err := simulateTraffic(limitSizes[1], busyHeadroom)
 	is.NoErr(err)
 	is.Equal(busy, again)
 }
--- a/bench/fairness/limits.go
+++ b/bench/fairness/limits.go
@@ -13,47 +13,48 @@
 )
 
 const (
-	// limitRate is the limit of the workspace under test, in tokens a second,
-	// limitCost the cost of each of its requests.
+	// limitRate is the limit of the workspace under test in tokens per second,
+	// and limitCost the cost of each of its requests in tokens.
 	limitRate, limitCost = 5000.0, 100.0
 	limitTick            = 50 * time.Millisecond
-	flashTimes           = 4
+	flashFactor          = 4
 	flashSpan            = 30 * time.Second
 	moveSpan             = 5 * time.Second
 	calmSpan             = 90 * time.Second
-	calmPart             = 0.4
-	// entryRequests is how many requests a second an entry sees at any size:
-	// 6,200 over 390.
+	calmFraction         = 0.4
+	// entryRequests is the number of requests per second of an entry at any size
+	// of the fleet: 6,200 over 390 entries.
 	entryRequests = 16
 	requestTokens = 350
-	// trafficWarmUp and trafficSpan are what goes before, and what is counted.
+	// Traffic is counted for trafficSpan, after trafficWarmUp.
 	trafficWarmUp = 40 * time.Second
 	trafficSpan   = 60 * time.Second
 	trafficTick   = 100 * time.Millisecond
-	// calmHeadroom and busyHeadroom are the limit over the demand.
+	// calmHeadroom and busyHeadroom are ratios of the limit to the demand.
 	calmHeadroom, busyHeadroom = 2.5, 0.9
 	controlZones               = 3
 )
 
-// limitSize is one size of the fleet.
+// limitSize is a size of the fleet.
 type limitSize struct{ entries, agents, workspaces int }
 
 var limitSizes = []limitSize{{3, 19, 10}, {30, 190, 80}, {390, 670, 930}}
 
-// fleet is entries with limits, and the agents that are homes.
+// fleet simulates entries with limiters and the agents that are the homes of the
+// limits.
 type fleet struct {
-	now      time.Time
-	entries  []*quota.Limiter
-	homes    map[string]*quota.Home
-	toEntry  []int
-	toAgent  map[string]int
-	admitted []float64
+	now          time.Time
+	entries      []*quota.Limiter
+	homes        map[string]*quota.Home
+	bytesByEntry []int
+	bytesByAgent map[string]int
+	admitted     []float64
 }
 
 func newFleet(size limitSize, limits map[string]quota.Limit) *fleet {
 	f := &fleet{
-		now: epoch, homes: make(map[string]*quota.Home), toAgent: make(map[string]int),
-		toEntry: make([]int, size.entries), admitted: make([]float64, size.entries),
+		now: epoch, homes: make(map[string]*quota.Home), bytesByAgent: make(map[string]int),
+		bytesByEntry: make([]int, size.entries), admitted: make([]float64, size.entries),
 	}
 	var agents []string
 	for i := range size.agents {
@@ -75,7 +76,7 @@
 	return f
 }
 
-// exchange lets all entries report what is due, and counts the bytes.
+// exchange runs the reports that are due at all entries and counts their bytes.
 func (f *fleet) exchange() error {
 	for i, l := range f.entries {
 		for _, home := range l.Due(f.now) {
@@ -88,15 +89,16 @@
 				return err
 			}
 			n := len(report) + len(reply) + 2*messageOverhead
-			f.toEntry[i] += n
-			f.toAgent[home] += n
+			f.bytesByEntry[i] += n
+			f.bytesByAgent[home] += n
 		}
 	}
 	return nil
 }
 
-// offer plays one workspace for a time and returns the largest excess over its
-// limit since the call, in tokens. The rate is in tokens a second.
+// offer simulates the requests of one workspace for a time and returns the
+// largest excess over its limit since the call, in tokens. The rate is in tokens
+// per second.
 func (f *fleet) offer(span time.Duration, rate func(entry int) float64) (excess float64, err error) {
 	due := make([]float64, len(f.entries))
 	sum, from, rnd := 0.0, f.now, newRand()
@@ -124,21 +126,21 @@
 	var figures []figure.Figure
 	var overshoots []float64
 	for _, size := range limitSizes {
-		over, err := playFlash(size, 0)
+		over, err := simulateFlashCrowd(size, 0)
 		if err != nil {
 			return nil, err
 		}
-		later, err := playFlash(size, calmPart)
+		later, err := simulateFlashCrowd(size, calmFraction)
 		if err != nil {
 			return nil, err
 		}
-		moved, err := playMove(size)
+		moved, err := simulateMove(size)
 		if err != nil {
 			return nil, err
 		}
 		n := float64(size.entries)
 		bound := 1 + n*(1/math.Sqrt(n)+limitCost/limitRate) + 2
-		alone := (math.Min(flashTimes, n) - 1) * flashSpan.Seconds()
+		alone := (math.Min(flashFactor, n) - 1) * flashSpan.Seconds()
 		name := fmt.Sprint("limit-", size.entries, "-entries-")
 		figures = append(figures,
 			atMost(name+"overshoot", over, "s-of-limit", bound, alone, "flash crowd of 4x at all entries; baseline (computed): each entry enforces the whole limit alone, after 30 s"),
@@ -147,16 +149,16 @@
 		overshoots = append(overshoots, over)
 	}
 	return append(figures,
-		inform("limit-overshoot-slope", slope(30, overshoots[1], 390, overshoots[2]), "exponent", 1, "of the number of entries, 30 to 390")), nil
+		informational("limit-overshoot-slope", slope(30, overshoots[1], 390, overshoots[2]), "exponent", 1, "of the number of entries, 30 to 390")), nil
 }
 
-// runControl adds up what a node spends on limits and on membership, in both
-// directions, against the budget.
+// runControl compares the control traffic of a node with controlBudget: the sum
+// of limits and membership, in both directions.
 func runControl() ([]figure.Figure, error) {
 	var figures []figure.Figure
 	var sums []float64
 	for _, size := range limitSizes {
-		members, err := playMembers(memberSize{size.entries, size.agents, controlZones}, 1)
+		members, err := simulateMembers(memberSize{size.entries, size.agents, controlZones}, 1)
 		if err != nil {
 			return nil, err
 		}
@@ -165,46 +167,46 @@
 			headroom float64
 			gate     bool
 		}{{"calm", calmHeadroom, true}, {"busy", busyHeadroom, false}} {
-			limits, err := playTraffic(size, load.headroom)
+			limits, err := simulateTraffic(size, load.headroom)
 			if err != nil {
 				return nil, err
 			}
 			name := fmt.Sprint("control-", size.entries, "-entries-", load.name)
-			entry := limits.entryMost + members.entryMost
+			entry := limits.maxEntryBytes + members.maxEntryBytes
 			figures = append(figures,
-				gated(load.gate, atMost(name+"-entry-bytes", entry, "B/s", controlBudget, 0,
-					fmt.Sprintf("busiest entry: %.0f limits, %.0f membership", limits.entryMost, members.entryMost))),
-				gated(load.gate, atMost(name+"-agent-mean-bytes", limits.agentMean+members.agentMean, "B/s", controlBudget, 0,
-					fmt.Sprintf("%.0f limits, %.0f membership", limits.agentMean, members.agentMean))),
-				gated(false, atMost(name+"-agent-most-bytes", limits.agentMost+members.agentMost, "B/s", controlBudget, 0,
-					fmt.Sprintf("busiest home: %.0f limits; %.0f of %d agents over budget", limits.agentMost, limits.over(members.agentMean), size.agents))))
+				withGate(load.gate, atMost(name+"-entry-bytes", entry, "B/s", controlBudget, 0,
+					fmt.Sprintf("busiest entry: %.0f limits, %.0f membership", limits.maxEntryBytes, members.maxEntryBytes))),
+				withGate(load.gate, atMost(name+"-agent-mean-bytes", limits.meanAgentBytes+members.meanAgentBytes, "B/s", controlBudget, 0,
+					fmt.Sprintf("%.0f limits, %.0f membership", limits.meanAgentBytes, members.meanAgentBytes))),
+				withGate(false, atMost(name+"-agent-most-bytes", limits.maxAgentBytes+members.maxAgentBytes, "B/s", controlBudget, 0,
+					fmt.Sprintf("busiest home: %.0f limits; %.0f of %d agents over budget", limits.maxAgentBytes, limits.overBudget(members.meanAgentBytes), size.agents))))
 			if load.gate {
 				sums = append(sums, entry)
 			}
 		}
 	}
-	return append(figures, inform("control-entry-bytes-slope", slope(30, sums[1], 390, sums[2]), "exponent", 1, "30 to 390 entries")), nil
+	return append(figures, informational("control-entry-bytes-slope", slope(30, sums[1], 390, sums[2]), "exponent", 1, "30 to 390 entries")), nil
 }
 
-// playFlash returns the overshoot of a flash crowd, in seconds of the limit,
-// after a time at the given part of the limit.
-func playFlash(size limitSize, before float64) (float64, error) {
+// simulateFlashCrowd returns the overshoot of a flash crowd, in seconds of the
+// limit, after calmSpan at the given fraction of the limit.
+func simulateFlashCrowd(size limitSize, before float64) (float64, error) {
 	f := newFleet(size, map[string]quota.Limit{"workspace": {Rate: limitRate}})
-	even := func(times float64) func(int) float64 {
+	uniform := func(times float64) func(int) float64 {
 		return func(int) float64 { return times * limitRate / float64(size.entries) }
 	}
 	if before > 0 {
-		if _, err := f.offer(calmSpan, even(before)); err != nil {
+		if _, err := f.offer(calmSpan, uniform(before)); err != nil {
 			return 0, err
 		}
 	}
-	excess, err := f.offer(flashSpan, even(flashTimes))
+	excess, err := f.offer(flashSpan, uniform(flashFactor))
 	return excess / limitRate, err
 }
 
-// playMove returns the part of the demand that is admitted after it has moved
-// from one entry to another.
-func playMove(size limitSize) (float64, error) {
+// simulateMove returns the fraction of the demand that is admitted after the
+// demand has moved from one entry to another.
+func simulateMove(size limitSize) (float64, error) {
 	f := newFleet(size, map[string]quota.Limit{"workspace": {Rate: limitRate}})
 	const demand = 0.9 * limitRate
 	at := func(entry int) func(int) float64 {
@@ -225,15 +227,16 @@
 	return (f.admitted[1] - before) / (moveSpan.Seconds() * demand), err
 }
 
-// traffic is the bytes a second that the limits cost.
+// traffic is the traffic of the limits in bytes per second and node.
 type traffic struct {
-	entryMost, agentMost, agentMean float64
-	agents                          []float64
+	maxEntryBytes, maxAgentBytes, meanAgentBytes float64
+	agentBytes                                   []float64
 }
 
-// over returns how many agents exceed the budget with so much on top.
-func (t traffic) over(members float64) (n float64) {
-	for _, b := range t.agents {
+// overBudget returns the number of agents that exceed the budget if each has the
+// given membership traffic in addition.
+func (t traffic) overBudget(members float64) (n float64) {
+	for _, b := range t.agentBytes {
 		if b+members > controlBudget {
 			n++
 		}
@@ -241,9 +244,9 @@
 	return n
 }
 
-// playTraffic plays traffic of all workspaces, with popularity falling as one
-// over the rank.
-func playTraffic(size limitSize, headroom float64) (traffic, error) {
+// simulateTraffic simulates requests of all workspaces and returns the traffic
+// of the limits. The demand of a workspace is proportional to 1 over its rank.
+func simulateTraffic(size limitSize, headroom float64) (traffic, error) {
 	names, limits, cumulative := make([]string, size.workspaces), map[string]quota.Limit{}, make([]float64, size.workspaces)
 	sum := 0.0
 	for i := range names {
@@ -259,8 +262,8 @@
 	rnd := newRand()
 	for range int((trafficWarmUp + trafficSpan) / trafficTick) {
 		if f.now.Equal(epoch.Add(trafficWarmUp)) {
-			clear(f.toEntry)
-			clear(f.toAgent)
+			clear(f.bytesByEntry)
+			clear(f.bytesByAgent)
 		}
 		for _, l := range f.entries {
 			for range poisson(rnd, entryRequests*trafficTick.Seconds()) {
@@ -274,21 +277,21 @@
 	}
 	var t traffic
 	all := 0
-	for _, n := range f.toEntry {
-		t.entryMost = max(t.entryMost, float64(n)/trafficSpan.Seconds())
+	for _, n := range f.bytesByEntry {
+		t.maxEntryBytes = max(t.maxEntryBytes, float64(n)/trafficSpan.Seconds())
 	}
-	for _, n := range f.toAgent {
+	for _, n := range f.bytesByAgent {
 		b := float64(n) / trafficSpan.Seconds()
-		t.agents = append(t.agents, b)
-		t.agentMost = max(t.agentMost, b)
+		t.agentBytes = append(t.agentBytes, b)
+		t.maxAgentBytes = max(t.maxAgentBytes, b)
 		all += n
 	}
-	t.agentMean = float64(all) / trafficSpan.Seconds() / float64(size.agents)
-	slices.Sort(t.agents)
+	t.meanAgentBytes = float64(all) / trafficSpan.Seconds() / float64(size.agents)
+	slices.Sort(t.agentBytes)
 	return t, nil
 }
 
-// poisson draws a number of arrivals (Knuth).
+// poisson returns a Poisson-distributed number of arrivals (Knuth's algorithm).
 func poisson(rnd *rand.Rand, mean float64) int {
 	limit, n := math.Exp(-mean), 0
 	for p := rnd.Float64(); p > limit; p *= rnd.Float64() {
--- a/bench/fairness/overload.go
+++ b/bench/fairness/overload.go
@@ -21,11 +21,12 @@
 	overloadMeasured = (overloadSpan - warmUp)
 )
 
-// runOverload offers twice the capacity.
+// runOverload measures goodput, waits and refusals while twice the capacity is
+// offered.
 func runOverload() ([]figure.Figure, error) {
-	f := newFair(newRand())
-	t, base := playOverload(f), playOverload(&fcfs{})
-	all, untrue, atOnce := t.refusals()
+	f := newFairQueue(newRand())
+	t, base := simulateOverload(f), simulateOverload(&fcfs{})
+	all, falseRefusals, immediate := t.refusals()
 	urgent := func(r *request) bool { return r.Priority == queue.Urgent }
 	lost := -f.q.Load().Items
 	for _, r := range t.requests {
@@ -37,16 +38,18 @@
 		atLeast("overload-goodput", goodput(t), "of-capacity", 0.9, goodput(base),
 			"offered 2x; tokens of answers that started within their deadline"),
 		atMost("overload-urgent-p95-wait", t.p95(urgent), "s", urgentDeadline.Seconds(), base.p95(urgent), ""),
-		atMost("overload-untrue-refusals", float64(untrue+f.other), "requests", 0, 0,
+		atMost("overload-untrue-refusals", float64(falseRefusals+f.unexpected), "requests", 0, 0,
 			fmt.Sprintf("of %d refusals, against the target's ledger", all)),
 		atMost("overload-lost-requests", float64(lost), "requests", 0, 0, "neither started, refused nor waiting"),
-		inform("overload-refused-at-once", float64(atOnce)/float64(all), "of-refusals", 0, "the rest was displaced or expired"),
+		informational("overload-refused-at-once", float64(immediate)/float64(all), "of-refusals", 0, "the rest was displaced or expired"),
 	}, nil
 }
 
-func goodput(t *trial) float64 { return float64(t.useful) / capacity / overloadMeasured.Seconds() }
+func goodput(t *simulation) float64 {
+	return float64(t.goodTokens) / capacity / overloadMeasured.Seconds()
+}
 
-func playOverload(p policy) *trial {
+func simulateOverload(p policy) *simulation {
 	var sources []source
 	for i := range workspaces {
 		name := workspaceName(i)
@@ -55,8 +58,8 @@
 			source{name, queue.Normal, normalLoad * capacity / workspaces, 0, normalDeadline},
 			source{name, queue.BestEffort, bestEffortLoad * capacity / workspaces, 0, patientDeadline})
 	}
-	t := newTrial(p)
-	t.arrive(sources, overloadSeed, overloadSpan)
+	t := newSimulation(p)
+	t.scheduleArrivals(sources, overloadSeed, overloadSpan)
 	t.run(overloadSpan)
 	return t
 }
--- a/bench/fairness/target.go
+++ b/bench/fairness/target.go
@@ -13,32 +13,33 @@
 
 const (
 	slots = 64
-	// slotRate is what one slot generates, in tokens a second: one token in
-	// 32 ms. The capacity of the target is slots times that.
+	// slotRate is the number of tokens per second that one slot generates: one
+	// token in 32 ms. The capacity of the target is slots times that.
 	slotRate = 31.25
 	capacity = slots * slotRate
-	// meanTokens is the mean length of an answer, between the bounds.
+	// meanTokens is the mean length of a response, before it is clamped to
+	// minTokens and maxTokens.
 	meanTokens           = 200
 	minTokens, maxTokens = 20, 1000
 )
 
-// warmUp is left out of the figures.
+// warmUp is the initial period that the figures leave out.
 const warmUp = 30 * time.Second
 
 var epoch = time.Date(2026, 1, 31, 8, 0, 0, 0, time.UTC)
 
-// source is one stream of requests.
+// source describes a stream of requests of one workspace and priority.
 type source struct {
 	workspace string
 	priority  queue.Priority
-	// rate is the offered work in tokens a second.
+	// rate is the offered load in tokens per second.
 	rate float64
-	// mean is the mean length of an answer; 0 means meanTokens.
+	// mean is the mean length of a response in tokens; 0 means meanTokens.
 	mean     float64
 	deadline time.Duration
 }
 
-// request is one request of a trial.
+// request is one request of a simulation.
 type request struct {
 	queue.Item
 	tokens  int64
@@ -48,25 +49,26 @@
 	refused bool
 }
 
-// policy is the queue under test.
+// policy is the queueing policy under test.
 type policy interface {
 	enqueue(r *request, now time.Time) (shed []string)
 	next(now time.Time) (id string, shed []string)
 	done(id string, tokens int64, now time.Time)
 }
 
-// fair is the queue of the product.
-type fair struct {
+// fairQueue is the policy of the package queue.
+type fairQueue struct {
 	q *queue.Queue
-	// other counts refusals that are not "not run".
-	other int
+	// unexpected counts refusals whose outcome is not NotRun or that have no
+	// RetryAfter.
+	unexpected int
 }
 
-func newFair(rnd *rand.Rand) *fair {
-	return &fair{q: queue.New(queue.Limits{Slots: slots, Rate: capacity / 2}, rnd)}
+func newFairQueue(rnd *rand.Rand) *fairQueue {
+	return &fairQueue{q: queue.New(queue.Limits{Slots: slots, Rate: capacity / 2}, rnd)}
 }
 
-func (f *fair) enqueue(r *request, now time.Time) []string {
+func (f *fairQueue) enqueue(r *request, now time.Time) []string {
 	var shed []string
 	if refusal := f.q.Enqueue(r.Item, now); refusal != nil {
 		shed = append(shed, r.ID)
@@ -75,7 +77,7 @@
 	return f.takeShed(shed)
 }
 
-func (f *fair) takeShed(shed []string) []string {
+func (f *fairQueue) takeShed(shed []string) []string {
 	for _, s := range f.q.TakeShed(nil) {
 		shed = append(shed, s.ID)
 		f.check(s.Refusal)
@@ -83,13 +85,13 @@
 	return shed
 }
 
-func (f *fair) check(refusal *outcome.Error) {
+func (f *fairQueue) check(refusal *outcome.Error) {
 	if refusal.Outcome != outcome.NotRun || refusal.RetryAfter <= 0 {
-		f.other++
+		f.unexpected++
 	}
 }
 
-func (f *fair) next(now time.Time) (string, []string) {
+func (f *fairQueue) next(now time.Time) (string, []string) {
 	item, ok := f.q.Next(now)
 	if !ok {
 		return "", f.takeShed(nil)
@@ -97,9 +99,10 @@
 	return item.ID, f.takeShed(nil)
 }
 
-func (f *fair) done(id string, tokens int64, now time.Time) { f.q.Done(id, tokens, now) }
+func (f *fairQueue) done(id string, tokens int64, now time.Time) { f.q.Done(id, tokens, now) }
 
-// fcfs is the baseline: first come, first served, without bounds.
+// fcfs is the baseline policy: first come, first served, with an unbounded
+// queue.
 type fcfs struct {
 	waiting []string
 	running int
@@ -122,7 +125,7 @@
 
 func (f *fcfs) done(string, int64, time.Time) { f.running-- }
 
-// event is an arrival, or the end of a running request.
+// event is the arrival of a request or, if ends is set, its completion.
 type event struct {
 	at   time.Time
 	r    *request
@@ -141,25 +144,26 @@
 	return last
 }
 
-// trial plays sources against a policy on one target in virtual time.
-type trial struct {
+// simulation runs the requests of several sources through a policy on one target
+// in virtual time.
+type simulation struct {
 	policy   policy
 	pending  events
 	requests map[string]*request
-	// ledger is the target's own record of what it was given.
+	// ledger is the target's own record of the requests that it has run.
 	ledger map[string]bool
-	// useful counts the tokens of answers that started in time and ended after
-	// the warm-up.
-	useful int64
+	// goodTokens counts the tokens of responses that started within their
+	// deadline and ended after the warm-up.
+	goodTokens int64
 }
 
-func newTrial(p policy) *trial {
-	return &trial{policy: p, requests: make(map[string]*request), ledger: make(map[string]bool)}
+func newSimulation(p policy) *simulation {
+	return &simulation{policy: p, requests: make(map[string]*request), ledger: make(map[string]bool)}
 }
 
-// arrive makes the requests of the sources, each with its own seed, so that
-// leaving out one source changes no other.
-func (t *trial) arrive(sources []source, seed uint64, span time.Duration) {
+// scheduleArrivals generates the requests of the sources. Each source has its
+// own seed, so that removing one does not change the requests of the others.
+func (t *simulation) scheduleArrivals(sources []source, seed uint64, span time.Duration) {
 	for i, s := range sources {
 		rnd := rand.New(rand.NewPCG(seed, uint64(i)))
 		mean := s.mean
@@ -182,8 +186,8 @@
 	}
 }
 
-// newRequest draws the length of the answer; the expected cost is off by up to
-// a third either way.
+// newRequest returns a request with a random response length. Its expected cost
+// is off by up to a third either way.
 func newRequest(s source, id string, mean float64, rnd *rand.Rand) *request {
 	tokens := int64(min(max(rnd.ExpFloat64()*mean, minTokens), maxTokens))
 	cost := int64(float64(tokens) * (2 + 2*rnd.Float64()) / 3)
@@ -191,8 +195,8 @@
 	return &request{Item: item, tokens: tokens}
 }
 
-// run plays all events up to the end of the span.
-func (t *trial) run(span time.Duration) {
+// run processes all events up to the end of the span.
+func (t *simulation) run(span time.Duration) {
 	end := epoch.Add(span)
 	for len(t.pending) > 0 {
 		e := heap.Pop(&t.pending).(event)
@@ -208,17 +212,17 @@
 	}
 }
 
-func (t *trial) finish(r *request, now time.Time) {
+func (t *simulation) finish(r *request, now time.Time) {
 	t.policy.done(r.ID, r.tokens, now)
 	if now.Before(epoch.Add(warmUp)) {
 		return
 	}
 	if r.Deadline.IsZero() || !r.arrived.Add(r.waited).After(r.Deadline) {
-		t.useful += r.tokens
+		t.goodTokens += r.tokens
 	}
 }
 
-func (t *trial) refuse(ids []string, now time.Time) {
+func (t *simulation) refuse(ids []string, now time.Time) {
 	for _, id := range ids {
 		r := t.requests[id]
 		r.refused = true
@@ -226,7 +230,7 @@
 	}
 }
 
-func (t *trial) start(now time.Time) {
+func (t *simulation) start(now time.Time) {
 	for {
 		id, shed := t.policy.next(now)
 		t.refuse(shed, now)
@@ -241,27 +245,27 @@
 	}
 }
 
-// refusals counts the refused requests, those of them that the target's ledger
-// has none the less, and those refused as soon as they arrived.
-func (t *trial) refusals() (all, untrue, atOnce int) {
+// refusals counts the refused requests, those of them that ran nevertheless
+// according to the target's ledger, and those refused on arrival.
+func (t *simulation) refusals() (all, falseRefusals, immediate int) {
 	for id, r := range t.requests {
 		if !r.refused {
 			continue
 		}
 		all++
 		if t.ledger[id] {
-			untrue++
+			falseRefusals++
 		}
 		if r.waited == 0 {
-			atOnce++
+			immediate++
 		}
 	}
-	return all, untrue, atOnce
+	return all, falseRefusals, immediate
 }
 
 // p95 returns the 95th percentile, in seconds, of the waits of the started
-// requests that arrived after the warm-up and that the filter takes.
-func (t *trial) p95(take func(r *request) bool) float64 {
+// requests that arrived after the warm-up and match the filter.
+func (t *simulation) p95(take func(r *request) bool) float64 {
 	var waits []time.Duration
 	for _, r := range t.requests {
 		if r.started && !r.arrived.Before(epoch.Add(warmUp)) && take(r) {
