--- a/bench/routing/routing.go
+++ b/bench/routing/routing.go
@@ -1,11 +1,11 @@
-// Package routing measures the choice of targets, health and retries against
-// their baselines.
+// Package routing measures load balancing, health checks and retries against
+// baselines.
 //
 // The real decision packages run inside a small queueing model in virtual time
-// with fixed seeds: targets with a number of places in their batch and a
-// queue, entries with a Table, a Monitor and retry Budgets each. It is no
-// simulation of a cluster; it has the few things that the decisions are about:
-// queues, lagging reports, prefix caches, failures, and callers who return.
+// with fixed seeds: targets with a queue and a number of batch slots, and
+// entries with a Table, a Monitor and retry Budgets each. The model is not a
+// full cluster simulation; it has only what the decisions depend on: queues,
+// late load reports, prefix caches, failures, and callers that retry.
 //
 // # Usage
 //
@@ -19,11 +19,11 @@
 	"verbenashift/bench/figure"
 )
 
-// Run measures everything and writes one line for each figure to w. The times
-// of a pick are of the machine; all other figures are the same at each run.
+// Run measures all figures and writes one line for each to w. The times of a
+// pick depend on the machine; all other figures are the same in each run.
 func Run(w io.Writer) ([]figure.Figure, error) {
 	parts := []func() []figure.Figure{
-		pickFigures, lateFigures, choiceFigures, prefixFigures, stragglerFigures, failingFigures, returnFigures,
+		pickFigures, lateReportFigures, choiceFigures, prefixFigures, stragglerFigures, failingFigures, recoveryFigures,
 	}
 	var all []figure.Figure
 	for _, part := range parts {
--- a/bench/routing/routing_model.go
+++ b/bench/routing/routing_model.go
@@ -9,22 +9,24 @@
 	"verbenashift/core/request/route"
 )
 
-// The figures of one target, near those of one server in a fleet of 670 that
-// generates 2.2 million tokens a second.
+// The properties of one target, close to those of one server in a fleet of 670
+// that generates 2.2 million tokens per second.
 const (
-	model       = "caption"
-	meanCost    = 350.0
-	targetRate  = 3300.0 // tokens a second
-	targetSlots = 8
-	stepMs      = 20.0
-	cachedMax   = 12 // prefixes a target keeps
-	// shedAfter is the wait in its queue at which an agent refuses.
-	shedAfter = 2 * time.Second
-	// breakAfter is when a breaking target's connection breaks.
+	model             = "caption"
+	meanCost          = 350.0
+	targetRate        = 3300.0 // tokens a second
+	targetSlots       = 8
+	stepMs            = 20.0
+	maxCachedPrefixes = 12 // prefixes that a target caches
+	// maxQueueWait is the queue wait above which an agent refuses requests.
+	maxQueueWait = 2 * time.Second
+	// breakAfter is the time after which a breaking target closes the
+	// connection of a request.
 	breakAfter = 50 * time.Millisecond
 )
 
-// event is something that happens at a virtual time.
+// event is a function to call at a virtual time. Events at the same time run in
+// the order of seq.
 type event struct {
 	at  time.Duration
 	seq int
@@ -45,7 +47,7 @@
 	return last
 }
 
-// clock is virtual time.
+// clock is a discrete-event loop in virtual time.
 type clock struct {
 	now    time.Duration
 	seq    int
@@ -58,7 +60,7 @@
 	heap.Push(&c.queue, event{c.now + d, c.seq, do})
 }
 
-// every repeats something until the clock stops.
+// every calls do at intervals of d until the clock stops.
 func (c *clock) every(d time.Duration, do func()) {
 	c.after(d, func() {
 		do()
@@ -81,66 +83,68 @@
 	return time.Duration(c.random.ExpFloat64() * mean * float64(time.Second))
 }
 
-// condition is how a target behaves.
+// condition is the state of a target: working, or failing in one of two ways.
 type condition int
 
 const (
 	working condition = iota
-	// refusing targets take no connection.
+	// refusing targets refuse connections.
 	refusing
-	// breaking targets run the request, and break the connection.
+	// breaking targets run the request and break its connection.
 	breaking
 )
 
-// job is one request on its way.
+// job is one request in progress.
 type job struct {
-	cost    float64
-	prefix  uint64
-	arrived time.Duration
-	booking bool // may not be repeated
-	tried   route.Exclude
-	runs    int
-	tries   int
-	done    func(started time.Duration, end ending)
+	cost          float64
+	prefix        uint64
+	arrived       time.Duration
+	mayNotRepeat  bool
+	excluded      route.Exclude
+	runs          int
+	naiveAttempts int
+	done          func(started time.Duration, end attemptOutcome)
 }
 
-// ending is how an attempt ended.
-type ending int
+// attemptOutcome is the outcome of an attempt.
+type attemptOutcome int
 
 const (
-	completed ending = iota
+	completed attemptOutcome = iota
 	notSent
 	refused
-	broke
+	broken
 )
 
-// target is a queue before a batch.
+// target is a queue in front of a batch.
 type target struct {
 	*clock
 	condition condition
-	slow      float64 // factor on all times
-	// rateSeen is when the agent's measured rate has caught up with slow.
-	rateSeen time.Duration
-	running  int
-	queue    []*job
-	queued   float64
-	cache    []uint64 // most recent last
-	// work is the time spent in the batch, taken the requests.
-	work      float64
-	taken     int
-	hits      int
-	incarnate uint64
+	slow      float64 // factor by which all times are longer
+	// rateMeasuredAt is the time at which the agent's measured rate starts to
+	// reflect slow.
+	rateMeasuredAt time.Duration
+	running        int
+	queue          []*job
+	queued         float64
+	cache          []uint64 // most recent last
+	// work is the sum of the times, in seconds, that requests spend in the
+	// batch; accepted is the number of requests.
+	work        float64
+	accepted    int
+	hits        int
+	incarnation uint64
 }
 
-// load is what the agent says at first hand. Its measured rate trails the
-// true one.
+// load returns the load that the agent reports directly. Its measured rate
+// trails the true one.
 func (g *target) load() route.Load {
 	rate := targetRate
-	if g.now >= g.rateSeen {
+	if g.now >= g.rateMeasuredAt {
 		rate /= g.slow
 	}
 	return route.Load{
-		Incarnation: g.incarnate, Queued: g.queued, Running: g.running, Rate: rate, StepMs: stepMs * g.slow,
+		Incarnation: g.incarnation, Queued: g.queued, Running: g.running, Rate: rate, StepMs: stepMs * g.slow,
 	}
 }
 
@@ -150,18 +154,18 @@
 		j.done(g.now, notSent)
 	case g.condition == breaking:
 		j.runs++
-		g.after(breakAfter, func() { j.done(g.now, broke) })
-	case g.queued/(targetRate/g.slow) > shedAfter.Seconds():
+		g.after(breakAfter, func() { j.done(g.now, broken) })
+	case g.queued/(targetRate/g.slow) > maxQueueWait.Seconds():
 		j.done(g.now, refused)
 	default:
-		g.taken++
+		g.accepted++
 		g.queue = append(g.queue, j)
 		g.queued += j.cost
 		g.fill()
 	}
 }
 
-// fill moves requests from the queue to free places of the batch.
+// fill moves requests from the queue to free slots of the batch.
 func (g *target) fill() {
 	for g.running < targetSlots && len(g.queue) > 0 {
 		j := g.queue[0]
@@ -170,7 +174,7 @@
 		g.running++
 		j.runs++
 		started := g.now
-		seconds := g.charge(j) / (targetRate / targetSlots) * g.slow
+		seconds := g.serviceCost(j) / (targetRate / targetSlots) * g.slow
 		g.work += seconds
 		g.after(time.Duration(seconds*float64(time.Second)), func() {
 			g.running--
@@ -180,8 +184,9 @@
 	}
 }
 
-// charge returns the work a request costs, less what its prefix saves.
-func (g *target) charge(j *job) float64 {
+// serviceCost returns the cost of a request, less what a cached prefix saves, and
+// adds the prefix to the cache.
+func (g *target) serviceCost(j *job) float64 {
 	if j.prefix == 0 {
 		return j.cost
 	}
@@ -195,15 +200,15 @@
 		kept = append(kept, p)
 	}
 	g.cache = append(kept, j.prefix)
-	if len(g.cache) > cachedMax {
+	if len(g.cache) > maxCachedPrefixes {
 		g.cache = g.cache[1:]
 	}
 	if !hit {
 		return j.cost
 	}
 	g.hits++
-	return j.cost * (1 - savedPart)
+	return j.cost * (1 - cacheSavings)
 }
 
-// savedPart is the part of a request's work that a cached prefix saves.
-const savedPart = 0.4
+// cacheSavings is the fraction of a request's cost that a cached prefix saves.
+const cacheSavings = 0.4
--- a/bench/routing/routing_pick.go
+++ b/bench/routing/routing_pick.go
@@ -13,15 +13,15 @@
 const (
 	smallFleet = 67
 	largeFleet = 670
-	// pickRounds is how often the time of a pick is taken; the least counts,
-	// since other work on the machine only adds to it.
+	// pickRounds is how often a pick is timed. The shortest time counts, since
+	// other work on the machine can only add to it.
 	pickRounds = 7
 	pickRuns   = 200_000
 )
 
 var epoch = time.Date(2026, 1, 31, 12, 0, 0, 0, time.UTC)
 
-// fleet returns targets of one model over three zones.
+// fleet returns n targets of one model in three zones.
 func fleet(n int) []route.Target {
 	out := make([]route.Target, n)
 	for i := range out {
@@ -30,8 +30,8 @@
 	return out
 }
 
-// loaded returns a table in which every target has a load of its own.
-func loaded(n int, opt route.Options) (*route.Table, *rand.Rand) {
+// newLoadedTable returns a table of n targets with random loads.
+func newLoadedTable(n int, opt route.Options) (*route.Table, *rand.Rand) {
 	rng := rand.New(rand.NewPCG(1, uint64(n)))
 	opt.Entry, opt.Zone = "entry-0", "zone-0"
 	t := route.New(opt)
@@ -42,9 +42,10 @@
 	return t, rng
 }
 
-// The settings under which picks are timed. The number of choices follows from
-// how many entries share a target; it is bounded by the subset, and the gate
-// compares like with like at both ends of its range.
+// The options with which picks are timed. The number of choices is derived from
+// the number of entries that share a target, up to the size of the subset. The
+// gated figures fix it at either end of this range, so that both fleet sizes are
+// compared with the same number of choices.
 var (
 	fewChoices  = route.Options{Choices: 2}
 	allChoices  = route.Options{Choices: route.DefaultSubset}
@@ -52,7 +53,7 @@
 )
 
 func pickFigures() []figure.Figure {
-	table, rng := loaded(largeFleet, allChoices)
+	table, rng := newLoadedTable(largeFleet, allChoices)
 	q := &route.Query{Model: model, Cost: meanCost, CacheSavings: meanCost / 2}
 	allocs := testing.AllocsPerRun(1000, func() {
 		q.Prefix = rng.Uint64()
@@ -63,20 +64,21 @@
 		{Name: "routing-pick-allocs", Value: allocs, Unit: "allocs", Better: figure.Lower, Gate: true},
 		pickCost("routing-pick-cost-few-choices", fewChoices, scan, true),
 		pickCost("routing-pick-cost-all-choices", allChoices, scan, true),
-		// At 390 entries, 67 targets are shared by more entries than 670, so
-		// that fewer of a subset are looked at.
+		// With 390 entries, each of 67 targets is shared by more entries than
+		// each of 670, so that fewer targets of a subset are examined.
 		pickCost("routing-pick-cost-390-entries", manyEntries, scan, false),
 	}
 }
 
-// pickCost compares the least times of a pick at both sizes of the fleet. The
-// sizes take turns, so that a busy spell of the machine meets both.
+// pickCost returns the ratio of the shortest times of a pick at both sizes of
+// the fleet. The sizes alternate, so that other load on the machine affects
+// both.
 func pickCost(name string, opt route.Options, scan float64, gate bool) figure.Figure {
-	a, b := picker(smallFleet, opt), picker(largeFleet, opt)
+	a, b := newPicker(smallFleet, opt), newPicker(largeFleet, opt)
 	var small, large float64
 	for range pickRounds {
-		small = least(small, timeOf(a))
-		large = least(large, timeOf(b))
+		small = minNonZero(small, meanTime(a))
+		large = minNonZero(large, meanTime(b))
 	}
 	f := figure.Figure{
 		Name: name, Value: large / small, Unit: "ratio", Gate: gate, Baseline: scan,
@@ -88,8 +90,8 @@
 	return f
 }
 
-func picker(n int, opt route.Options) func() {
-	table, rng := loaded(n, opt)
+func newPicker(n int, opt route.Options) func() {
+	table, rng := newLoadedTable(n, opt)
 	q := &route.Query{Model: model, Cost: meanCost, CacheSavings: meanCost / 2}
 	return func() {
 		q.Prefix = rng.Uint64()
@@ -97,7 +99,7 @@
 	}
 }
 
-func timeOf(f func()) float64 {
+func meanTime(f func()) float64 {
 	began := time.Now()
 	for range pickRuns {
 		f()
@@ -105,23 +107,23 @@
 	return float64(time.Since(began).Nanoseconds()) / pickRuns
 }
 
-func least(a, b float64) float64 {
+func minNonZero(a, b float64) float64 {
 	if a == 0 {
 		return b
 	}
 	return min(a, b)
 }
 
-// scanTime returns the time of asking every target for its expected time.
+// scanTime returns the time of a scan over the expected waits of all n targets.
 func scanTime(n int) float64 {
-	table, _ := loaded(n, route.Options{})
+	table, _ := newLoadedTable(n, route.Options{})
 	best := 0.0
 	for range pickRounds {
 		began := time.Now()
 		for range pickRuns / largeFleet {
 			scan(table, n)
 		}
-		best = least(best, float64(time.Since(began).Nanoseconds())*largeFleet/pickRuns)
+		best = minNonZero(best, float64(time.Since(began).Nanoseconds())*largeFleet/pickRuns)
 	}
 	return best
 }
--- a/bench/routing/routing_policy.go
+++ b/bench/routing/routing_policy.go
@@ -9,10 +9,11 @@
 	"verbenashift/core/request/route"
 )
 
-// policy is how targets are chosen.
+// policy is a load-balancing policy.
 type policy string
 
-// The policies. Chosen is the product's; the others are baselines.
+// The policies. chosen is the one that the product uses; the others are
+// baselines.
 const (
 	chosen        policy = "chosen"
 	noAffinity    policy = "chosen without affinity"
@@ -24,17 +25,17 @@
 	twoInFlight   policy = "least of two by own in flight"
 )
 
-// entry decides for its callers.
+// entry routes the requests of its callers.
 type entry struct {
 	*trial
-	table    *route.Table
-	monitor  *health.Monitor
-	budgets  *retry.Budgets
-	returns  retry.ReturnScheduler
-	rng      *rand.Rand
-	reported []float64 // lagging, tokens queued
-	inFlight []int
-	turn     int
+	table      *route.Table
+	monitor    *health.Monitor
+	budgets    *retry.Budgets
+	returns    retry.ReturnScheduler
+	rng        *rand.Rand
+	reported   []float64 // tokens queued, from late reports
+	inFlight   []int
+	nextTarget int
 }
 
 func newEntry(t *trial, index int) *entry {
@@ -50,12 +51,12 @@
 			Index: index, Entries: t.set.entries, Choices: t.set.choices,
 			LoadBound: bound,
 		}),
-		monitor:  health.New(t.set.health),
-		budgets:  retry.NewBudgets(retry.Limits{}),
-		rng:      rand.New(rand.NewPCG(t.set.seed, uint64(index))),
-		reported: make([]float64, n),
-		inFlight: make([]int, n),
-		turn:     index * 7,
+		monitor:    health.New(t.set.health),
+		budgets:    retry.NewBudgets(retry.Limits{}),
+		rng:        rand.New(rand.NewPCG(t.set.seed, uint64(index))),
+		reported:   make([]float64, n),
+		inFlight:   make([]int, n),
+		nextTarget: index * 7,
 	}
 	e.table.Update(fleet(n))
 	members := make([]health.Member, n)
@@ -73,22 +74,23 @@
 	case atRandom:
 		return e.rng.IntN(n), true
 	case roundRobin:
-		e.turn++
-		return e.turn % n, true
+		e.nextTarget++
+		return e.nextTarget % n, true
 	case leastReported:
 		return e.least(n, func(k int) int { return k }, func(i int) float64 { return e.reported[i] }), true
 	case twoReported:
-		return e.least(2, e.any, func(i int) float64 { return e.reported[i] }), true
+		return e.least(2, e.randomTarget, func(i int) float64 { return e.reported[i] }), true
 	case twoInFlight:
-		return e.least(2, e.any, func(i int) float64 { return float64(e.inFlight[i]) }), true
+		return e.least(2, e.randomTarget, func(i int) float64 { return float64(e.inFlight[i]) }), true
 	default:
 		return e.table.Pick(e.query(j), e.time(), e.rng)
 	}
 }
 
-func (e *entry) any(int) int { return e.rng.IntN(len(e.targets)) }
+func (e *entry) randomTarget(int) int { return e.rng.IntN(len(e.targets)) }
 
-// least returns the best of n candidates; equal ones are decided by chance.
+// least returns the candidate with the lowest score out of n, at random among
+// equal ones.
 func (e *entry) least(n int, candidate func(int) int, score func(int) float64) int {
 	best, same := candidate(0), 1
 	for k := 1; k < n; k++ {
@@ -107,14 +109,14 @@
 }
 
 func (e *entry) query(j *job) *route.Query {
-	q := &route.Query{Model: model, Cost: j.cost, MayNotRepeat: j.booking, Exclude: j.tried}
+	q := &route.Query{Model: model, Cost: j.cost, MayNotRepeat: j.mayNotRepeat, Exclude: j.excluded}
 	if e.set.policy != noAffinity {
-		q.Prefix, q.CacheSavings = j.prefix, j.cost*savedPart
+		q.Prefix, q.CacheSavings = j.prefix, j.cost*cacheSavings
 	}
 	return q
 }
 
-// applyHealth passes the monitor's judgement on to the table.
+// applyHealth applies the health changes of the monitor to the table.
 func (e *entry) applyHealth() {
 	for _, c := range e.monitor.Tick(e.time(), e.rng) {
 		if e.set.noSlowStart && c.State == health.SlowStart {
--- a/bench/routing/routing_scenarios.go
+++ b/bench/routing/routing_scenarios.go
@@ -10,8 +10,8 @@
 	"verbenashift/core/request/route"
 )
 
-// base is the common ground of the trials: the pool of one model, and a part
-// of its capacity that is high but leaves room.
+// base returns the common settings of the trials: the pool of one model at a
+// high load that leaves some headroom.
 func base(p policy) settings {
 	return settings{
 		policy: p, seed: 7, targets: 64, entries: 20, load: 0.85,
@@ -19,16 +19,17 @@
 	}
 }
 
-// The span of arrivals that is measured: without the start, and without
-// requests that can't have ended.
+// Only requests that arrive in this span are measured. It excludes the start of
+// the trial and requests that may not end before it does.
 const (
 	measureFrom = 10 * time.Second
 	measureTo   = 50 * time.Second
 )
 
-// lateFigures give the wait with load reports two seconds late and no other
-// word from the targets than the ends of the entry's own requests.
-func lateFigures() []figure.Figure {
+// lateReportFigures measures the wait with load reports that are two seconds
+// late, when the entry's only other information on the targets is the completion
+// of its own requests.
+func lateReportFigures() []figure.Figure {
 	p99 := func(p policy) float64 { return run(base(p)).quantile(0.99, wait, measureFrom, measureTo) }
 	own := p99(chosen)
 	against := func(name string, p policy, bound float64) figure.Figure {
@@ -47,8 +48,9 @@
 	}
 }
 
-// choiceFigures compare the number of choices that follows from the number of
-// entries with two choices and with all of the subset, at both ends.
+// choiceFigures compares the number of choices that is derived from the number of
+// entries with two choices and with the whole subset, for few and for many
+// entries.
 func choiceFigures() []figure.Figure {
 	few, many := base(chosen), base(chosen)
 	few.heartbeats, many.heartbeats = true, true
@@ -80,15 +82,15 @@
 		set.prefixes = prefixCount
 		trials[p] = run(set)
 	}
-	own, without, open := trials[chosen], trials[noAffinity], trials[unbounded]
+	own, without, unlimited := trials[chosen], trials[noAffinity], trials[unbounded]
 	return []figure.Figure{
 		{
 			Name: "routing-prefix-hits", Value: own.hitRate(), Unit: "part", Bound: 0.5, Better: figure.Higher, Gate: true,
-			Baseline: without.hitRate(), Note: fmt.Sprintf("unbounded affinity %.2f", open.hitRate()),
+			Baseline: without.hitRate(), Note: fmt.Sprintf("unbounded affinity %.2f", unlimited.hitRate()),
 		},
 		{
 			Name: "routing-prefix-load-ratio", Value: own.loadRatio(), Unit: "ratio", Bound: 1.25, Better: figure.Lower,
-			Gate: true, Baseline: open.loadRatio(),
+			Gate: true, Baseline: unlimited.loadRatio(),
 			Note: fmt.Sprintf("worst over mean; baseline unbounded affinity, without affinity %.2f", without.loadRatio()),
 		},
 		{
@@ -106,12 +108,12 @@
 	hits, taken := 0, 0
 	for _, g := range t.targets {
 		hits += g.hits
-		taken += g.taken
+		taken += g.accepted
 	}
 	return float64(hits) / float64(taken)
 }
 
-// loadRatio returns the work of the busiest target over the mean.
+// loadRatio returns the work of the busiest target over the mean of all targets.
 func (t *trial) loadRatio() float64 {
 	sum, most := 0.0, 0.0
 	for _, g := range t.targets {
@@ -121,20 +123,22 @@
 	return most / sum * float64(len(t.targets))
 }
 
-// When the faults of the trials begin and end.
+// The times at which faults begin and end. The effect of a straggler is measured
+// from detected on.
 const (
-	faultAt  = 15 * time.Second
-	detected = faultAt + time.Second
-	healedAt = 45 * time.Second
+	faultAt    = 15 * time.Second
+	detected   = faultAt + time.Second
+	repairedAt = 45 * time.Second
 )
 
-// straggler makes one target ten times slower. Its agent's measured rate shows
-// that after a time; its step times show it at once.
-func straggler(p policy, eject bool, rateTrails time.Duration) *trial {
+// runStraggler runs a trial in which one target becomes ten times slower. Its
+// step times show that at once, the rate that its agent measures only after
+// rateTrails.
+func runStraggler(p policy, eject bool, rateTrails time.Duration) *trial {
 	set := base(p)
 	set.load, set.heartbeats, set.eject = 0.7, true, eject
 	set.events = map[time.Duration]func(*trial){faultAt: func(t *trial) {
-		t.targets[0].slow, t.targets[0].rateSeen = 10, t.now+rateTrails
+		t.targets[0].slow, t.targets[0].rateMeasuredAt = 10, t.now+rateTrails
 	}}
 	return run(set)
 }
@@ -142,34 +146,34 @@
 func stragglerFigures() []figure.Figure {
 	healthy := base(chosen)
 	healthy.load, healthy.heartbeats = 0.7, true
-	usual := totalP99(run(healthy))
+	healthyP99 := totalP99(run(healthy))
 	return slices.Concat(
-		stragglerPair("routing-straggler-rate-seen", time.Second, usual),
-		stragglerPair("routing-straggler-rate-unseen", time.Hour, usual),
+		stragglerPair("routing-straggler-rate-seen", time.Second, healthyP99),
+		stragglerPair("routing-straggler-rate-unseen", time.Hour, healthyP99),
 	)
 }
 
 func totalP99(t *trial) float64 { return t.quantile(0.99, total, detected, measureTo) }
 
-func stragglerPair(name string, rateTrails time.Duration, usual float64) []figure.Figure {
-	own, without := straggler(chosen, true, rateTrails), straggler(chosen, false, rateTrails)
-	turns := straggler(roundRobin, false, rateTrails)
+func stragglerPair(name string, rateTrails time.Duration, healthyP99 float64) []figure.Figure {
+	own, without := runStraggler(chosen, true, rateTrails), runStraggler(chosen, false, rateTrails)
+	rotated := runStraggler(roundRobin, false, rateTrails)
 	return []figure.Figure{
 		{
-			Name: name + "-share", Value: own.metBy(0), Unit: "part", Bound: 0.001, Better: figure.Lower, Gate: true,
-			Baseline: without.metBy(0),
-			Note:     fmt.Sprintf("of requests from 1 s after the stall; baseline without ejection, round robin %.4f", turns.metBy(0)),
+			Name: name + "-share", Value: own.shareOf(0), Unit: "part", Bound: 0.001, Better: figure.Lower, Gate: true,
+			Baseline: without.shareOf(0),
+			Note:     fmt.Sprintf("of requests from 1 s after the stall; baseline without ejection, round robin %.4f", rotated.shareOf(0)),
 		},
 		{
-			Name: name + "-p99-total", Value: totalP99(own), Unit: "ms", Bound: 1.1 * usual, Better: figure.Lower, Gate: true,
+			Name: name + "-p99-total", Value: totalP99(own), Unit: "ms", Bound: 1.1 * healthyP99, Better: figure.Lower, Gate: true,
 			Baseline: totalP99(without),
-			Note:     fmt.Sprintf("baseline without ejection, round robin %.0f, without straggler %.0f", totalP99(turns), usual),
+			Note:     fmt.Sprintf("baseline without ejection, round robin %.0f, without straggler %.0f", totalP99(rotated), healthyP99),
 		},
 	}
 }
 
-// metBy returns the part of requests after detection that a target got.
-func (t *trial) metBy(target int) float64 {
+// shareOf returns the share of calls after detection that a target received.
+func (t *trial) shareOf(target int) float64 {
 	met, all := 0, 0
 	for _, s := range t.sent {
 		if s.at >= detected && s.at < measureTo {
@@ -182,9 +186,9 @@
 	return float64(met) / float64(all)
 }
 
-// failEvery makes three of ten targets fail, some by refusing connections and
-// some by breaking them after the request has run.
-func failEvery(t *trial, refuse, breaks condition) {
+// setConditions sets the conditions of three of ten targets: one to refuse and
+// two to breaks.
+func setConditions(t *trial, refuse, breaks condition) {
 	for i, g := range t.targets {
 		switch i % 10 {
 		case 0:
@@ -195,79 +199,81 @@
 	}
 }
 
-// failing is a trial in which three of ten targets fail.
-func failing(set settings) *trial {
-	set.load, set.bookings, set.heartbeats = 0.5, 0.2, true
-	set.events = map[time.Duration]func(*trial){faultAt: func(t *trial) { failEvery(t, refusing, breaking) }}
+// runFailing runs a trial in which three of ten targets fail: one refuses
+// connections, and two break them after the request has run.
+func runFailing(set settings) *trial {
+	set.load, set.mayNotRepeatShare, set.heartbeats = 0.5, 0.2, true
+	set.events = map[time.Duration]func(*trial){faultAt: func(t *trial) { setConditions(t, refusing, breaking) }}
 	return run(set)
 }
 
 func failingFigures() []figure.Figure {
 	few := base(chosen)
 	few.naive = true
-	naive := failing(few)
+	naive := runFailing(few)
 	few.naive, few.eject, few.hints = false, true, true
-	own := failing(few)
+	own := runFailing(few)
 	return []figure.Figure{
 		{
 			Name: "routing-failing-calls-per-request", Value: own.callRatio(), Unit: "ratio", Bound: 1.1, Better: figure.Lower,
 			Gate: true, Baseline: naive.callRatio(), Note: "three of ten targets fail; baseline three tries each, no ejection",
 		},
 		{
-			Name: "routing-failing-double-runs", Value: float64(own.doubles), Unit: "requests", Better: figure.Lower,
-			Gate: true, Baseline: float64(naive.doubles), Note: "of requests that may not be repeated",
+			Name: "routing-failing-double-runs", Value: float64(own.doubleRuns), Unit: "requests", Better: figure.Lower,
+			Gate: true, Baseline: float64(naive.doubleRuns), Note: "of requests that may not be repeated",
 		},
 		{
-			Name: "routing-failing-given-up", Value: own.refusedPart(), Unit: "part", Baseline: naive.refusedPart(),
+			Name: "routing-failing-given-up", Value: own.refusedShare(), Unit: "part", Baseline: naive.refusedShare(),
 			Note: "of requests, by a truthful final answer",
 		},
 		manyFailing(),
 	}
 }
 
-// manyFailing is the same with many entries, each of which sees a target too
-// seldom to judge it soon by itself.
+// manyFailing measures the same with many entries. Each of them sends too few
+// requests to a target to detect its failure quickly without hints from others.
 func manyFailing() figure.Figure {
 	set := base(chosen)
 	set.targets, set.entries, set.eject = 84, 390, true
-	alone := failing(set)
+	alone := runFailing(set)
 	set.hints = true
-	together := failing(set)
+	together := runFailing(set)
 	return figure.Figure{
-		Name: "routing-failing-390-entries-given-up", Value: together.refusedPart(), Unit: "part", Bound: 0.06,
-		Better: figure.Lower, Gate: true, Baseline: alone.refusedPart(),
+		Name: "routing-failing-390-entries-given-up", Value: together.refusedShare(), Unit: "part", Bound: 0.06,
+		Better: figure.Lower, Gate: true, Baseline: alone.refusedShare(),
 		Note: fmt.Sprintf("with hints, baseline without; calls per request %.3f and %.3f", together.callRatio(), alone.callRatio()),
 	}
 }
 
-func (t *trial) refusedPart() float64 { return float64(t.refusals) / float64(t.requests) }
+func (t *trial) refusedShare() float64 { return float64(t.refusals) / float64(t.requests) }
 
-// returning lets the failing targets come back. While they are away the rest
-// can't do all the work, and refused callers come back too.
-func returning(naive bool, seed uint64) *trial {
+// runRecovery runs a trial in which failing targets recover. While they fail, the
+// others don't have enough capacity for all requests, and refused callers retry.
+func runRecovery(naive bool, seed uint64) *trial {
 	set := base(chosen)
 	set.seed = seed
-	set.load, set.heartbeats, set.comeBack = 0.8, true, true
-	set.eject, set.noSlowStart, set.naive, set.fixedReturn = true, naive, naive, naive
+	set.load, set.heartbeats, set.callersRetry = 0.8, true, true
+	set.eject, set.noSlowStart, set.naive, set.fixedCallerDelay = true, naive, naive, naive
 	set.hints = !naive
 	set.length = 100 * time.Second
 	set.events = map[time.Duration]func(*trial){
-		faultAt:  func(t *trial) { failEvery(t, refusing, breaking) },
-		healedAt: func(t *trial) { failEvery(t, working, working) },
+		faultAt:    func(t *trial) { setConditions(t, refusing, breaking) },
+		repairedAt: func(t *trial) { setConditions(t, working, working) },
 	}
 	return run(set)
 }
 
-// returnSeeds is how many seeds the return is tried with: the busiest second of
-// many differs from one to the other.
-const returnSeeds = 5
+// recoverySeeds is the number of seeds of the recovery trials: the busiest second
+// differs from seed to seed.
+const recoverySeeds = 5
 
-// returnFigures give the worst of all seeds, and the best of the baseline's.
-func returnFigures() []figure.Figure {
+// recoveryFigures returns the worst values of all seeds, with the best values of
+// the baseline.
+func recoveryFigures() []figure.Figure {
 	worst := [3]float64{}
 	best := [3]float64{math.Inf(1), math.Inf(1), math.Inf(1)}
-	for seed := range uint64(returnSeeds) {
-		own, naive := returning(false, seed+1).returned(), returning(true, seed+1).returned()
+	for seed := range uint64(recoverySeeds) {
+		own, naive := runRecovery(false, seed+1).recoveryValues(), runRecovery(true, seed+1).recoveryValues()
 		for k := range worst {
 			worst[k], best[k] = max(worst[k], own[k]), min(best[k], naive[k])
 		}
@@ -289,28 +295,32 @@
 	}
 }
 
-// returned gives the time of recovery, the busiest second and the calls.
-func (t *trial) returned() [3]float64 {
-	return [3]float64{t.recovery(), t.wave(), t.callRatio()}
+// recoveryValues returns the recovery time, the peak ratio and the calls per
+// request.
+func (t *trial) recoveryValues() [3]float64 {
+	return [3]float64{t.recovery(), t.peakRatio(), t.callRatio()}
 }
 
-// firstToken is the time within which 95 of 100 are to have the first token.
+// firstToken is the objective for the p95 of the wait for the first token.
 const firstToken = 1200 // milliseconds
 
-// recovery returns the time after healing from which every second is well.
+// recovery returns the time in seconds, from the repair of the targets, after
+// which the p95 wait of every second meets the objective.
 func (t *trial) recovery() float64 {
-	well := healedAt
-	for at := healedAt; at < t.set.length-10*time.Second; at += time.Second {
+	well := repairedAt
+	for at := repairedAt; at < t.set.length-10*time.Second; at += time.Second {
 		if t.quantile(0.95, wait, at, at+time.Second) > firstToken {
 			well = at + time.Second
 		}
 	}
-	return (well - healedAt).Seconds()
+	return (well - repairedAt).Seconds()
 }
 
 func (t *trial) callRatio() float64 { return float64(t.calls) / float64(t.requests) }
 
-func (t *trial) wave() float64 {
+// peakRatio returns the number of requests in the busiest second after the fault
+// over the mean before it.
+func (t *trial) peakRatio() float64 {
 	onset, end := int(faultAt/time.Second), int(t.set.length/time.Second)
 	most, before := 0, 0
 	for second, n := range t.offered {
--- a/bench/routing/routing_test.go
+++ b/bench/routing/routing_test.go
@@ -10,8 +10,8 @@
 
 func TestGatesHold(t *testing.T) {
 	for name, figures := range map[string]func() []figure.Figure{
-		"late": lateFigures, "prefix": prefixFigures, "straggler": stragglerFigures,
-		"failing": failingFigures, "return": returnFigures,
+		"late": lateReportFigures, "prefix": prefixFigures, "straggler": stragglerFigures,
+		"failing": failingFigures, "return": recoveryFigures,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -39,7 +39,7 @@
 	g := &target{clock: &clock{}, slow: 1}
 	ended := 0
 	for range targetSlots + 1 {
-		g.submit(&job{cost: targetRate / targetSlots, prefix: 5, done: func(time.Duration, ending) { ended++ }})
+		g.submit(&job{cost: targetRate / targetSlots, prefix: 5, done: func(time.Duration, attemptOutcome) { ended++ }})
 	}
 	is.Equal(g.load().Running, targetSlots)
 	is.True(g.load().Queued > 0)
--- a/bench/routing/routing_trial.go
+++ b/bench/routing/routing_trial.go
@@ -10,31 +10,33 @@
 	"verbenashift/core/request/route"
 )
 
-// settings describe one trial.
+// settings configures one trial.
 type settings struct {
-	policy   policy
-	seed     uint64
-	targets  int
-	entries  int
-	choices  int
-	load     float64 // part of the capacity offered
-	prefixes int     // how many there are; 0 means none
-	bookings float64 // part of requests that may not be repeated
-	length   time.Duration
-	// lag is the age of load reports when they arrive; heartbeats are the
-	// first-hand loads that arrive without requests, if any.
+	policy            policy
+	seed              uint64
+	targets           int
+	entries           int
+	choices           int
+	load              float64 // offered load as a fraction of the capacity
+	prefixes          int     // number of distinct prefixes; 0 means none
+	mayNotRepeatShare float64 // fraction of requests that may not be repeated
+	length            time.Duration
+	// lag is the age of load reports when they arrive. heartbeats enables
+	// current loads and step times that arrive independently of requests.
 	lag        time.Duration
 	heartbeats bool
 	eject      bool
 	hints      bool
 	health     health.Options
-	// naive retries three times at once, whatever the request.
+	// naive makes up to three attempts without delay for any request, instead of
+	// using the package retry.
 	naive bool
-	// comeBack makes refused callers return; fixedReturn after one second.
-	comeBack    bool
-	fixedReturn bool
-	noSlowStart bool
-	// events change targets at their times.
+	// callersRetry makes refused callers send their request again after the
+	// Retry-After time, or after one second with fixedCallerDelay.
+	callersRetry     bool
+	fixedCallerDelay bool
+	noSlowStart      bool
+	// events are the functions that change targets, by time.
 	events map[time.Duration]func(*trial)
 }
 
@@ -48,7 +50,7 @@
 	naiveTries     = 3
 )
 
-// sample is one request that got its answer.
+// sample is one completed request.
 type sample struct {
 	arrived time.Duration
 	wait    time.Duration // until it was in the batch
@@ -56,8 +58,8 @@
 	target  int
 }
 
-// sending is one call to a target.
-type sending struct {
+// sentCall is one call to a target.
+type sentCall struct {
 	at     time.Duration
 	target int
 }
@@ -65,16 +67,16 @@
 // trial is one run of the model.
 type trial struct {
 	*clock
-	set      settings
-	targets  []*target
-	entries  []*entry
-	samples  []sample
-	sent     []sending
-	requests int
-	calls    int
-	refusals int
-	doubles  int // requests that may not be repeated and ran twice
-	// offered counts the requests of each second, callers' returns included.
+	set        settings
+	targets    []*target
+	entries    []*entry
+	samples    []sample
+	sent       []sentCall
+	requests   int
+	calls      int
+	refusals   int
+	doubleRuns int // requests that may not be repeated and ran twice
+	// offered counts the requests in each second, including retries by callers.
 	offered map[int]int
 }
 
@@ -85,14 +87,15 @@
 		offered: map[int]int{},
 	}
 	for range set.targets {
-		t.targets = append(t.targets, &target{clock: t.clock, slow: 1, incarnate: 1})
+		t.targets = append(t.targets, &target{clock: t.clock, slow: 1, incarnation: 1})
 	}
 	for i := range set.entries {
 		t.entries = append(t.entries, newEntry(t, i))
 	}
 	t.every(reportEvery, t.report)
 	if set.heartbeats {
-		// Each entry has its own phase: peers are not in step.
+		// Each entry has its own phase: the heartbeats of peers are not
+		// synchronized.
 		for i, e := range t.entries {
 			t.after(heartbeatEvery*time.Duration(i)/time.Duration(set.entries), func() {
 				t.every(heartbeatEvery, e.heartbeat)
@@ -117,7 +120,8 @@
 	return t
 }
 
-// report sends the loads of all targets to all entries, late.
+// report sends the loads of all targets to all entries, where they arrive after
+// the lag.
 func (t *trial) report() {
 	taken := t.time()
 	loads := make([]route.Load, len(t.targets))
@@ -134,7 +138,8 @@
 	})
 }
 
-// hint tells each entry, a second late, how many others have ejected a target.
+// hint reports to each entry, with a delay of one second, how many others have
+// ejected each target.
 func (t *trial) hint() {
 	counts := make([]int, len(t.targets))
 	for _, e := range t.entries {
@@ -180,20 +185,20 @@
 	t.requests++
 	t.offered[int(t.now/time.Second)]++
 	j := &job{
-		arrived: t.now,
-		cost:    meanCost * (0.25 + 0.75*t.random.ExpFloat64()),
-		booking: t.random.Float64() < t.set.bookings,
+		arrived:      t.now,
+		cost:         meanCost * (0.25 + 0.75*t.random.ExpFloat64()),
+		mayNotRepeat: t.random.Float64() < t.set.mayNotRepeatShare,
 	}
 	if t.set.prefixes > 0 {
-		// Popularity falls with the rank: the first prefix has many times
-		// the mean.
+		// Popularity falls with the rank of a prefix: the first is many times
+		// as frequent as the mean.
 		u := t.random.Float64()
 		j.prefix = 1 + uint64(float64(t.set.prefixes)*u*u*u)
 		j.prefix *= 0x9e3779b97f4a7c15
 	}
 	e := t.entries[t.random.IntN(len(t.entries))]
 	e.budgets.Request(budgetKey, t.time())
-	e.send(j, &retry.Attempts{MayNotRepeat: j.booking})
+	e.send(j, &retry.Attempts{MayNotRepeat: j.mayNotRepeat})
 }
 
 var budgetKey = retry.Key{Workspace: "workspace", Hop: "target"}
@@ -202,15 +207,15 @@
 func (e *entry) send(j *job, a *retry.Attempts) {
 	i, ok := e.pick(j)
 	if !ok {
-		e.giveUp(e.returns.NextRetryAfter(e.time(), e.rng))
+		e.abandon(e.returns.NextRetryAfter(e.time(), e.rng))
 		return
 	}
 	began := e.time()
 	e.calls++
-	e.sent = append(e.sent, sending{e.now, i})
+	e.sent = append(e.sent, sentCall{e.now, i})
 	e.inFlight[i]++
 	e.table.Start(i, j.cost, began)
-	j.done = func(started time.Duration, end ending) {
+	j.done = func(started time.Duration, end attemptOutcome) {
 		e.inFlight[i]--
 		e.table.End(i, j.cost, began)
 		e.finish(j, a, i, started, end)
@@ -218,7 +223,7 @@
 	e.targets[i].submit(j)
 }
 
-func (e *entry) finish(j *job, a *retry.Attempts, i int, started time.Duration, end ending) {
+func (e *entry) finish(j *job, a *retry.Attempts, i int, started time.Duration, end attemptOutcome) {
 	g, now := e.targets[i], e.time()
 	switch end {
 	case completed:
@@ -233,25 +238,25 @@
 	case notSent:
 		e.monitor.Fail(i, health.Hard, now)
 		e.failed(j, a, i, retry.NotSent)
-	case broke:
+	case broken:
 		e.monitor.Fail(i, health.Soft, now)
 		e.failed(j, a, i, retry.Broken)
 	}
-	if end != refused && j.booking && j.runs == 2 {
-		e.doubles++
+	if end != refused && j.mayNotRepeat && j.runs == 2 {
+		e.doubleRuns++
 	}
 }
 
-// failed decides on another attempt.
+// failed handles a failed attempt: it makes another one or abandons the request.
 func (e *entry) failed(j *job, a *retry.Attempts, i int, kind retry.Kind) {
-	j.tried.Add(i)
+	j.excluded.Add(i)
 	if e.set.naive {
-		j.tries++
-		if j.tries < naiveTries {
+		j.naiveAttempts++
+		if j.naiveAttempts < naiveTries {
 			e.send(j, a)
 			return
 		}
-		e.giveUp(time.Second)
+		e.abandon(time.Second)
 		return
 	}
 	d := retry.Decide(a, kind, e.budgets.For(budgetKey), &e.returns, time.Time{}, e.time(), e.rng)
@@ -259,26 +264,26 @@
 		e.after(d.At.Sub(e.time()), func() { e.send(j, a) })
 		return
 	}
-	e.giveUp(d.Err.RetryAfter)
+	e.abandon(d.Err.RetryAfter)
 }
 
-func (t *trial) giveUp(back time.Duration) {
+func (t *trial) abandon(retryAfter time.Duration) {
 	t.refusals++
-	if !t.set.comeBack {
+	if !t.set.callersRetry {
 		return
 	}
-	if t.set.fixedReturn {
-		back = time.Second
+	if t.set.fixedCallerDelay {
+		retryAfter = time.Second
 	}
-	t.after(back, t.request)
+	t.after(retryAfter, t.request)
 }
 
-// wait and total select a time of a sample.
+// wait and total return a time of a sample, for quantile.
 func wait(s sample) time.Duration  { return s.wait }
 func total(s sample) time.Duration { return s.total }
 
-// quantile returns a quantile, in milliseconds, of a time of the requests that
-// arrived in a span.
+// quantile returns the q-quantile, in milliseconds, of a time of the requests
+// that arrived from from until before to.
 func (t *trial) quantile(q float64, of func(sample) time.Duration, from, to time.Duration) float64 {
 	var all []time.Duration
 	for _, s := range t.samples {
