--- a/bench/capacity/documents.go
+++ b/bench/capacity/documents.go
@@ -88,7 +88,7 @@
 	pick := series{name: "route-pick", unit: "ns", per: "target", note: "over all models"}
 	for _, s := range sizes {
 		c := fleet(0, s.targets)
-		table, bytes := retained(func() *route.Table { return newTable(c) })
+		table, bytes := retained(func() *route.Table { return table(c) })
 		took := pickTime(table)
 		label, size := fmt.Sprint(s.targets), float64(s.targets)
 		memory.points = append(memory.points, point{label, size, bytes})
@@ -97,7 +97,7 @@
 	return allFigures(memory, pick), nil
 }
 
-func newTable(c config.Config) *route.Table {
+func table(c config.Config) *route.Table {
 	t := route.New(route.Options{Entry: "entry-1", Region: "region-0", Zone: "zone-0", Entries: 390})
 	targets := make([]route.Target, 0, len(c.Targets))
 	for _, x := range c.Targets {
--- a/bench/capacity/exchange.go
+++ b/bench/capacity/exchange.go
@@ -20,16 +20,16 @@
 	"verbenashift/core/peer/wire/wireconnect"
 )
 
-// trafficCounter counts the connections of a listener and their bytes in both
+// traffic counts the connections of a listener and their bytes in both
 // directions, without the overhead of TCP and IP.
-type trafficCounter struct {
+type traffic struct {
 	bytes atomic.Int64
 	conns atomic.Int64
 }
 
 type countedListener struct {
 	net.Listener
-	traffic *trafficCounter
+	traffic *traffic
 }
 
 func (l countedListener) Accept() (net.Conn, error) {
@@ -43,7 +43,7 @@
 
 type countedConn struct {
 	net.Conn
-	traffic *trafficCounter
+	traffic *traffic
 }
 
 func (c countedConn) Read(b []byte) (int, error) {
@@ -97,12 +97,12 @@
 }
 
 // listen serves a in clear text at addr and counts its traffic in t.
-func listen(a *stubAgent, addr string, t *trafficCounter) (*http.Server, string, error) {
+func listen(a *stubAgent, addr string, t *traffic) (*http.Server, string, error) {
 	return listenTLS(a, addr, t, nil)
 }
 
 // listenTLS is like listen, but uses TLS if config is not nil.
-func listenTLS(a *stubAgent, addr string, t *trafficCounter, config *tls.Config) (*http.Server, string, error) {
+func listenTLS(a *stubAgent, addr string, t *traffic, config *tls.Config) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, "", errors.Wrap(err, "listen")
@@ -141,7 +141,7 @@
 // measureExchanges measures one heartbeat exchange: its bytes on a new and on an
 // established connection, and the mean CPU time of the two ends.
 func measureExchanges(ctx context.Context) ([]figure.Figure, error) {
-	var t trafficCounter
+	var t traffic
 	s, addr, err := listen(&stubAgent{name: "server-0670"}, "127.0.59.1:0", &t)
 	if err != nil {
 		return nil, err
@@ -184,7 +184,7 @@
 
 // firstExchangeBytes returns the mean bytes of the first exchange on a new
 // connection.
-func firstExchangeBytes(ctx context.Context, addr string, t *trafficCounter) (float64, error) {
+func firstExchangeBytes(ctx context.Context, addr string, t *traffic) (float64, error) {
 	const rounds = 50
 	before := t.bytes.Load()
 	for range rounds {
@@ -211,7 +211,7 @@
 	bytes := series{name: "idle-connections", unit: "bytes/s", per: "connection", note: "pings in both directions, above TCP"}
 	cpu := series{name: "idle-connections-cpu", unit: "us/s", per: "connection", note: "of one end"}
 	for _, n := range []int{70, 250, 670} {
-		var t trafficCounter
+		var t traffic
 		spent, err := idleConnections(ctx, n, watch, &t)
 		if err != nil {
 			return nil, err
@@ -225,7 +225,7 @@
 
 // idleConnections opens n connections and returns the CPU time that is used
 // while they are idle for the watch time. Their traffic in that time is in t.
-func idleConnections(ctx context.Context, n int, watch time.Duration, t *trafficCounter) (time.Duration, error) {
+func idleConnections(ctx context.Context, n int, watch time.Duration, t *traffic) (time.Duration, error) {
 	s, addr, err := listen(&stubAgent{name: "server-0670"}, "127.0.59.1:0", t)
 	if err != nil {
 		return 0, err
@@ -253,7 +253,7 @@
 func measureNodeLists(ctx context.Context) ([]figure.Figure, error) {
 	bytes := series{name: "node-list", unit: "bytes", per: "entry", note: "answer to want-nodes on a kept connection"}
 	for _, n := range []int{8, 64, 390} {
-		var t trafficCounter
+		var t traffic
 		a := &stubAgent{name: "server-0670"}
 		for i := range n {
 			a.nodes = append(a.nodes, &wire.NodeState{
@@ -269,7 +269,7 @@
 	return bytes.figures(), nil
 }
 
-func nodeListBytes(ctx context.Context, a *stubAgent, t *trafficCounter) (float64, error) {
+func nodeListBytes(ctx context.Context, a *stubAgent, t *traffic) (float64, error) {
 	s, addr, err := listen(a, "127.0.59.1:0", t)
 	if err != nil {
 		return 0, err
--- a/bench/capacity/keys.go
+++ b/bench/capacity/keys.go
@@ -29,7 +29,7 @@
 		MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{cert},
 		ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: pool,
 	}
-	var t trafficCounter
+	var t traffic
 	s, addr, err := listenTLS(&stubAgent{name: "server-0670"}, "127.0.59.1:0", &t, server)
 	if err != nil {
 		return nil, err
--- a/bench/capacity/nodes.go
+++ b/bench/capacity/nodes.go
@@ -61,7 +61,7 @@
 }
 
 func entryMemoryWith(ctx context.Context, n int) (float64, error) {
-	var t trafficCounter
+	var t traffic
 	for i := range n {
 		s, _, err := listen(&stubAgent{name: "server"}, path.FleetAgentAddr(i), &t)
 		if err != nil {
--- a/bench/capacity/spread.go
+++ b/bench/capacity/spread.go
@@ -32,7 +32,7 @@
 	cpu := series{name: "control-cpu", unit: "us/s", per: "node", note: "a node, in the first seconds"}
 	conns := series{name: "control-connections", unit: "connections", per: "node", note: "a node, opened in the first seconds"}
 	for _, n := range []int{8, 64, 512} {
-		var t trafficCounter
+		var t traffic
 		spent, err := runGossip(ctx, n, &t)
 		if err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 
 // runGossip starts n nodes, lets them exchange heartbeats for gossipTime and
 // returns their CPU time.
-func runGossip(ctx context.Context, n int, t *trafficCounter) (time.Duration, error) {
+func runGossip(ctx context.Context, n int, t *traffic) (time.Duration, error) {
 	entries := max(1, int(entryShare*float64(n)))
 	c := config.Config{Revision: 420, ChangeID: "last", Models: []config.Model{{Name: "caption"}}}
 	views := make([]*follow.Members, n)
--- a/bench/fairness/limits.go
+++ b/bench/fairness/limits.go
@@ -230,13 +230,13 @@
 // traffic is the traffic of the limits in bytes per second and node.
 type traffic struct {
 	maxEntryBytes, maxAgentBytes, meanAgentBytes float64
-	agentBytes                                   []float64
+	agents                                       []float64
 }
 
 // overBudget returns the number of agents that exceed the budget if each has the
 // given membership traffic in addition.
 func (t traffic) overBudget(members float64) (n float64) {
-	for _, b := range t.agentBytes {
+	for _, b := range t.agents {
 		if b+members > controlBudget {
 			n++
 		}
@@ -282,12 +282,12 @@
 	}
 	for _, n := range f.bytesByAgent {
 		b := float64(n) / trafficSpan.Seconds()
-		t.agentBytes = append(t.agentBytes, b)
+		t.agents = append(t.agents, b)
 		t.maxAgentBytes = max(t.maxAgentBytes, b)
 		all += n
 	}
 	t.meanAgentBytes = float64(all) / trafficSpan.Seconds() / float64(size.agents)
-	slices.Sort(t.agentBytes)
+	slices.Sort(t.agents)
 	return t, nil
 }
 
--- a/bench/fairness/members.go
+++ b/bench/fairness/members.go
@@ -140,7 +140,7 @@
 	for seed := range uint64(trials) {
 		rnd := rand.New(rand.NewPCG(31, seed))
 		g := newGossip(size, seed)
-		if err := g.runRounds(rnd, memberWarmUp); err != nil {
+		if err := g.rounds(rnd, memberWarmUp); err != nil {
 			return r, err
 		}
 		if seed == 0 {
@@ -169,7 +169,7 @@
 	return r, nil
 }
 
-func (g *gossip) runRounds(rnd *rand.Rand, n int) error {
+func (g *gossip) rounds(rnd *rand.Rand, n int) error {
 	for range n {
 		if err := g.runRound(rnd); err != nil {
 			return err
@@ -184,7 +184,7 @@
 	for _, v := range g.nodes {
 		v.bytes = 0
 	}
-	if err := g.runRounds(rnd, memberRounds); err != nil {
+	if err := g.rounds(rnd, memberRounds); err != nil {
 		return err
 	}
 	for _, v := range g.nodes {
--- a/bench/routing/routing_policy.go
+++ b/bench/routing/routing_policy.go
@@ -79,15 +79,15 @@
 	case leastReported:
 		return e.least(n, func(k int) int { return k }, func(i int) float64 { return e.reported[i] }), true
 	case twoReported:
-		return e.least(2, e.randomTarget, func(i int) float64 { return e.reported[i] }), true
+		return e.least(2, e.any, func(i int) float64 { return e.reported[i] }), true
 	case twoInFlight:
-		return e.least(2, e.randomTarget, func(i int) float64 { return float64(e.inFlight[i]) }), true
+		return e.least(2, e.any, func(i int) float64 { return float64(e.inFlight[i]) }), true
 	default:
 		return e.table.Pick(e.query(j), e.time(), e.rng)
 	}
 }
 
-func (e *entry) randomTarget(int) int { return e.rng.IntN(len(e.targets)) }
+func (e *entry) any(int) int { return e.rng.IntN(len(e.targets)) }
 
 // least returns the candidate with the lowest score out of n, at random among
 // equal ones.
--- a/bench/routing/routing_scenarios.go
+++ b/bench/routing/routing_scenarios.go
@@ -105,12 +105,12 @@
 }
 
 func (t *trial) hitRate() float64 {
-	hits, taken := 0, 0
+	hits, accepted := 0, 0
 	for _, g := range t.targets {
 		hits += g.hits
-		taken += g.accepted
+		accepted += g.accepted
 	}
-	return float64(hits) / float64(taken)
+	return float64(hits) / float64(accepted)
 }
 
 // loadRatio returns the work of the busiest target over the mean of all targets.
