--- a/bench/groups/groups_test.go
+++ b/bench/groups/groups_test.go
@@ -41,7 +41,8 @@
 	is.True(gaps > seen/40 && gaps < seen/10)
 }
 
-// swapAt changes all maps once, to count what play makes of it.
+// swapAt is a rebalancer that replaces all maps once, at the given time, and
+// reports 7 moves.
 type swapAt struct {
 	at   time.Time
 	maps []expert.Map
@@ -54,8 +55,9 @@
 	return s.maps, 7
 }
 
-// A plan comes into force in the middle of an interval, and the interval's
-// skew is the mean by time; while it is loading, no other plan is made.
+// A plan that takes effect in the middle of an interval contributes to the skew
+// of the interval in proportion to time, and no other plan is made while it is
+// loading.
 func TestPlayWaitsForTheStore(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(32, 4)
@@ -64,12 +66,12 @@
 	for l := range better {
 		better[l] = expert.Place(g, tr.loads[102][l])
 	}
-	slow := play(tr, g, &swapAt{after(100), better}, func(int) time.Duration { return 5 * interval / 2 })
+	slow := simulate(tr, g, &swapAt{after(100), better}, func(int) time.Duration { return 5 * interval / 2 })
 	is.Equal(slow.moves, 7)
 	is.Equal(slow.switches, 1)
 	is.Equal(slow.blocked, 2)
-	fast := play(tr, g, &swapAt{after(100), better}, atOnce)
-	never := play(tr, g, static{}, atOnce)
+	fast := simulate(tr, g, &swapAt{after(100), better}, switchOnly)
+	never := simulate(tr, g, static{}, switchOnly)
 	is.True(fast.mean < slow.mean)
 	is.True(slow.mean < never.mean)
 }
--- a/bench/groups/planner.go
+++ b/bench/groups/planner.go
@@ -10,24 +10,25 @@
 // epoch is the start of all traces.
 var epoch = time.Date(2026, time.December, 1, 6, 0, 0, 0, time.UTC)
 
-// after returns the end of an interval.
+// after returns the end of interval t.
 func after(t int) time.Time { return epoch.Add(time.Duration(t+1) * interval) }
 
-// rebalancer is a policy under test.
+// rebalancer is a rebalancing policy under test.
 type rebalancer interface {
-	// next returns the maps that come into force after the next interval
-	// and how many replicas have to be loaded for them.
+	// next returns the maps to switch to and the number of replicas that have to
+	// be loaded for them.
 	next(now time.Time, maps []expert.Map, loads []*expert.Estimator, protected int) ([]expert.Map, int)
 }
 
-// static keeps the first map.
+// static is the baseline that keeps the first map.
 type static struct{}
 
 func (static) next(_ time.Time, maps []expert.Map, _ []*expert.Estimator, _ int) ([]expert.Map, int) {
 	return maps, 0
 }
 
-// full places every expert anew at every interval, from the newest report.
+// full is the baseline that places all experts anew in every interval, by the
+// latest forecast.
 type full struct{ group *expert.Group }
 
 func (f full) next(now time.Time, maps []expert.Map, loads []*expert.Estimator, _ int) ([]expert.Map, int) {
@@ -39,20 +40,21 @@
 	return next, moved
 }
 
-// planned follows the project's planner and counts its reasons.
-type planned struct {
+// plannedPolicy follows the plans of an expert.Planner and counts their reasons.
+type plannedPolicy struct {
 	planner *expert.Planner
 	budget  expert.Budget
 	reasons map[expert.Reason]int
 }
 
-// newPlanned bounds the policy to what the store can give in an interval.
-func newPlanned(g *expert.Group, p expert.Policy) *planned {
+// newPlannedPolicy limits the bytes of a plan of p to what the weight store
+// delivers in an interval.
+func newPlannedPolicy(g *expert.Group, p expert.Policy) *plannedPolicy {
 	p.MaxBytes = g.StoreRate * int64((interval - switching).Seconds()) * layers / modelLayers
-	return &planned{planner: expert.NewPlanner(g, p), reasons: map[expert.Reason]int{}}
+	return &plannedPolicy{planner: expert.NewPlanner(g, p), reasons: map[expert.Reason]int{}}
 }
 
-func (p *planned) next(now time.Time, maps []expert.Map, loads []*expert.Estimator, protected int) ([]expert.Map, int) {
+func (p *plannedPolicy) next(now time.Time, maps []expert.Map, loads []*expert.Estimator, protected int) ([]expert.Map, int) {
 	in := expert.Input{Now: now, Protected: protected, Spent: p.budget}
 	for l := range maps {
 		in.Layers = append(in.Layers, expert.Layer{Map: maps[l], Loads: loads[l]})
@@ -67,8 +69,8 @@
 	return next, len(plan.Moves)
 }
 
-// result is what a policy did on a trace. Skews are pooled over intervals and
-// layers, so that one bad layer isn't hidden by good ones.
+// result is the result of a policy on a trace. Skews are pooled over intervals
+// and layers, so that good layers don't hide a bad one.
 type result struct {
 	mean, p95 float64
 	moves     int
@@ -79,42 +81,43 @@
 
 func (r result) bytes() float64 { return float64(r.moves) * expertBytes }
 
-// delay is how long a plan that loads so many replicas takes until it is in
-// force.
-type delay func(moves int) time.Duration
+// loadDelay returns the time after which a plan takes effect that loads the given
+// number of replicas.
+type loadDelay func(moves int) time.Duration
 
-// byRate loads the plan, scaled to all layers of the model, at the group's
-// rate of the weight store and then switches.
-func byRate(g *expert.Group) delay {
+// delayByRate is the time to load the plan, scaled to all layers of the model, at
+// the group's rate of the weight store, and to switch.
+func delayByRate(g *expert.Group) loadDelay {
 	return func(moves int) time.Duration {
 		bytes := float64(moves) * expertBytes * modelLayers / layers
 		return switching + time.Duration(bytes/float64(g.StoreRate)*float64(time.Second))
 	}
 }
 
-// byInterval is a slower store, or a slower steward: any plan takes a whole
-// interval.
-func byInterval(int) time.Duration { return interval }
+// delayByInterval stands for a slower store or coordinator: any plan takes a
+// whole interval.
+func delayByInterval(int) time.Duration { return interval }
 
-// atOnce spares a baseline the rate of the weight store.
-func atOnce(int) time.Duration { return switching }
+// switchOnly is the delay of baselines, for which loading takes no time.
+func switchOnly(int) time.Duration { return switching }
 
-// play runs a policy over a trace.
-func play(tr *trace, g *expert.Group, policy rebalancer, d delay) result {
+// simulate runs a policy over a trace. While a plan is loading, the old maps stay
+// in effect and the policy is not consulted.
+func simulate(tr *trace, g *expert.Group, policy rebalancer, d loadDelay) result {
 	maps := make([]expert.Map, layers)
 	loads := make([]*expert.Estimator, layers)
 	for l := range maps {
 		maps[l] = expert.Place(g, tr.loads[0][l])
 		loads[l] = expert.NewEstimator(experts, expert.Smoothing{})
 	}
-	coming, wait := maps, time.Duration(0)
+	pending, wait := maps, time.Duration(0)
 	var skews []float64
 	r := result{}
 	for t := range tr.loads {
 		old := min(wait.Seconds()/interval.Seconds(), 1)
 		for l := range maps {
 			now := tr.loads[t][l]
-			skews = append(skews, old*maps[l].Skew(g, now)+(1-old)*coming[l].Skew(g, now))
+			skews = append(skews, old*maps[l].Skew(g, now)+(1-old)*pending[l].Skew(g, now))
 			if u, seen := tr.report(t, l); seen != nil {
 				loads[l].Observe(after(u), seen)
 			}
@@ -123,9 +126,9 @@
 			r.blocked++
 			continue
 		}
-		maps = coming
+		maps = pending
 		next, moved := policy.next(after(t), maps, loads, tr.protected[t])
-		coming, wait = next, 0
+		pending, wait = next, 0
 		if moved > 0 {
 			wait = d(moved)
 			r.switches++
@@ -137,8 +140,8 @@
 	return r
 }
 
-// bounds returns the mean and the 95th percentile of the lower bound on the
-// skew that the slots allow, for the true loads of a trace.
+// bounds returns the mean and the 95th percentile of the lower bound on the skew
+// that is possible with the group's slots and the true loads of a trace.
 func bounds(tr *trace, g *expert.Group) (mean, p95 float64) {
 	var skews []float64
 	for t := range tr.loads {
--- a/bench/groups/planner_time.go
+++ b/bench/groups/planner_time.go
@@ -9,7 +9,8 @@
 	"verbenashift/core/experts/expert"
 )
 
-// The bounds on planning times, on one core.
+// The bounds on planning times on one core, and the numbers of plans that are
+// timed and that precede them as warm-up.
 const (
 	layerBound = 2.0   // ms
 	modelBound = 120.0 // ms
@@ -17,16 +18,16 @@
 	warming    = 8
 )
 
-// situation is a part of a trace to measure plans in.
-type situation struct{ trace, start int }
+// traceWindow is the part of a trace in which plans are timed.
+type traceWindow struct{ trace, start int }
 
 var (
-	drifting = situation{trace: slowDrift}
-	swapping = situation{trace: suddenSwap, start: 70}
+	drifting = traceWindow{trace: slowDrift}
+	swapping = traceWindow{trace: suddenSwap, start: 70}
 )
 
-// planningTimes measures how long a plan takes in steady drift, from a map
-// that earlier plans have kept.
+// planningTimes measures how long a plan takes in steady drift and around a
+// sudden swap, from a map that earlier plans have maintained.
 func planningTimes(p *printer) []figure.Figure {
 	p.printf("\nplanning times, lightbox, steady drift, %d slots per rank\n", defaultSlots)
 	var figures []figure.Figure
@@ -60,9 +61,9 @@
 	return f
 }
 
-// planningTime returns the median and the longest time of a plan in
-// milliseconds.
-func planningTime(g *expert.Group, s situation, n int, policy expert.Policy) (median, worst float64) {
+// planningTime returns the median and the longest time of a plan for n layers,
+// in milliseconds.
+func planningTime(g *expert.Group, s traceWindow, n int, policy expert.Policy) (median, worst float64) {
 	tr := traces(seed)[s.trace]
 	planner := expert.NewPlanner(g, policy)
 	in := expert.Input{Layers: make([]expert.Layer, n)}
--- a/bench/groups/run.go
+++ b/bench/groups/run.go
@@ -1,11 +1,11 @@
-// Package groups measures how well expert-parallel groups are kept even and
-// what it costs, beside two baselines: a static map, and full greedy
-// re-placement at every interval.
+// Package groups measures how well expert-parallel groups are kept balanced and
+// at what cost, compared with two baselines: a static map, and full greedy
+// re-placement in every interval. It also measures the switch of the expert map.
 //
-// The closings are made from a seed. Loads, noise, lag and gaps were fixed
-// before any policy was run on them. Time is simulated, so that all skews,
-// bytes and switches are the same on every machine; only the planning times
-// are measured, and they inform without being a gate.
+// The load traces are generated from a seed. Their loads, noise, lag and gaps
+// were fixed before any policy was run on them. Time is simulated, so all skews,
+// bytes and switches are the same on every machine; only the planning times are
+// measured, and they are reported without a gate.
 //
 // # Usage
 //
@@ -21,25 +21,25 @@
 	"verbenashift/core/experts/expert"
 )
 
-// The bounds that the users ask for.
+// The bounds required by the users.
 const (
 	lightboxSkew  = 1.05 // of the best the slots allow, at p95
 	lightboxBytes = 1.0 / 5
 	lakeshoreSkew = 1.25
 	lakeshoreByte = 1.0 / 20
 
-	// defaultSlots is the slots per rank of the gated figures. With 1 slot
-	// the lower bound itself is about 1.36, and with 2 the pairs of replicas
-	// on a rank are too coarse for the forecast error.
+	// defaultSlots is the number of slots per rank for the gated figures. With 1
+	// slot the lower bound itself is about 1.36, and with 2 the pairs of
+	// replicas on a rank are too coarse for the forecast error.
 	defaultSlots = 4
 )
 
-// weights are the weights of the cost on the frontier, at a skew weight of 1.
-var weights = []float64{0.01, 0.03, 0.1, 0.3, 1, 3, 10}
+// costWeights are the cost weights of the frontier, at a skew weight of 1.
+var costWeights = []float64{0.01, 0.03, 0.1, 0.3, 1, 3, 10}
 
-// unreachable names the figures that are known to miss their bound, with the
-// reason and the regression bound that replaces the gate.
-var unreachable = map[string]struct {
+// knownMisses lists, by trace, the figures that are known to miss their bound,
+// with the reason and the regression bound that is gated instead.
+var knownMisses = map[string]struct {
 	reason     string
 	regression float64
 }{
@@ -47,7 +47,7 @@
 		"the best of all weights is groups-lag-and-gaps-best-of-frontier", 1.15},
 }
 
-// Run plays all traces, prints the tables to w and returns the figures.
+// Run simulates all traces, prints the tables to w and returns the figures.
 func Run(w io.Writer) ([]figure.Figure, error) {
 	p := &printer{w: w}
 	var figures []figure.Figure
@@ -56,10 +56,10 @@
 		if err := g.Validate(); err != nil {
 			return nil, err
 		}
-		outcomes := playAll(g)
+		outcomes := simulateAll(g)
 		p.outcomes(slots, outcomes)
 		if slots == defaultSlots {
-			figures = append(figures, judge(outcomes)...)
+			figures = append(figures, presetFigures(outcomes)...)
 		}
 	}
 	g := newGroup(ranks, defaultSlots)
@@ -106,8 +106,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// judge holds the presets against their bounds.
-func judge(outcomes []outcome) []figure.Figure {
+// presetFigures returns the figures of the presets with their bounds.
+func presetFigures(outcomes []outcome) []figure.Figure {
 	var figures []figure.Figure
 	for _, o := range outcomes {
 		full, static := o.row("full"), o.row("static")
@@ -117,28 +117,28 @@
 			Bound: lightboxSkew, Better: figure.Lower, Gate: true, Baseline: full.p95 / o.boundP95,
 			Note: "baseline: full re-placement; bound: expert.LowerBound of the true loads",
 		}
-		if known, ok := unreachable[o.trace.name]; ok {
+		if known, ok := knownMisses[o.trace.name]; ok {
 			ratio.Gate, ratio.Note = false, known.reason
 			guard := ratio
 			guard.Name += "-regression"
 			guard.Bound, guard.Gate = known.regression, true
 			figures = append(figures, guard)
 		}
-		figures = append(figures, means(o)...)
+		figures = append(figures, meanFigures(o)...)
 		figures = append(figures, ratio,
-			share(o.trace.name+"-lightbox", light.bytes()/full.bytes(), lightboxBytes),
+			shareFigure(o.trace.name+"-lightbox", light.bytes()/full.bytes(), lightboxBytes),
 			figure.Figure{
 				Name: "groups-" + o.trace.name + "-lakeshore-p95", Value: lake.p95, Unit: "skew",
 				Bound: lakeshoreSkew, Better: figure.Lower, Gate: true, Baseline: static.p95, Note: "baseline: static map",
 			},
-			share(o.trace.name+"-lakeshore", lake.bytes()/full.bytes(), lakeshoreByte))
+			shareFigure(o.trace.name+"-lakeshore", lake.bytes()/full.bytes(), lakeshoreByte))
 	}
 	return figures
 }
 
 // means returns the mean skew of each policy on a trace, with the rest of its
 // row in the note.
-func means(o outcome) []figure.Figure {
+func meanFigures(o outcome) []figure.Figure {
 	var figures []figure.Figure
 	for _, r := range o.rows {
 		figures = append(figures, figure.Figure{
@@ -149,21 +149,21 @@
 	return figures
 }
 
-func share(name string, value, bound float64) figure.Figure {
+func shareFigure(name string, value, bound float64) figure.Figure {
 	return figure.Figure{
 		Name: "groups-" + name + "-bytes-share", Value: value, Unit: "of full re-placement",
 		Bound: bound, Better: figure.Lower, Gate: true, Baseline: 1,
 	}
 }
 
-// slowStore shows what is left of the skew when any plan takes a whole
-// interval to come into force.
+// slowStore measures the skew when every plan takes a whole interval to take
+// effect.
 func slowStore(p *printer, g *expert.Group) []figure.Figure {
 	all := traces(seed)
 	figures := make([]figure.Figure, len(all))
-	each(len(all), func(i int) {
+	forEach(len(all), func(i int) {
 		_, best := bounds(all[i], g)
-		r := play(all[i], g, newPlanned(g, expert.Lightbox()), byInterval)
+		r := simulate(all[i], g, newPlannedPolicy(g, expert.Lightbox()), delayByInterval)
 		figures[i] = figure.Figure{
 			Name: "groups-" + all[i].name + "-lightbox-p95-over-bound-slow-store", Value: r.p95 / best, Unit: "ratio",
 			Note: "every plan takes a whole interval of a minute to come into force",
@@ -176,13 +176,14 @@
 	return figures
 }
 
-// withoutLag shows how much of the skew of the trace with lag and gaps comes
-// from the reports: the same loads, reported a minute late and in full.
+// withoutLag measures the skew of the trace with lag and gaps if the same loads
+// are reported only a minute late and in full. The difference is the effect of
+// the reports.
 func withoutLag(p *printer, g *expert.Group) figure.Figure {
 	tr := *traces(seed)[lagAndGaps]
 	tr.lag, tr.lost, tr.gaps = 1, nil, nil
 	_, best := bounds(&tr, g)
-	r := play(&tr, g, newPlanned(g, expert.Lightbox()), byRate(g))
+	r := simulate(&tr, g, newPlannedPolicy(g, expert.Lightbox()), delayByRate(g))
 	p.printf("%-20s p95/best %.3f with the same loads reported a minute late and in full\n", tr.name, r.p95/best)
 	return figure.Figure{
 		Name: "groups-" + tr.name + "-lightbox-p95-over-bound-without-lag", Value: r.p95 / best, Unit: "ratio",
@@ -190,16 +191,16 @@
 	}
 }
 
-// storeRates shows what a group with a smaller part of the weight store keeps
-// of the skew, pooled over the traces.
+// storeRates measures the skew by the rate of the weight store that is available
+// to the group, pooled over the traces.
 func storeRates(p *printer) []figure.Figure {
 	rates := []int64{20, 5, 2, 1}
 	all := traces(seed)
 	results := make([]result, len(rates)*len(all))
-	each(len(results), func(i int) {
+	forEach(len(results), func(i int) {
 		g := newGroup(ranks, defaultSlots)
 		g.StoreRate = rates[i/len(all)] << 30
-		results[i] = play(all[i%len(all)], g, newPlanned(g, expert.Lightbox()), byRate(g))
+		results[i] = simulate(all[i%len(all)], g, newPlannedPolicy(g, expert.Lightbox()), delayByRate(g))
 	})
 	p.printf("\nlightbox by the group's rate of the weight store, mean over the traces\n")
 	p.printf("%8s %7s %7s %10s %9s %8s\n", "GiB/s", "mean", "p95", "GB", "switches", "blocked")
@@ -228,19 +229,20 @@
 	return total
 }
 
-// frontier shows what each weight of the cost gives, pooled over the traces.
+// frontier measures skew and bytes by the weight of the cost, pooled over the
+// traces.
 func frontier(p *printer, g *expert.Group) []figure.Figure {
 	all := traces(seed)
-	results := make([]result, len(weights)*len(all))
-	each(len(results), func(i int) {
+	results := make([]result, len(costWeights)*len(all))
+	forEach(len(results), func(i int) {
 		policy := expert.Lightbox()
-		policy.Cost = weights[i/len(all)]
-		results[i] = play(all[i%len(all)], g, newPlanned(g, policy), byRate(g))
+		policy.Cost = costWeights[i/len(all)]
+		results[i] = simulate(all[i%len(all)], g, newPlannedPolicy(g, policy), delayByRate(g))
 	})
 	p.printf("\nfrontier: cost weight at skew weight 1, mean over the traces\n")
 	p.printf("%8s %7s %7s %10s %9s\n", "cost", "mean", "p95", "GB", "switches")
 	var figures []figure.Figure
-	for k, weight := range weights {
+	for k, weight := range costWeights {
 		total := pool(results[k*len(all) : (k+1)*len(all)])
 		p.printf("%8.2f %7.3f %7.3f %10.0f %9d\n", weight, total.mean, total.p95, total.bytes()/1e9, total.switches)
 		figures = append(figures, figure.Figure{
@@ -250,7 +252,7 @@
 	}
 	for i, tr := range all {
 		best := results[i].p95
-		for k := range weights {
+		for k := range costWeights {
 			best = min(best, results[k*len(all)+i].p95)
 		}
 		p.printf("%-20s best p95 of all weights %.3f\n", tr.name, best)
--- a/bench/groups/switch.go
+++ b/bench/groups/switch.go
@@ -10,31 +10,33 @@
 	"verbenashift/core/membership/lease"
 )
 
-// The size of letter 1, and what it allows a node for control.
+// The size of the fleet to design for, and its limits on control traffic.
 const (
-	letterAccelerators = 5400
-	letterGroupRanks   = 256
-	letterNodeBytes    = 4096 // bytes a second
-	letterStoreWrites  = 300  // the low end of "several hundred" a second
+	designAccelerators = 5400
+	designGroupRanks   = 256
+	maxNodeBytes       = 4096 // bytes a second
+	maxStoreWrites     = 300  // the low end of "several hundred" a second
 )
 
 // The bounds of a switch.
 const (
-	// messagesPerRank are those that a switch needs: prepare, loaded, arm,
-	// vote, outcome, in force; the rest are the steward's own probes.
+	// messagesPerRank is 6 for the messages of a switch: prepare, loaded, arm,
+	// vote, outcome and in force. The rest is for the coordinator's probes.
 	messagesPerRank = 6.5
-	// orphanSteps bounds the standstill when the steward is gone: reading the
-	// rank, the patience of the first member, and one round of votes.
-	orphanSteps = 30
-	// fastStagger makes all members count at once, as the baseline.
-	fastStagger = time.Nanosecond
+	// maxOrphanSteps bounds the stall after the loss of the coordinator: reading
+	// the state of the rank, the timeout of the first member and one round of
+	// votes.
+	maxOrphanSteps = 30
+	// noStagger makes all members count the votes at the same time, for the
+	// baseline.
+	noStagger = time.Nanosecond
 )
 
 var switchSizes = []int{32, 64, 256}
 
-// RunSwitch measures the switch of the expert map in simulated time and the
-// calls on the store of the duty's lease; it prints a table to w. All figures
-// are the same on every machine.
+// RunSwitch measures the switch of the expert map in simulated time and the store
+// calls of the lease for the coordinator's role. It prints a table to w. All
+// figures are the same on every machine.
 func RunSwitch(w io.Writer) ([]figure.Figure, error) {
 	p := &printer{w: w}
 	p.printf("%6s %-28s %9s %9s %10s %8s %8s\n", "ranks", "switch", "messages", "bytes", "steward", "stalled", "seconds")
@@ -53,20 +55,21 @@
 	return append(figures, leaseFigures(p)...), p.err
 }
 
-// finishSwitch runs until every rank steps on map v, and prints the row.
-func finishSwitch(p *printer, g *switchGroup, what string, v group.Version) error {
+// runSwitch runs g until every rank steps on map v, and prints a row of the
+// table.
+func runSwitch(p *printer, g *switchGroup, what string, v group.Version) error {
 	began := g.now
-	done := func() bool { return g.all(v) && (g.steward == nil || g.steward.Settled()) }
+	done := func() bool { return g.allOn(v) && (g.coordinator == nil || g.coordinator.Settled()) }
 	if !g.until(time.Minute, done) {
 		return fmt.Errorf("%s of %d ranks did not end", what, len(g.ranks))
 	}
 	p.printf("%6d %-28s %9d %9d %10d %8.1f %8.2f\n", len(g.ranks), what,
-		g.messages, g.bytes, g.stewards, g.stalledSteps(), (g.now - began).Seconds())
+		g.messages, g.bytes, g.coordinatorBytes, g.stalledSteps(), (g.now - began).Seconds())
 	return nil
 }
 
 func (g *switchGroup) stalledSteps() float64 {
-	return float64(g.stopped) / float64(switchStep)
+	return float64(g.stalled) / float64(switchStep)
 }
 
 // measureSwitch measures a switch without faults.
@@ -75,19 +78,20 @@
 	if err != nil {
 		return nil, err
 	}
-	g.steward.SetDesired(2)
-	if err := finishSwitch(p, g, "no faults", 2); err != nil {
+	g.coordinator.SetDesired(2)
+	if err := runSwitch(p, g, "no faults", 2); err != nil {
 		return nil, err
 	}
 	return []figure.Figure{
 		switchFigure("messages", n, float64(g.messages), "messages", messagesPerRank*float64(n)),
 		switchFigure("stalled-steps", n, g.stalledSteps(), "steps", 0),
-		informing(switchFigure("bytes", n, float64(g.bytes), "bytes", 0)),
+		ungated(switchFigure("bytes", n, float64(g.bytes), "bytes", 0)),
 	}, nil
 }
 
-// orphan makes the steward vanish once it has sent its last Arm.
-func orphan(n int, stagger time.Duration) (*switchGroup, error) {
+// newOrphanedSwitch starts a switch whose coordinator disappears once it has sent
+// its last Arm.
+func newOrphanedSwitch(n int, stagger time.Duration) (*switchGroup, error) {
 	g, err := newSwitchGroup(n, stagger)
 	if err != nil {
 		return nil, err
@@ -98,60 +102,60 @@
 			arms++
 		}
 		if arms == n {
-			g.steward = nil
+			g.coordinator = nil
 		}
 		return 0, false
 	}
-	g.steward.SetDesired(2)
+	g.coordinator.SetDesired(2)
 	return g, nil
 }
 
-// measureOrphan measures the end of a switch whose steward is gone for good
-// while the store is out, so that nobody can take over. The baseline is every
-// held member counting the votes at once.
+// measureOrphan measures the completion of a switch whose coordinator is lost
+// while the store is unavailable, so that no other can take over. In the
+// baseline, every waiting member counts the votes at the same time.
 func measureOrphan(p *printer, n int) ([]figure.Figure, error) {
-	base, err := orphan(n, fastStagger)
+	base, err := newOrphanedSwitch(n, noStagger)
 	if err != nil {
 		return nil, err
 	}
-	if err := finishSwitch(p, base, "no steward, all count", 2); err != nil {
+	if err := runSwitch(p, base, "no steward, all count", 2); err != nil {
 		return nil, err
 	}
-	g, err := orphan(n, 0)
+	g, err := newOrphanedSwitch(n, 0)
 	if err != nil {
 		return nil, err
 	}
-	if err := finishSwitch(p, g, "no steward", 2); err != nil {
+	if err := runSwitch(p, g, "no steward", 2); err != nil {
 		return nil, err
 	}
 	f := switchFigure("orphan-messages", n, float64(g.messages), "messages", 2*messagesPerRank*float64(n))
 	f.Baseline = float64(base.messages)
 	f.Note = "baseline: every held member counts the votes at once"
-	return []figure.Figure{f, switchFigure("orphan-stalled-steps", n, g.stalledSteps(), "steps", orphanSteps)}, nil
+	return []figure.Figure{f, switchFigure("orphan-stalled-steps", n, g.stalledSteps(), "steps", maxOrphanSteps)}, nil
 }
 
-// measureRestart measures a switch whose steward is gone after the last Arm, and
-// whose first agent dies once its rank has voted and comes back empty a second
-// later.
+// measureRestart measures a switch whose coordinator is lost after the last Arm,
+// and whose first agent stops once its rank has voted and restarts without state
+// a second later.
 func measureRestart(p *printer, n int) ([]figure.Figure, error) {
-	g, err := orphan(n, 0)
+	g, err := newOrphanedSwitch(n, 0)
 	if err != nil {
 		return nil, err
 	}
-	g.until(time.Minute, func() bool { return g.steward == nil })
+	g.until(time.Minute, func() bool { return g.coordinator == nil })
 	g.run(switchStep)
 	g.members[0] = nil
 	g.after(switchRestart, func() { g.startAgent(0) })
-	if err := finishSwitch(p, g, "no steward, agent restarts", 2); err != nil {
+	if err := runSwitch(p, g, "no steward, agent restarts", 2); err != nil {
 		return nil, err
 	}
 	f := switchFigure("restart-stalled-steps", n, g.stalledSteps(), "steps", 0)
 	f.Note = "1 s for the restart, 1 s until no order of the old process can arrive"
-	return []figure.Figure{informing(f)}, nil
+	return []figure.Figure{ungated(f)}, nil
 }
 
-// measureAbort measures a first try that aborts because one order to arm is a
-// second late, with the second try that follows.
+// measureAbort measures a switch whose first attempt aborts because one Arm is a
+// second late, together with the second attempt.
 func measureAbort(p *printer, n int) ([]figure.Figure, error) {
 	g, err := newSwitchGroup(n, 0)
 	if err != nil {
@@ -165,16 +169,16 @@
 		}
 		return 0, false
 	}
-	g.steward.SetDesired(2)
-	if err := finishSwitch(p, g, "one arm a second late", 2); err != nil {
+	g.coordinator.SetDesired(2)
+	if err := runSwitch(p, g, "one arm a second late", 2); err != nil {
 		return nil, err
 	}
 	f := switchFigure("late-arm-stalled-steps", n, g.stalledSteps(), "steps", 0)
 	f.Note = fmt.Sprintf("%d aborts, %d commits", g.abort, g.commit)
-	return []figure.Figure{informing(f)}, nil
+	return []figure.Figure{ungated(f)}, nil
 }
 
-// measureSteady measures a minute in which nothing happens.
+// measureSteady measures the traffic of a minute without a switch.
 func measureSteady(p *printer, n int) ([]figure.Figure, error) {
 	g, err := newSwitchGroup(n, 0)
 	if err != nil {
@@ -182,22 +186,23 @@
 	}
 	g.run(time.Minute)
 	p.printf("%6d %-28s %9d %9d %10d %8.1f %8.2f\n", n, "a steady minute",
-		g.messages, g.bytes, g.stewards, g.stalledSteps(), time.Minute.Seconds())
-	perSecond := float64(g.stewards) / time.Minute.Seconds()
-	return []figure.Figure{switchFigure("steady-steward-bytes", n, perSecond, "bytes/s", letterNodeBytes)}, nil
+		g.messages, g.bytes, g.coordinatorBytes, g.stalledSteps(), time.Minute.Seconds())
+	perSecond := float64(g.coordinatorBytes) / time.Minute.Seconds()
+	return []figure.Figure{switchFigure("steady-steward-bytes", n, perSecond, "bytes/s", maxNodeBytes)}, nil
 }
 
-// leaseFigures counts the calls on the store: none for a switch, and the
-// renewals of the duty's lease. The baseline is an outcome kept in the store,
-// which each member of the largest group reads once.
+// leaseFigures returns the figures of store calls: none for a switch, and the
+// renewals of the lease for the coordinator's role. The baseline is a design that
+// stores the outcome of a switch, which each member of the largest group reads
+// once.
 func leaseFigures(p *printer) []figure.Figure {
-	duties := (letterAccelerators + letterGroupRanks - 1) / letterGroupRanks
+	groupCount := (designAccelerators + designGroupRanks - 1) / designGroupRanks
 	perMinute := storeCalls()
-	perSecond := lease.CallsPerMinute(duties, lease.Config{}) / time.Minute.Seconds()
-	p.printf("store calls: 0 a switch, %d a minute for a group, %.1f a second for %d groups\n", perMinute, perSecond, duties)
+	perSecond := lease.CallsPerMinute(groupCount, lease.Config{}) / time.Minute.Seconds()
+	p.printf("store calls: 0 a switch, %d a minute for a group, %.1f a second for %d groups\n", perMinute, perSecond, groupCount)
 	calls := figure.Figure{
 		Name: "switch-store-calls", Unit: "calls",
-		Baseline: letterGroupRanks + 1, Note: "by construction: no state machine of the switch can call the store",
+		Baseline: designGroupRanks + 1, Note: "by construction: no state machine of the switch can call the store",
 	}
 	minute := figure.Figure{
 		Name: "duty-store-calls-per-minute", Value: float64(perMinute), Unit: "calls",
@@ -205,7 +210,7 @@
 	}
 	second := figure.Figure{
 		Name: "duty-store-calls-per-second-letter-1", Value: perSecond, Unit: "calls/s",
-		Bound: letterStoreWrites / 10, Better: figure.Lower, Gate: true, Note: fmt.Sprintf("%d groups", duties),
+		Bound: maxStoreWrites / 10, Better: figure.Lower, Gate: true, Note: fmt.Sprintf("%d groups", groupCount),
 	}
 	return []figure.Figure{calls, minute, second}
 }
@@ -217,8 +222,8 @@
 	}
 }
 
-// informing makes a figure one without a bound.
-func informing(f figure.Figure) figure.Figure {
+// ungated returns f without its bound and gate.
+func ungated(f figure.Figure) figure.Figure {
 	f.Gate, f.Better, f.Bound = false, "", 0
 	return f
 }
--- a/bench/groups/switch_world.go
+++ b/bench/groups/switch_world.go
@@ -10,33 +10,34 @@
 	"verbenashift/core/membership/lease"
 )
 
-// The times of the simulated group: a step of a few milliseconds, availability
-// zones a millisecond apart, an engine beside its agent.
+// The times of the simulated group: steps of a few milliseconds, availability
+// zones a millisecond apart, and each engine on the host of its agent.
 const (
-	switchStep    = 5 * time.Millisecond
-	switchLatency = time.Millisecond
-	switchOrder   = 500 * time.Microsecond // one way, from agent to engine
-	switchLoad    = 2 * time.Second
-	switchTick    = 10 * time.Millisecond
-	switchRestart = time.Second
+	switchStep       = 5 * time.Millisecond
+	switchLatency    = time.Millisecond
+	switchOrderDelay = 500 * time.Microsecond // one way, from agent to engine
+	switchLoad       = 2 * time.Second
+	switchTick       = 10 * time.Millisecond
+	switchRestart    = time.Second
 )
 
-// timed is something that happens at a time; equal times keep their order.
-type timed struct {
+// event is a function to call at a time. Events at the same time run in the order
+// in which they were scheduled.
+type event struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
-type timeline []timed
+type eventQueue []event
 
-func (t timeline) Len() int      { return len(t) }
-func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t timeline) Less(i, j int) bool {
+func (t eventQueue) Len() int      { return len(t) }
+func (t eventQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (t eventQueue) Less(i, j int) bool {
 	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
 }
-func (t *timeline) Push(x any) { *t = append(*t, x.(timed)) }
-func (t *timeline) Pop() any {
+func (t *eventQueue) Push(x any) { *t = append(*t, x.(event)) }
+func (t *eventQueue) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -44,27 +45,27 @@
 
 // switchGroup is one rank group with its agents in simulated time.
 type switchGroup struct {
-	now      time.Duration
-	events   timeline
-	order    int
-	names    []string
-	ranks    []*group.Rank
-	members  []*group.Member
-	starts   []uint64
-	stagger  time.Duration
-	steward  *group.Coordinator
-	stopped  time.Duration // time for which the group stood still
-	messages int
-	bytes    int
-	stewards int // bytes that the steward's node sent and got
+	now              time.Duration
+	events           eventQueue
+	order            int
+	names            []string
+	ranks            []*group.Rank
+	members          []*group.Member
+	starts           []uint64
+	stagger          time.Duration
+	coordinator      *group.Coordinator // nil once it is lost
+	stalled          time.Duration      // time for which the group was stalled
+	messages         int
+	bytes            int
+	coordinatorBytes int // bytes that the node of the coordinator sent and received
 	// onSend may drop or delay a message.
 	onSend func(to int, m group.Message) (delay time.Duration, drop bool)
 	commit int
 	abort  int
 }
 
-// newSwitchGroup returns a group that is formed and steps on map 1. The steward
-// is at the first rank.
+// newSwitchGroup returns a group that is formed and steps on map 1. The
+// coordinator runs at the first rank.
 func newSwitchGroup(ranks int, stagger time.Duration) (*switchGroup, error) {
 	g := &switchGroup{now: time.Second, stagger: stagger, starts: make([]uint64, ranks)}
 	for i := range ranks {
@@ -76,10 +77,10 @@
 		g.startAgent(i)
 		g.every(switchTick+time.Duration(i%10)*time.Millisecond/10, func() { g.tickMember(i) })
 	}
-	g.steward = group.NewCoordinator(group.CoordinatorConfig{Members: g.names, Initial: 1}, 1, g.now)
-	g.every(switchTick, g.tickSteward)
+	g.coordinator = group.NewCoordinator(group.CoordinatorConfig{Members: g.names, Initial: 1}, 1, g.now)
+	g.every(switchTick, g.tickCoordinator)
 	g.after(switchStep, g.step)
-	if !g.until(time.Minute, func() bool { return g.steward.Settled() && g.all(1) }) {
+	if !g.until(time.Minute, func() bool { return g.coordinator.Settled() && g.allOn(1) }) {
 		return nil, fmt.Errorf("group of %d ranks was not formed", ranks)
 	}
 	g.run(5 * time.Second)
@@ -88,7 +89,7 @@
 }
 
 func (g *switchGroup) reset() {
-	g.stopped, g.messages, g.bytes, g.stewards = 0, 0, 0, 0
+	g.stalled, g.messages, g.bytes, g.coordinatorBytes = 0, 0, 0, 0
 }
 
 func (g *switchGroup) startAgent(i int) {
@@ -98,7 +99,7 @@
 
 func (g *switchGroup) after(d time.Duration, do func()) {
 	g.order++
-	heap.Push(&g.events, timed{at: g.now + d, order: g.order, do: do})
+	heap.Push(&g.events, event{at: g.now + d, order: g.order, do: do})
 }
 
 func (g *switchGroup) every(d time.Duration, do func()) {
@@ -108,14 +109,15 @@
 	})
 }
 
-// until runs until done holds and reports whether it did within the limit.
+// until runs events until done returns true, and reports whether it did within
+// the limit.
 func (g *switchGroup) until(limit time.Duration, done func() bool) bool {
 	end := g.now + limit
 	for g.now < end {
 		if done() {
 			return true
 		}
-		e := heap.Pop(&g.events).(timed)
+		e := heap.Pop(&g.events).(event)
 		g.now = e.at
 		e.do()
 	}
@@ -126,8 +128,8 @@
 	g.until(d, func() bool { return false })
 }
 
-// all reports whether every rank runs steps on the map.
-func (g *switchGroup) all(v group.Version) bool {
+// allOn reports whether every rank runs steps on map v.
+func (g *switchGroup) allOn(v group.Version) bool {
 	for _, r := range g.ranks {
 		s := r.State
 		if s.Version != v || !s.Ready() || !s.Armed.Number.IsZero() {
@@ -139,18 +141,18 @@
 
 func (g *switchGroup) tickMember(i int) {
 	if m := g.members[i]; m != nil {
-		g.take(i, m.Tick(g.now))
+		g.perform(i, m.Tick(g.now))
 	}
 }
 
-func (g *switchGroup) tickSteward() {
-	if g.steward != nil {
-		g.take(0, g.steward.Tick(g.now))
+func (g *switchGroup) tickCoordinator() {
+	if g.coordinator != nil {
+		g.perform(0, g.coordinator.Tick(g.now))
 	}
 }
 
-// step runs one step in lock-step: the group goes on when its last rank has
-// begun. The time beyond is counted as standing still.
+// step runs one step of all ranks in lock-step. If a rank can't begin the step, it
+// tries again later and counts that time as stalled.
 func (g *switchGroup) step() {
 	least := g.ranks[0].State.Next
 	for _, r := range g.ranks {
@@ -164,7 +166,7 @@
 		}
 	}
 	if !begun {
-		g.stopped += switchTick / 10
+		g.stalled += switchTick / 10
 		g.after(switchTick/10, g.step)
 		return
 	}
@@ -174,7 +176,7 @@
 	g.after(switchStep, g.step)
 }
 
-func (g *switchGroup) take(i int, acts []group.Action) {
+func (g *switchGroup) perform(i int, acts []group.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case group.Send:
@@ -184,12 +186,12 @@
 		case group.Read:
 			g.read(i, a)
 		case group.Done:
-			g.count(a)
+			g.countOutcome(a)
 		}
 	}
 }
 
-func (g *switchGroup) count(d group.Done) {
+func (g *switchGroup) countOutcome(d group.Done) {
 	switch {
 	case d.Formed:
 	case d.Commit:
@@ -208,7 +210,7 @@
 	if from == to {
 		delay = 0
 	} else {
-		g.weigh(from, to, s.Message)
+		g.countMessage(from, to, s.Message)
 	}
 	if g.onSend != nil {
 		more, drop := g.onSend(to, s.Message)
@@ -220,8 +222,9 @@
 	g.after(delay, func() { g.deliver(from, to, s.Message) })
 }
 
-// weigh counts a message by its JSON form, without the transport's own headers.
-func (g *switchGroup) weigh(from, to int, m group.Message) {
+// countMessage counts a message and the size of its JSON form, without the
+// headers of the transport.
+func (g *switchGroup) countMessage(from, to int, m group.Message) {
 	data, err := json.Marshal(m)
 	if err != nil {
 		return
@@ -229,29 +232,29 @@
 	g.messages++
 	g.bytes += len(data)
 	if from == 0 || to == 0 {
-		g.stewards += len(data)
+		g.coordinatorBytes += len(data)
 	}
 }
 
 func (g *switchGroup) deliver(from, to int, m group.Message) {
-	if to == 0 && g.steward != nil {
-		g.take(0, g.steward.Receive(g.now, g.names[from], m))
+	if to == 0 && g.coordinator != nil {
+		g.perform(0, g.coordinator.Receive(g.now, g.names[from], m))
 	}
 	if g.members[to] != nil {
-		g.take(to, g.members[to].Receive(g.now, g.names[from], m))
+		g.perform(to, g.members[to].Receive(g.now, g.names[from], m))
 	}
 }
 
 func (g *switchGroup) apply(i int, a group.Apply) {
 	m := g.members[i]
-	g.after(switchOrder, func() {
+	g.after(switchOrderDelay, func() {
 		err := g.ranks[i].Apply(a.Order)
 		if g.ranks[i].State.Loading != 0 {
 			g.after(switchLoad, g.ranks[i].FinishLoad)
 		}
-		g.after(switchOrder, func() {
+		g.after(switchOrderDelay, func() {
 			if g.members[i] == m {
-				g.take(i, m.Applied(g.now, a.ID, err))
+				g.perform(i, m.Applied(g.now, a.ID, err))
 			}
 		})
 	})
@@ -259,17 +262,18 @@
 
 func (g *switchGroup) read(i int, a group.Read) {
 	m := g.members[i]
-	g.after(switchOrder, func() {
+	g.after(switchOrderDelay, func() {
 		state := g.ranks[i].State
-		g.after(switchOrder, func() {
+		g.after(switchOrderDelay, func() {
 			if g.members[i] == m {
-				g.take(i, m.Observed(g.now, a.ID, state, true))
+				g.perform(i, m.Observed(g.now, a.ID, state, true))
 			}
 		})
 	})
 }
 
-// storeCalls counts the calls on the store of one steady holder in a minute.
+// storeCalls returns the number of store calls in a minute of one lease holder in
+// the steady state.
 func storeCalls() int {
 	h := lease.NewHolder(lease.Config{Role: "group/captions", Owner: "rank-000/1"})
 	h.Want(true)
--- a/bench/groups/trace.go
+++ b/bench/groups/trace.go
@@ -10,8 +10,8 @@
 	"verbenashift/core/experts/expert"
 )
 
-// The size of the simulated closings. They were fixed before the first run of
-// a policy and aren't tuned to any.
+// The size of the simulated traces. It was fixed before the first run of a policy
+// and is not tuned to any.
 const (
 	intervals = 240 // of a minute: four hours
 	interval  = time.Minute
@@ -21,38 +21,41 @@
 	seed      = 20261201
 
 	// popularity is the standard deviation of the logarithm of an expert's
-	// popularity: the most popular of 128 then has about 6 times the mean.
+	// popularity. The most popular of 128 experts then has about 6 times the
+	// mean.
 	popularity = 0.8
 	// noise is the relative standard deviation of an expert's load in one
 	// interval. At 300 requests a second of a group, and a deviation of the
 	// share of one request as large as its mean, it is 0.75%.
 	noise = 0.01
-	// drift is the relative change of an expert in a minute; reversion pulls
-	// it back so that popularity stays as wide as it is.
+	// drift is the standard deviation of the relative change of an expert's load
+	// per minute. Mean reversion keeps the spread of popularity constant.
 	drift     = 0.015
 	smallStep = 0.005
 
-	// Protected work: arrivals a minute, and the part that ends in a minute.
+	// Protected requests: arrivals per minute, and the fraction of those in
+	// progress that ends in a minute.
 	protectedArrivals = 1.2
 	protectedEnding   = 0.2
 )
 
-// trace is one closing: the true loads and what is reported of them.
+// trace is one simulated load trace: the true loads and the reports of them.
 type trace struct {
 	name string
 	// loads are the true loads by interval, layer and expert.
 	loads [][][]float64
-	// lag is how many intervals the newest report is old.
+	// lag is the age of the newest report in intervals.
 	lag int
-	// lost holds the reports that never come, by interval and layer, and
-	// gaps the experts that are missing from a report.
+	// lost marks the reports that never arrive, by interval and layer, and gaps
+	// the experts that are missing from a report.
 	lost      [][]bool
 	gaps      [][][]bool
 	protected []int
 }
 
-// report returns what is known at the end of an interval of a layer: the
-// loads of an earlier interval, with NaN in the gaps, or nil.
+// report returns the report on a layer that arrives at the end of interval t: the
+// number of an earlier interval and its loads, with NaN in the gaps. The loads
+// are nil if there is no report.
 func (tr *trace) report(t, layer int) (int, []float64) {
 	u := t - tr.lag
 	if u < 0 || (tr.lost != nil && tr.lost[u][layer]) {
@@ -69,13 +72,13 @@
 	return u, loads
 }
 
-// layer returns the loads of a layer beyond those simulated: it is a simulated
-// layer at a later time.
+// layer returns the loads of layer l of a model with more layers than are
+// simulated. Further layers are simulated layers at a later time.
 func (tr *trace) layer(t, l int) []float64 {
 	return tr.loads[(t+l/layers*plans)%intervals][l%layers]
 }
 
-// Places in the list of traces.
+// Indexes of traces in the result of traces.
 const (
 	slowDrift = iota + 1
 	suddenSwap
@@ -83,7 +86,7 @@
 	lagAndGaps
 )
 
-// traces returns the drift traces made from a seed.
+// traces returns the load traces generated from a seed.
 func traces(seed uint64) []*trace {
 	return []*trace{
 		newTrace("captions-obituaries", seed, 1, drift/3, func(t int) float64 { return logistic(t, 120, 30) }, nil),
@@ -95,19 +98,19 @@
 			return 0
 		}, nil),
 		newTrace("hot-expert", seed+3, 1, drift/3, nil, hot),
-		withGaps(newTrace("lag-and-gaps", seed+4, 3, drift, func(t int) float64 { return logistic(t, 120, 30) }, nil), seed+5),
+		withLostReports(newTrace("lag-and-gaps", seed+4, 3, drift, func(t int) float64 { return logistic(t, 120, 30) }, nil), seed+5),
 	}
 }
 
-// logistic rises from 0 to 1 around the centre; from 10% to 90% it takes the
-// given number of intervals.
+// logistic returns a logistic function of t that rises from 0 to 1 around the
+// centre. The rise from 10% to 90% takes width intervals.
 func logistic(t, centre, width int) float64 {
 	const spread = 4.394 // ln 81: from 10% to 90%
 	return 1 / (1 + math.Exp(-spread*float64(t-centre)/float64(width)))
 }
 
-// hot is the factor of the hot expert: it rises eightfold in five minutes,
-// stays for an hour and falls again.
+// hot returns the load factor of the hot expert: it rises to 8 within five
+// minutes, stays there for an hour and falls again.
 func hot(t int) float64 {
 	const (
 		start, rise, stay = 90, 5, 60
@@ -118,8 +121,10 @@
 	return 1 + (factor-1)*(up-down)
 }
 
-// newTrace makes a trace that blends two mixes of work and lets the
-// popularity of experts wander; hot multiplies one expert of each layer.
+// newTrace returns a trace in which the popularity of experts follows a random
+// walk. If blend is not nil, it shifts the load from a first to a second mix of
+// popularities; if hot is not nil, it multiplies the load of one expert of each
+// layer.
 func newTrace(name string, seed uint64, lag int, step float64, blend, hot func(t int) float64) *trace {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	tr := &trace{name: name, lag: lag, loads: make([][][]float64, intervals)}
@@ -163,8 +168,9 @@
 	return values
 }
 
-// protectedWork is the number of protected requests in progress: arrivals at
-// random, each ending after a random time; 6 on average.
+// protectedWork returns the number of protected requests in progress by interval:
+// they arrive at random and end after a random time, with 6 in progress on
+// average.
 func protectedWork(rng *rand.Rand) []int {
 	work := make([]int, intervals)
 	n := int(protectedArrivals / protectedEnding)
@@ -184,8 +190,9 @@
 	return work
 }
 
-// withGaps loses three reports in ten and one expert in twenty of the others.
-func withGaps(tr *trace, seed uint64) *trace {
+// withLostReports removes three of ten reports from tr, and one of twenty experts
+// from each of the others.
+func withLostReports(tr *trace, seed uint64) *trace {
 	const (
 		lostReports = 0.3
 		lostExperts = 0.05
@@ -214,7 +221,7 @@
 	expertBytes    = 44 << 20
 	storeRate      = 20 << 30 // bytes a second, for all layers of the model
 	modelLayers    = 58
-	// switching is the time from the last byte loaded to the switch.
+	// switching is the time from the loading of the last byte to the switch.
 	switching = 5 * time.Second
 )
 
