--- a/bench/path/path.go
+++ b/bench/path/path.go
@@ -144,23 +144,23 @@
 // slope between short and long streams.
 func frameCosts(ctx context.Context, c *loadClient) ([]figure.Figure, error) {
 	probes := []probe{c.probe("entry-1"), c.probe("agent-1")}
-	play := func(tokens int) ([]usage, error) {
+	readStreams := func(tokens int) ([]usage, error) {
 		return usageDuring(ctx, probes, func() error {
 			return runConcurrently(streams, streams, func() error { return c.stream(ctx, tokens) })
 		})
 	}
-	if _, err := play(shortTokens); err != nil {
+	if _, err := readStreams(shortTokens); err != nil {
 		return nil, err
 	}
 	idle, err := usageDuring(ctx, probes, func() error { return sleep(ctx, idleTime) })
 	if err != nil {
 		return nil, err
 	}
-	short, err := play(shortTokens)
+	short, err := readStreams(shortTokens)
 	if err != nil {
 		return nil, err
 	}
-	long, err := play(longTokens)
+	long, err := readStreams(longTokens)
 	if err != nil {
 		return nil, err
 	}
