--- a/agent/app.go
+++ b/agent/app.go
@@ -57,7 +57,7 @@
 
 	// group is the agent's part in its target's expert-parallel group, nil if
 	// there is none; groupMu guards its changes.
-	group        atomic.Pointer[steering.Part]
+	group        atomic.Pointer[steering.Participant]
 	groupMu      sync.Mutex
 	groupStarts  uint64
 	groupMetrics *steering.Metrics
--- a/agent/groups.go
+++ b/agent/groups.go
@@ -45,7 +45,7 @@
 	peers := &steering.Peers{Self: a.cfg.Name, Dialer: a.dialer}
 	g = steering.New(a.ctx, steering.Deps{
 		Self: a.cfg.Name, Incarnation: a.id.incarnation + a.groupStarts, Owner: owner, Settings: a.cfg.Group,
-		Log: a.log, Metrics: a.groupMetrics, Peers: peers, Store: steering.NewDutyStore(a.store),
+		Log: a.log, Metrics: a.groupMetrics, Peers: peers, Store: steering.NewLeaseStore(a.store),
 		Rank: rank.NewClient(a.cfg.Target, rank.Options{OrderToken: a.cfg.OrderToken}),
 	}, s)
 	peers.Shape = g.Shape
@@ -54,10 +54,10 @@
 }
 
 // groupOf returns this agent's part in a group.
-func (a *Agent) groupOf(name string) (*steering.Part, error) {
+func (a *Agent) groupOf(name string) (*steering.Participant, error) {
 	g := a.group.Load()
 	if g == nil || g.Name() != name {
-		return nil, connect.NewError(connect.CodeNotFound, steering.ErrNoMember)
+		return nil, connect.NewError(connect.CodeNotFound, steering.ErrNotMember)
 	}
 	return g, nil
 }
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, ok := g.Content(ctx, group.Version(req.Msg.Version))
+	p, ok := g.Placement(ctx, group.Version(req.Msg.Version))
 	if !ok {
 		return connect.NewResponse(&wire.GroupMapResponse{}), nil
 	}
--- a/agent/steering/acts.go
+++ b/agent/steering/acts.go
@@ -10,14 +10,14 @@
 )
 
 // call makes one call on the store.
-func (g *Part) call(c lease.Call) {
+func (g *Participant) call(c lease.Call) {
 	a := g.store.Call(g.ctx, c)
 	a.ID = c.ID
 	_ = g.duty.Post(g.ctx, func() { g.holder.Answer(g.now(), a) })
 }
 
 // act carries actions out.
-func (g *Part) act(acts []group.Action) {
+func (g *Participant) act(acts []group.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case group.Send:
@@ -33,7 +33,7 @@
 }
 
 // send sends a message. Messages may be lost, so that none waits for room.
-func (g *Part) send(s group.Send) {
+func (g *Participant) send(s group.Send) {
 	if s.To == g.self {
 		g.local = append(g.local, s.Message)
 		return
@@ -53,7 +53,7 @@
 }
 
 // done notes the end of a switch or a forming.
-func (g *Part) done(d group.Done) {
+func (g *Participant) done(d group.Done) {
 	name := "aborts"
 	switch {
 	case d.Formed:
@@ -67,7 +67,7 @@
 
 // Resign gives up the duty, if this agent holds it, and tells the next agent to
 // take it over.
-func (g *Part) Resign(ctx context.Context) {
+func (g *Participant) Resign(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, resignTime)
 	defer cancel()
 	var held atomic.Bool
@@ -87,7 +87,7 @@
 }
 
 // successor is the agent that should hold the duty when this one leaves.
-func (g *Part) successor() string {
+func (g *Participant) successor() string {
 	s := g.shape.Load()
 	for _, name := range lease.Candidates("duties/group/"+s.name, s.candidates) {
 		if name != g.self {
--- a/agent/steering/content.go
+++ b/agent/steering/content.go
@@ -78,8 +78,8 @@
 	return c.from[v]
 }
 
-// Content returns the content of a map from this agent's memory or its rank.
-func (g *Part) Content(ctx context.Context, v group.Version) (rank.Placement, bool) {
+// Placement returns the content of a map from this agent's memory or its rank.
+func (g *Participant) Placement(ctx context.Context, v group.Version) (rank.Placement, bool) {
 	if p, ok := g.contents.get(v); ok {
 		return p, true
 	}
@@ -94,8 +94,8 @@
 // content returns the content of a map: from this agent, from the agent that
 // spoke of it, or from any other. After a change of stewards only the ranks
 // have it.
-func (g *Part) content(ctx context.Context, v group.Version) (rank.Placement, error) {
-	if p, ok := g.Content(ctx, v); ok {
+func (g *Participant) content(ctx context.Context, v group.Version) (rank.Placement, error) {
+	if p, ok := g.Placement(ctx, v); ok {
 		return p, nil
 	}
 	asked := append([]string{g.contents.speaker(v)}, g.shape.Load().members...)
--- a/agent/steering/fleet_test.go
+++ b/agent/steering/fleet_test.go
@@ -30,7 +30,7 @@
 
 	mu     sync.Mutex
 	ranks  map[string]*fakeRank
-	agents map[string]*Part
+	agents map[string]*Participant
 	starts uint64
 	used   map[string]group.Version
 	mixed  string
@@ -58,7 +58,7 @@
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{
-		ranks: make(map[string]*fakeRank), agents: make(map[string]*Part), used: make(map[string]group.Version),
+		ranks: make(map[string]*fakeRank), agents: make(map[string]*Participant), used: make(map[string]group.Version),
 	}
 	f.ctx, f.stop = context.WithCancel(t.Context())
 	f.shape = &Shape{
@@ -88,7 +88,7 @@
 	f.starts++
 	g := New(f.ctx, Deps{
 		Self: name, Incarnation: f.starts, Owner: fmt.Sprintf("%s/%d", name, f.starts),
-		Settings: Settings{Beat: time.Second, Silence: 4 * time.Second, LeaseTTL: 3 * time.Second, PlanInterval: time.Second, Spare: 4, LostRanks: 1},
+		Settings: Settings{ProbeInterval: time.Second, CoordinatorTimeout: 4 * time.Second, LeaseTTL: 3 * time.Second, PlanInterval: time.Second, SpareSlots: 4, LostRanks: 1},
 		Log:      slog.New(slog.NewJSONHandler(io.Discard, nil)), Metrics: testMetrics(), Rank: f.ranks[name], Peers: fleetPeers{f, name}, Store: f,
 	}, f.shape)
 	f.agents[name] = g
@@ -98,7 +98,7 @@
 // testMetrics returns the process's counters, which can be made once only.
 var testMetrics = sync.OnceValue(NewMetrics)
 
-func (f *fleet) agent(name string) (*Part, error) {
+func (f *fleet) agent(name string) (*Participant, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if g := f.agents[name]; g != nil && g.ctx.Err() == nil {
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	p, ok := g.Content(ctx, v)
+	p, ok := g.Placement(ctx, v)
 	if !ok {
 		return nil, errNoContent
 	}
--- a/agent/steering/lease.go
+++ b/agent/steering/lease.go
@@ -19,23 +19,23 @@
 	Lease int64 `json:"lease"`
 }
 
-// DutyStore makes the calls of a lease.Holder on the platform's store. The
+// LeaseStore makes the calls of a lease.Holder on the platform's store. The
 // fence is the version at which the key was created; the key is never changed,
 // and goes with its lease.
-type DutyStore struct {
+type LeaseStore struct {
 	store *store.Client
 
 	mu     sync.Mutex
 	leases map[uint64]int64 // by fence
 }
 
-// NewDutyStore returns what keeps leases in a store.
-func NewDutyStore(s *store.Client) *DutyStore {
-	return &DutyStore{store: s, leases: make(map[uint64]int64)}
+// NewLeaseStore returns what keeps leases in a store.
+func NewLeaseStore(s *store.Client) *LeaseStore {
+	return &LeaseStore{store: s, leases: make(map[uint64]int64)}
 }
 
 // Call makes one call. What the store may or may not have done is Lost.
-func (d *DutyStore) Call(ctx context.Context, c lease.Call) lease.Answer {
+func (d *LeaseStore) Call(ctx context.Context, c lease.Call) lease.Answer {
 	switch c.Kind {
 	case lease.Acquire:
 		return d.acquire(ctx, c)
@@ -49,7 +49,7 @@
 }
 
 // read looks who holds the duty.
-func (d *DutyStore) read(ctx context.Context, c lease.Call) lease.Answer {
+func (d *LeaseStore) read(ctx context.Context, c lease.Call) lease.Answer {
 	kv, err := d.store.Get(ctx, c.Role)
 	if err != nil {
 		return lease.Answer{Lost: true}
@@ -57,7 +57,7 @@
 	return d.holder(kv)
 }
 
-func (d *DutyStore) holder(kv store.KV) lease.Answer {
+func (d *LeaseStore) holder(kv store.KV) lease.Answer {
 	var r dutyRecord
 	if kv.Version == 0 {
 		return lease.Answer{}
@@ -69,21 +69,21 @@
 	return lease.Answer{Owner: r.Owner, Fence: uint64(kv.Version)}
 }
 
-func (d *DutyStore) remember(fence uint64, id int64) {
+func (d *LeaseStore) remember(fence uint64, id int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	clear(d.leases)
 	d.leases[fence] = id
 }
 
-func (d *DutyStore) lease(fence uint64) int64 {
+func (d *LeaseStore) lease(fence uint64) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.leases[fence]
 }
 
 // acquire looks first, because a read is cheaper than a lease for nothing.
-func (d *DutyStore) acquire(ctx context.Context, c lease.Call) lease.Answer {
+func (d *LeaseStore) acquire(ctx context.Context, c lease.Call) lease.Answer {
 	if a := d.read(ctx, c); a.Lost || a.Owner != "" {
 		return a
 	}
@@ -109,7 +109,7 @@
 }
 
 // renew extends the lease on which the key hangs, which lives as long as it.
-func (d *DutyStore) renew(ctx context.Context, c lease.Call) lease.Answer {
+func (d *LeaseStore) renew(ctx context.Context, c lease.Call) lease.Answer {
 	_, err := d.store.KeepAlive(ctx, d.lease(c.Fence))
 	var gone *store.LeaseNotFoundError
 	switch {
@@ -121,7 +121,7 @@
 	return lease.Answer{Done: true, Owner: c.Owner, Fence: c.Fence}
 }
 
-func (d *DutyStore) release(ctx context.Context, c lease.Call) lease.Answer {
+func (d *LeaseStore) release(ctx context.Context, c lease.Call) lease.Answer {
 	err := d.store.Revoke(ctx, d.lease(c.Fence))
 	var gone *store.LeaseNotFoundError
 	if err != nil && !errors.As(err, &gone) {
--- a/agent/steering/lease_test.go
+++ b/agent/steering/lease_test.go
@@ -84,25 +84,25 @@
 	return wire.TxnResponse{Header: wire.Header{Revision: k.revision}, Succeeded: true}
 }
 
-func newDuty(t *testing.T) (*oneKey, *DutyStore) {
+func newDuty(t *testing.T) (*oneKey, *LeaseStore) {
 	t.Helper()
 	k := &oneKey{revision: 6, calls: make(map[string]int)}
 	s := httptest.NewServer(k)
 	t.Cleanup(s.Close)
-	return k, NewDutyStore(store.New(store.Config{Addresses: []string{s.URL}}))
+	return k, NewLeaseStore(store.New(store.Config{Addresses: []string{s.URL}}))
 }
 
 func dutyCall(kind lease.CallKind, owner string, fence uint64) lease.Call {
 	return lease.Call{Kind: kind, Role: "duty", Owner: owner, Fence: fence, TTL: 10 * time.Second}
 }
 
-func TestDutyStore(t *testing.T) {
+func TestLeaseStore(t *testing.T) {
 	is := is.New(t)
 	k, d := newDuty(t)
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Acquire, "a/1", 0)), lease.Answer{Done: true, Owner: "a/1", Fence: 7})
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Renew, "a/1", 7)), lease.Answer{Done: true, Owner: "a/1", Fence: 7})
 	// Another agent asks, which costs the store one read.
-	is.Equal(NewDutyStore(d.store).Call(t.Context(), dutyCall(lease.Acquire, "b/1", 0)), lease.Answer{Owner: "a/1", Fence: 7})
+	is.Equal(NewLeaseStore(d.store).Call(t.Context(), dutyCall(lease.Acquire, "b/1", 0)), lease.Answer{Owner: "a/1", Fence: 7})
 	is.Equal(k.calls[wire.GrantPath], 1)
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Release, "a/1", 7)), lease.Answer{})
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Renew, "a/1", 7)), lease.Answer{}) // it is gone
--- a/agent/steering/load.go
+++ b/agent/steering/load.go
@@ -34,13 +34,13 @@
 // the ranks' memory, and switches the group to the new map wave by wave. It
 // gives up when the lease has passed on, ranks are lost or come back, a switch
 // fails, a rank has no room, or it takes too long.
-func (g *Part) carryOut(ctx context.Context, from standing, left part, maps rank.Placement, moves []expert.Move) {
+func (g *Participant) carryOut(ctx context.Context, from standing, left part, maps rank.Placement, moves []expert.Move) {
 	ctx, cancel := context.WithTimeout(ctx, loadTime)
 	defer cancel()
 	p, shape := &g.planning, g.shape.Load()
 	plan := loading.Plan{Group: shape.name, Version: uint64(maps.Version()), Tasks: loading.Tasks(&shape.expert, moves)}
 	for range shape.members {
-		plan.Room = append(plan.Room, int64(g.cfg.Spare)*shape.expert.ExpertBytes)
+		plan.Room = append(plan.Room, int64(g.cfg.SpareSlots)*shape.expert.ExpertBytes)
 	}
 	maps = left.vacate(maps)
 	for _, m := range maps {
@@ -88,7 +88,7 @@
 }
 
 // fetch has a rank read a part of an expert's weights.
-func (g *Part) fetch(ctx context.Context, shape *Shape, f loading.Fetch, done chan<- fetched) {
+func (g *Participant) fetch(ctx context.Context, shape *Shape, f loading.Fetch, done chan<- fetched) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	n, err := g.peers.Fetch(ctx, shape.members[f.Rank], rank.WeightsRequest{
@@ -130,7 +130,7 @@
 
 // switchTo has the steward switch the group to a map and waits for the end. It
 // reports whether the map is in force everywhere.
-func (g *Part) switchTo(ctx context.Context, from standing, maps rank.Placement) bool {
+func (g *Participant) switchTo(ctx context.Context, from standing, maps rank.Placement) bool {
 	ctx, cancel := context.WithTimeout(ctx, switchTime)
 	defer cancel()
 	v := g.contents.keep(maps)
@@ -157,6 +157,6 @@
 	}
 }
 
-func (g *Part) setWant(ctx context.Context, fence uint64, v group.Version) {
+func (g *Participant) setWant(ctx context.Context, fence uint64, v group.Version) {
 	_ = g.duty.Do(ctx, func() { g.want, g.wantFence = v, fence })
 }
--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -57,10 +57,10 @@
 	Call(ctx context.Context, c lease.Call) lease.Answer
 }
 
-// Part is the agent's part in one group: the member beside the rank,
+// Participant is the agent's part in one group: the member beside the rank,
 // and the steward while this agent holds the group's duty. All decisions are
 // made on one duty; what waits for others runs beside it.
-type Part struct {
+type Participant struct {
 	self    string
 	cfg     Settings
 	log     *slog.Logger
@@ -110,8 +110,8 @@
 }
 
 // New returns the part of an agent that knows nothing yet.
-func New(ctx context.Context, d Deps, shape *Shape) *Part {
-	g := &Part{
+func New(ctx context.Context, d Deps, shape *Shape) *Participant {
+	g := &Participant{
 		self: d.Self, cfg: d.Settings, log: d.Log.With("group", shape.name), metrics: d.Metrics,
 		rank: d.Rank, peers: d.Peers, store: d.Store, began: time.Now(), habit: shape.habit,
 		duty: duty.New(groupRing), ops: make(chan rankOp, 1), sends: make(chan struct{}, groupSends),
@@ -129,48 +129,48 @@
 }
 
 // Run takes part in the group until the context ends.
-func (g *Part) Run() {
+func (g *Participant) Run() {
 	go g.serveRank()
 	go g.plan()
 	g.duty.Run(g.ctx)
 }
 
 // now is the time since this part began, by the process's monotonic clock.
-func (g *Part) now() time.Duration { return time.Since(g.began) }
+func (g *Participant) now() time.Duration { return time.Since(g.began) }
 
 // Name returns the name of the group.
-func (g *Part) Name() string { return g.shape.Load().name }
+func (g *Participant) Name() string { return g.shape.Load().name }
 
 // Shape returns the group as configured.
-func (g *Part) Shape() *Shape { return g.shape.Load() }
+func (g *Participant) Shape() *Shape { return g.shape.Load() }
 
 // Fits reports whether a shape is that of the same group, so that the part goes on.
-func (g *Part) Fits(s *Shape) bool { return g.Name() == s.name && g.habit == s.habit }
+func (g *Participant) Fits(s *Shape) bool { return g.Name() == s.name && g.habit == s.habit }
 
 // Stop ends the part at once.
-func (g *Part) Stop() { g.stop() }
+func (g *Participant) Stop() { g.stop() }
 
 // Loads returns the loads of the agent's own rank.
-func (g *Part) Loads(ctx context.Context) (rank.Loads, error) { return g.rank.Loads(ctx) }
+func (g *Participant) Loads(ctx context.Context) (rank.Loads, error) { return g.rank.Loads(ctx) }
 
 // Fetch has the agent's own rank read a part of an expert's weights.
-func (g *Part) Fetch(ctx context.Context, w rank.WeightsRequest) (int64, error) {
+func (g *Participant) Fetch(ctx context.Context, w rank.WeightsRequest) (int64, error) {
 	return g.rank.Fetch(ctx, w)
 }
 
 // Reshape takes in a changed configuration of the same group.
-func (g *Part) Reshape(s *Shape) {
+func (g *Participant) Reshape(s *Shape) {
 	g.shape.Store(s)
 	g.contents.keep(s.initial())
 }
 
 // Deliver hands a message of another agent to the duty.
-func (g *Part) Deliver(ctx context.Context, from string, m group.Message) error {
+func (g *Participant) Deliver(ctx context.Context, from string, m group.Message) error {
 	return g.duty.Post(ctx, func() { g.receive(from, m) })
 }
 
 // after runs on the duty after each event, and when a timer is due.
-func (g *Part) after() {
+func (g *Participant) after() {
 	if now := g.now(); now-g.ticked >= groupTick {
 		g.ticked = now
 		g.tick(now)
@@ -183,7 +183,7 @@
 }
 
 // receive takes a message, as the steward and as the member.
-func (g *Part) receive(from string, m group.Message) {
+func (g *Participant) receive(from string, m group.Message) {
 	now := g.now()
 	g.contents.note(m, from)
 	g.watch(from, m)
@@ -195,20 +195,20 @@
 
 // acting returns the steward while the lease is valid. It is asked right before
 // each use.
-func (g *Part) acting(now time.Duration) *group.Coordinator {
+func (g *Participant) acting(now time.Duration) *group.Coordinator {
 	return g.steward.Coordinator(now, g.stewardConfig(), g.holder)
 }
 
-func (g *Part) stewardConfig() group.CoordinatorConfig {
+func (g *Participant) stewardConfig() group.CoordinatorConfig {
 	s := g.shape.Load()
 	return group.CoordinatorConfig{
 		Members: s.members, MinRanks: s.minRanks(g.cfg.LostRanks), Initial: s.initialVersion(),
-		ProbeInterval: g.cfg.Beat, DeadAfter: g.cfg.DeadAfter,
+		ProbeInterval: g.cfg.ProbeInterval, DeadAfter: g.cfg.DeadAfter,
 	}
 }
 
 // tick lets time pass: the lease first, then the steward, then the member.
-func (g *Part) tick(now time.Duration) {
+func (g *Participant) tick(now time.Duration) {
 	g.holder.Want(g.steward.Wanted(g.holder, g.due(now)) && !g.leaving)
 	for _, c := range g.holder.Tick(now) {
 		go g.call(c)
@@ -223,7 +223,7 @@
 
 // wanted returns the map that this steward has planned. A plan made under an
 // earlier lease is not this one's.
-func (g *Part) wanted() group.Version {
+func (g *Participant) wanted() group.Version {
 	if g.wantFence != g.holder.Fence() {
 		return 0
 	}
@@ -240,9 +240,9 @@
 // handed it over to this agent it asks at once; if the rank stands still, soon;
 // else only after a long silence. The agents ask in turn, so that a free duty
 // costs the store a few calls and not one from each.
-func (g *Part) due(now time.Duration) bool {
+func (g *Participant) due(now time.Duration) bool {
 	shape, heard := g.shape.Load(), g.member.LastReceived()
-	t := lease.Takeover{HolderTimeout: g.cfg.Silence, Stagger: dutyStagger}
+	t := lease.Takeover{HolderTimeout: g.cfg.CoordinatorTimeout, Stagger: dutyStagger}
 	still := g.member.Orphaned(now)
 	if still && now-heard < stillSilence {
 		return true
--- a/agent/steering/peers.go
+++ b/agent/steering/peers.go
@@ -13,8 +13,8 @@
 	"verbenashift/core/peer/wire"
 )
 
-// ErrNoMember says that an agent is not in the group.
-var ErrNoMember = errors.New("not a member of the group")
+// ErrNotMember says that an agent is not in the group.
+var ErrNotMember = errors.New("not a member of the group")
 
 // Peers reaches the other agents of a group.
 type Peers struct {
@@ -28,7 +28,7 @@
 func (p *Peers) address(name string) (string, error) {
 	a, ok := p.Shape().addresses[name]
 	if !ok {
-		return "", ErrNoMember
+		return "", ErrNotMember
 	}
 	return a, nil
 }
--- a/agent/steering/plan.go
+++ b/agent/steering/plan.go
@@ -50,7 +50,7 @@
 }
 
 // plan looks at the loads at each interval while this agent holds the duty.
-func (g *Part) plan() {
+func (g *Participant) plan() {
 	tick := time.NewTicker(g.cfg.PlanInterval)
 	defer tick.Stop()
 	for {
@@ -65,7 +65,7 @@
 
 // standing returns the group as the steward knows it; ok is false if this agent
 // does not hold the duty.
-func (g *Part) standing(ctx context.Context) (s standing, ok bool) {
+func (g *Participant) standing(ctx context.Context) (s standing, ok bool) {
 	// The duty may still run the function when ctx has ended.
 	answer := make(chan standing, 1)
 	err := g.duty.Do(ctx, func() {
@@ -104,7 +104,7 @@
 }
 
 // planOnce takes in the loads and makes and carries out one plan.
-func (g *Part) planOnce(ctx context.Context) {
+func (g *Participant) planOnce(ctx context.Context) {
 	s, ok := g.standing(ctx)
 	if !ok {
 		return
@@ -198,7 +198,7 @@
 
 // observe asks the ranks for their experts' loads and takes them in. It returns
 // the number of protected requests in progress and the skew by these loads.
-func (g *Part) observe(ctx context.Context, v group.Version, maps rank.Placement, left part) (protected int, skew float64) {
+func (g *Participant) observe(ctx context.Context, v group.Version, maps rank.Placement, left part) (protected int, skew float64) {
 	members := g.shape.Load().members
 	ctx, cancel := context.WithTimeout(ctx, planTimeout)
 	defer cancel()
@@ -223,7 +223,7 @@
 }
 
 // takeIn puts the ranks' reports together and shows them to the estimators.
-func (g *Part) takeIn(reports []rank.Loads, maps rank.Placement, left part) (skew float64) {
+func (g *Participant) takeIn(reports []rank.Loads, maps rank.Placement, left part) (skew float64) {
 	newest := int64(0)
 	for _, r := range reports {
 		newest = max(newest, r.UnixMillis)
--- a/agent/steering/rank.go
+++ b/agent/steering/rank.go
@@ -26,7 +26,7 @@
 
 // operate hands an operation to the rank's goroutine. A full channel loses it,
 // as if the rank had not answered.
-func (g *Part) operate(op rankOp) {
+func (g *Participant) operate(op rankOp) {
 	g.current.Store(op.id)
 	select {
 	case g.ops <- op:
@@ -35,7 +35,7 @@
 }
 
 // serveRank does the operations at the rank, one after the other.
-func (g *Part) serveRank() {
+func (g *Participant) serveRank() {
 	for {
 		select {
 		case op := <-g.ops:
@@ -46,7 +46,7 @@
 	}
 }
 
-func (g *Part) do(op rankOp) {
+func (g *Participant) do(op rankOp) {
 	ctx, cancel := context.WithDeadline(g.ctx, op.began.Add(rankTimeout))
 	defer cancel()
 	if op.order.Kind == 0 {
@@ -58,7 +58,7 @@
 
 // read reads the rank. An engine that refuses the connection is dead; one that
 // is late may not be, and the member notices that by itself.
-func (g *Part) read(ctx context.Context, op rankOp) {
+func (g *Participant) read(ctx context.Context, op rankOp) {
 	s, err := g.rank.State(ctx)
 	switch {
 	case err == nil:
@@ -72,7 +72,7 @@
 // apply gives an order. One for which the member has stopped waiting must not be
 // sent: the member may have sent another, and the rank could take the old one
 // after the new one.
-func (g *Part) apply(ctx context.Context, op rankOp) {
+func (g *Participant) apply(ctx context.Context, op rankOp) {
 	o := rank.Order{Order: op.order}
 	if op.order.Kind == group.LoadMap || op.order.Kind == group.FormGroup {
 		p, err := g.content(ctx, op.order.Version)
@@ -98,4 +98,4 @@
 	}
 }
 
-func (g *Part) post(fn func()) { _ = g.duty.Post(g.ctx, fn) }
+func (g *Participant) post(fn func()) { _ = g.duty.Post(g.ctx, fn) }
--- a/agent/steering/shape.go
+++ b/agent/steering/shape.go
@@ -16,10 +16,10 @@
 // Settings are the settings of an agent's part in an expert-parallel
 // group.
 type Settings struct {
-	// Beat is the steward's interval of probes while all is well, and Silence
+	// ProbeInterval is the steward's interval of probes while all is well, and Silence
 	// how long it may be quiet before another agent asks for its duty.
-	Beat    time.Duration
-	Silence time.Duration
+	ProbeInterval      time.Duration
+	CoordinatorTimeout time.Duration
 	// LeaseTTL is that of the steward's lease.
 	LeaseTTL time.Duration
 	// PlanInterval is the time between two looks at the loads.
@@ -33,21 +33,21 @@
 	// experts a rank has room for beside those of the map in force.
 	ExpertBytes int
 	StoreRate   int
-	Spare       int
+	SpareSlots  int
 }
 
 // Declare names the settings with their defaults and bounds.
 func (c *Settings) Declare(s *settings.Set) {
 	const section = "group"
-	s.Duration(section, "beat", &c.Beat, 5*time.Second, 100*time.Millisecond, time.Minute, "time between the steward's probes while all is well")
-	s.Duration(section, "silence", &c.Silence, 20*time.Second, time.Second, 10*time.Minute, "how long the steward may be quiet before another agent asks for its duty")
+	s.Duration(section, "beat", &c.ProbeInterval, 5*time.Second, 100*time.Millisecond, time.Minute, "time between the steward's probes while all is well")
+	s.Duration(section, "silence", &c.CoordinatorTimeout, 20*time.Second, time.Second, 10*time.Minute, "how long the steward may be quiet before another agent asks for its duty")
 	s.Duration(section, "lease", &c.LeaseTTL, lease.DefaultTTL, time.Second, time.Minute, "lease of the steward's duty")
 	s.Int(section, "lost-ranks", &c.LostRanks, 1, 0, 1<<16, "ranks", "how many ranks the group can be formed without; with fewer it waits")
 	s.Duration(section, "dead-after", &c.DeadAfter, 10*time.Second, time.Second, 10*time.Minute, "how long an agent may be silent before the group is formed without its rank")
 	s.Duration(section, "plan-interval", &c.PlanInterval, time.Minute, 100*time.Millisecond, time.Hour, "time between two looks at the experts' loads")
 	s.Int(section, "expert-size", &c.ExpertBytes, defaultExpertBytes, 1, 1<<40, "bytes", "weights of one expert in one layer")
 	s.Int(section, "store-rate", &c.StoreRate, defaultStoreRate, 1, 1<<40, "bytes a second", "what the weight store gives to the group")
-	s.Int(section, "spare-slots", &c.Spare, 8, 1, 1<<16, "experts", "experts, of all layers together, that a rank has room for beside those in use")
+	s.Int(section, "spare-slots", &c.SpareSlots, 8, 1, 1<<16, "experts", "experts, of all layers together, that a rank has room for beside those in use")
 }
 
 // The defaults of Settings.
--- a/agent/steering/status.go
+++ b/agent/steering/status.go
@@ -53,7 +53,7 @@
 
 // Status returns what operators see of the group, as JSON, or nothing if this
 // agent does not hold the duty.
-func (g *Part) Status() []byte {
+func (g *Participant) Status() []byte {
 	s, ok := g.standing(g.ctx)
 	if !ok {
 		return nil
--- a/agent/steering/watch.go
+++ b/agent/steering/watch.go
@@ -63,7 +63,7 @@
 }
 
 // watch looks at a report for mixed steps.
-func (g *Part) watch(from string, m group.Message) {
+func (g *Participant) watch(from string, m group.Message) {
 	r, ok := m.(group.Report)
 	if !ok {
 		return
