--- a/agent/steering/acts.go
+++ b/agent/steering/acts.go
@@ -9,30 +9,32 @@
 	"verbenashift/core/membership/lease"
 )
 
-// call makes one call on the store.
-func (g *Participant) call(c lease.Call) {
+// callStore makes one lease call to the store and passes the answer to the lease
+// holder.
+func (g *Participant) callStore(c lease.Call) {
 	a := g.store.Call(g.ctx, c)
 	a.ID = c.ID
-	_ = g.duty.Post(g.ctx, func() { g.holder.Answer(g.now(), a) })
+	_ = g.loop.Post(g.ctx, func() { g.holder.Answer(g.now(), a) })
 }
 
-// act carries actions out.
-func (g *Participant) act(acts []group.Action) {
+// perform carries out the actions of the group protocol.
+func (g *Participant) perform(acts []group.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
 		case group.Send:
 			g.send(a)
 		case group.Apply:
-			g.operate(rankOp{id: a.ID, order: a.Order, began: time.Now()})
+			g.enqueueOp(rankOp{id: a.ID, order: a.Order, started: time.Now()})
 		case group.Read:
-			g.operate(rankOp{id: a.ID, began: time.Now()})
+			g.enqueueOp(rankOp{id: a.ID, started: time.Now()})
 		case group.Done:
-			g.done(a)
+			g.recordDone(a)
 		}
 	}
 }
 
-// send sends a message. Messages may be lost, so that none waits for room.
+// send sends a message. The protocol tolerates lost messages, so a message is
+// dropped instead of waiting when too many are in flight.
 func (g *Participant) send(s group.Send) {
 	if s.To == g.self {
 		g.local = append(g.local, s.Message)
@@ -52,8 +54,8 @@
 	}()
 }
 
-// done notes the end of a switch or a forming.
-func (g *Participant) done(d group.Done) {
+// recordDone counts and logs the end of a map switch or a group formation.
+func (g *Participant) recordDone(d group.Done) {
 	name := "aborts"
 	switch {
 	case d.Formed:
@@ -65,28 +67,29 @@
 	g.log.Info("group", "event", name, "fence", d.Number.Fence, "sequence", d.Number.Sequence, "took-ms", d.Took.Milliseconds())
 }
 
-// Resign gives up the duty, if this agent holds it, and tells the next agent to
-// take it over.
+// Resign releases the coordinator role, if this agent holds it, and asks the
+// next candidate to take it over.
 func (g *Participant) Resign(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, resignTime)
+	ctx, cancel := context.WithTimeout(ctx, resignTimeout)
 	defer cancel()
 	var held atomic.Bool
-	_ = g.duty.Do(ctx, func() {
+	_ = g.loop.Do(ctx, func() {
 		g.leaving = true
 		held.Store(g.holder.Fence() != 0)
 		if held.Load() {
-			g.act(g.steward.Resign(g.successor()))
+			g.perform(g.role.Resign(g.successor()))
 		}
 	})
-	tick := time.NewTicker(groupTick)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for held.Load() && ctx.Err() == nil {
 		<-tick.C
-		_ = g.duty.Do(ctx, func() { held.Store(g.holder.Fence() != 0) })
+		_ = g.loop.Do(ctx, func() { held.Store(g.holder.Fence() != 0) })
 	}
 }
 
-// successor is the agent that should hold the duty when this one leaves.
+// successor returns the agent that should hold the coordinator role after this
+// one leaves.
 func (g *Participant) successor() string {
 	s := g.shape.Load()
 	for _, name := range lease.Candidates("duties/group/"+s.name, s.candidates) {
--- a/agent/steering/content.go
+++ b/agent/steering/content.go
@@ -10,52 +10,53 @@
 	"verbenashift/core/experts/rank"
 )
 
-// keptContents bounds the contents that an agent remembers.
-const keptContents = 16
+// maxPlacements bounds the placements that an agent caches.
+const maxPlacements = 16
 
-var errNoContent = errors.New("no agent or rank has the content of the map")
+var errPlacementNotFound = errors.New("no agent or rank has the content of the map")
 
-// contents remembers what is in the maps that were spoken of lately, and which
-// agent spoke of each. A version is the digest of its content, so that it does
-// not matter who tells it.
-type contents struct {
-	mu    sync.Mutex
-	known map[group.Version]rank.Placement
-	order []group.Version
-	from  map[group.Version]string
+// placementCache caches the placements of recently mentioned maps, and which
+// agent mentioned each version. A version is the digest of its content, so the
+// content can be accepted from any agent.
+type placementCache struct {
+	mu        sync.Mutex
+	byVersion map[group.Version]rank.Placement
+	order     []group.Version
+	senders   map[group.Version]string
 }
 
-func newContents() *contents {
-	return &contents{known: make(map[group.Version]rank.Placement), from: make(map[group.Version]string)}
+func newPlacementCache() *placementCache {
+	return &placementCache{byVersion: make(map[group.Version]rank.Placement), senders: make(map[group.Version]string)}
 }
 
-// keep remembers a content and returns its version.
-func (c *contents) keep(p rank.Placement) group.Version {
+// add caches a placement and returns its version.
+func (c *placementCache) add(p rank.Placement) group.Version {
 	v := p.Version()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, ok := c.known[v]; ok {
+	if _, ok := c.byVersion[v]; ok {
 		return v
 	}
-	c.known[v] = p
+	c.byVersion[v] = p
 	c.order = append(c.order, v)
-	for len(c.order) > keptContents {
-		delete(c.known, c.order[0])
-		delete(c.from, c.order[0])
+	for len(c.order) > maxPlacements {
+		delete(c.byVersion, c.order[0])
+		delete(c.senders, c.order[0])
 		c.order = c.order[1:]
 	}
 	return v
 }
 
-func (c *contents) get(v group.Version) (rank.Placement, bool) {
+func (c *placementCache) get(v group.Version) (rank.Placement, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p, ok := c.known[v]
+	p, ok := c.byVersion[v]
 	return p, ok
 }
 
-// note remembers who spoke of a map, because that agent has its content.
-func (c *contents) note(m group.Message, from string) {
+// noteSender records who sent a message about a map, because that agent has its
+// content.
+func (c *placementCache) noteSender(m group.Message, from string) {
 	var v group.Version
 	switch m := m.(type) {
 	case group.Prepare:
@@ -67,47 +68,47 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.from) < keptContents {
-		c.from[v] = from
+	if len(c.senders) < maxPlacements {
+		c.senders[v] = from
 	}
 }
 
-func (c *contents) speaker(v group.Version) string {
+func (c *placementCache) sender(v group.Version) string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.from[v]
+	return c.senders[v]
 }
 
-// Placement returns the content of a map from this agent's memory or its rank.
+// Placement returns the content of a map from this agent's cache or its rank.
 func (g *Participant) Placement(ctx context.Context, v group.Version) (rank.Placement, bool) {
-	if p, ok := g.contents.get(v); ok {
+	if p, ok := g.placements.get(v); ok {
 		return p, true
 	}
 	p, err := g.rank.Map(ctx, v)
 	if err != nil || p.Version() != v {
 		return nil, false
 	}
-	g.contents.keep(p)
+	g.placements.add(p)
 	return p, true
 }
 
-// content returns the content of a map: from this agent, from the agent that
-// spoke of it, or from any other. After a change of stewards only the ranks
-// have it.
-func (g *Participant) content(ctx context.Context, v group.Version) (rank.Placement, error) {
+// findPlacement returns the content of a map: from this agent, from the agent
+// that mentioned it, or from any other. After a change of coordinators only the
+// ranks have it.
+func (g *Participant) findPlacement(ctx context.Context, v group.Version) (rank.Placement, error) {
 	if p, ok := g.Placement(ctx, v); ok {
 		return p, nil
 	}
-	asked := append([]string{g.contents.speaker(v)}, g.shape.Load().members...)
-	for _, name := range asked {
+	names := append([]string{g.placements.sender(v)}, g.shape.Load().members...)
+	for _, name := range names {
 		if name == "" || name == g.self || ctx.Err() != nil {
 			continue
 		}
 		p, err := g.peers.Map(ctx, name, v)
 		if err == nil && p.Version() == v {
-			g.contents.keep(p)
+			g.placements.add(p)
 			return p, nil
 		}
 	}
-	return nil, errNoContent
+	return nil, errPlacementNotFound
 }
--- a/agent/steering/fleet_test.go
+++ b/agent/steering/fleet_test.go
@@ -21,8 +21,8 @@
 	"verbenashift/core/membership/lease"
 )
 
-// fleet is a group of ranks with the agents beside them, in one process. It
-// knows which map was used in each step, and nothing else of the protocol.
+// fleet is a group of ranks with their agents in one process. It records which
+// map was used in each step, and uses nothing else of the protocol.
 type fleet struct {
 	shape *Shape
 	ctx   context.Context
@@ -37,8 +37,8 @@
 	lease  lease.Answer
 	until  time.Time
 	down   bool
-	// told, if set, is the only rank whose agent gets outcomes.
-	told string
+	// outcomesTo, if set, is the only rank whose agent receives outcomes.
+	outcomesTo string
 	// hot is the expert that is much busier than the others.
 	hot int
 }
@@ -64,7 +64,7 @@
 	f.shape = &Shape{
 		name: "caption", model: "caption", members: []string{"a", "b", "c", "d"}, layers: 2, confirmed: true,
 		expert: expert.Group{Experts: 8, Slots: 3, ExpertBytes: 1 << 10, StoreRate: 1 << 20},
-		policy: expert.Lightbox(), habit: lease.HonoursFencing,
+		policy: expert.Lightbox(), fencing: lease.HonoursFencing,
 	}
 	f.shape.candidates = f.shape.members
 	for _, name := range f.shape.members {
@@ -95,7 +95,7 @@
 	go g.Run()
 }
 
-// testMetrics returns the process's counters, which can be made once only.
+// testMetrics returns the process's counters, which can be published only once.
 var testMetrics = sync.OnceValue(NewMetrics)
 
 func (f *fleet) agent(name string) (*Participant, error) {
@@ -118,16 +118,16 @@
 	if err != nil {
 		return err
 	}
-	if _, ok := m.(group.Outcome); ok && p.deaf(to) {
+	if _, ok := m.(group.Outcome); ok && p.dropsOutcomes(to) {
 		return context.DeadlineExceeded
 	}
 	return g.Deliver(ctx, p.self, m)
 }
 
-func (f *fleet) deaf(to string) bool {
+func (f *fleet) dropsOutcomes(to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told != "" && f.told != to
+	return f.outcomesTo != "" && f.outcomesTo != to
 }
 
 func (f *fleet) Map(ctx context.Context, to string, v group.Version) (rank.Placement, error) {
@@ -137,7 +137,7 @@
 	}
 	p, ok := g.Placement(ctx, v)
 	if !ok {
-		return nil, errNoContent
+		return nil, errPlacementNotFound
 	}
 	return p, nil
 }
@@ -154,7 +154,7 @@
 	return f.ranks[to].Fetch(ctx, w)
 }
 
-// Call is the store's side of the lease.
+// Call implements leaseCaller.
 func (f *fleet) Call(_ context.Context, c lease.Call) lease.Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,7 +181,7 @@
 	return f.lease
 }
 
-// run lets the rank do its steps until the fleet ends.
+// run runs the rank's steps until the fleet ends.
 func (r *fakeRank) run() {
 	const step = 5 * time.Millisecond
 	tick := time.NewTicker(step)
@@ -295,7 +295,8 @@
 	return all
 }
 
-// await waits until all ranks use one map that is accepted and none is armed.
+// await waits until all ranks use the same map, accept returns true for it and no
+// rank is armed.
 func (f *fleet) await(t *testing.T, what string, accept func(group.Version) bool) group.Version {
 	t.Helper()
 	for range 3000 {
--- a/agent/steering/lease.go
+++ b/agent/steering/lease.go
@@ -11,30 +11,31 @@
 	"verbenashift/core/membership/lease"
 )
 
-// dutyRecord is the value of a duty's key.
-type dutyRecord struct {
+// leaseRecord is the value of a role's key in the store.
+type leaseRecord struct {
 	// Owner is the agent's name and incarnation.
 	Owner string `json:"owner"`
-	// Lease is the store's lease that the key hangs on.
+	// Lease is the store's lease to which the key is attached.
 	Lease int64 `json:"lease"`
 }
 
-// LeaseStore makes the calls of a lease.Holder on the platform's store. The
-// fence is the version at which the key was created; the key is never changed,
-// and goes with its lease.
+// LeaseStore makes the calls of a lease.Holder to the platform's store. The
+// fencing token is the version at which the key was created; the key is never
+// updated, and is deleted with its lease.
 type LeaseStore struct {
 	store *store.Client
 
 	mu     sync.Mutex
-	leases map[uint64]int64 // by fence
+	leases map[uint64]int64 // by fencing token
 }
 
-// NewLeaseStore returns what keeps leases in a store.
+// NewLeaseStore returns a LeaseStore that keeps its leases in s.
 func NewLeaseStore(s *store.Client) *LeaseStore {
 	return &LeaseStore{store: s, leases: make(map[uint64]int64)}
 }
 
-// Call makes one call. What the store may or may not have done is Lost.
+// Call makes one call. If it is unknown whether the call took effect, the
+// answer is Lost.
 func (d *LeaseStore) Call(ctx context.Context, c lease.Call) lease.Answer {
 	switch c.Kind {
 	case lease.Acquire:
@@ -48,7 +49,7 @@
 	}
 }
 
-// read looks who holds the duty.
+// read returns the holder of the role.
 func (d *LeaseStore) read(ctx context.Context, c lease.Call) lease.Answer {
 	kv, err := d.store.Get(ctx, c.Role)
 	if err != nil {
@@ -58,7 +59,7 @@
 }
 
 func (d *LeaseStore) holder(kv store.KV) lease.Answer {
-	var r dutyRecord
+	var r leaseRecord
 	if kv.Version == 0 {
 		return lease.Answer{}
 	}
@@ -82,7 +83,8 @@
 	return d.leases[fence]
 }
 
-// acquire looks first, because a read is cheaper than a lease for nothing.
+// acquire reads the key first, because a read is cheaper than a lease that is
+// granted and revoked for nothing.
 func (d *LeaseStore) acquire(ctx context.Context, c lease.Call) lease.Answer {
 	if a := d.read(ctx, c); a.Lost || a.Owner != "" {
 		return a
@@ -91,7 +93,7 @@
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
-	value, err := json.Marshal(dutyRecord{Owner: c.Owner, Lease: l.ID})
+	value, err := json.Marshal(leaseRecord{Owner: c.Owner, Lease: l.ID})
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
@@ -108,7 +110,8 @@
 	return lease.Answer{Done: true, Owner: c.Owner, Fence: uint64(version)}
 }
 
-// renew extends the lease on which the key hangs, which lives as long as it.
+// renew extends the store's lease to which the key is attached; the key expires
+// with that lease.
 func (d *LeaseStore) renew(ctx context.Context, c lease.Call) lease.Answer {
 	_, err := d.store.KeepAlive(ctx, d.lease(c.Fence))
 	var gone *store.LeaseNotFoundError
--- a/agent/steering/lease_test.go
+++ b/agent/steering/lease_test.go
@@ -15,9 +15,9 @@
 	"verbenashift/core/membership/lease"
 )
 
-// oneKey is a store with one key, as far as a duty needs it. Calls on two
-// connections are handled by two goroutines that nothing else orders: an aborted
-// answer closes its connection without a write.
+// oneKey is a store with one key and the calls that a LeaseStore makes. The mutex
+// is needed because calls on two connections are handled by two goroutines that
+// nothing else orders: an aborted answer closes its connection without a write.
 type oneKey struct {
 	mu       sync.Mutex
 	value    []byte
@@ -101,17 +101,17 @@
 	k, d := newDuty(t)
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Acquire, "a/1", 0)), lease.Answer{Done: true, Owner: "a/1", Fence: 7})
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Renew, "a/1", 7)), lease.Answer{Done: true, Owner: "a/1", Fence: 7})
-	// Another agent asks, which costs the store one read.
+	// Another agent tries to acquire the role, which costs the store one read.
 	is.Equal(NewLeaseStore(d.store).Call(t.Context(), dutyCall(lease.Acquire, "b/1", 0)), lease.Answer{Owner: "a/1", Fence: 7})
 	is.Equal(k.calls[wire.GrantPath], 1)
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Release, "a/1", 7)), lease.Answer{})
-	is.Equal(d.Call(t.Context(), dutyCall(lease.Renew, "a/1", 7)), lease.Answer{}) // it is gone
+	is.Equal(d.Call(t.Context(), dutyCall(lease.Renew, "a/1", 7)), lease.Answer{}) // the lease has been revoked
 	is.Equal(d.Call(t.Context(), dutyCall(lease.Acquire, "b/1", 0)).Fence, uint64(8))
 }
 
 // The store's answer to an acquisition is lost after the write took effect. The
-// group has no steward for the time of the lease unless the agent finds its own
-// record, and then it must renew the store's lease that this record hangs on.
+// group has no coordinator until the lease expires unless the agent finds its own
+// record, and then it must renew the store's lease named in this record.
 func TestLostAcquisitionIsFound(t *testing.T) {
 	is := is.New(t)
 	k, d := newDuty(t)
--- a/agent/steering/load.go
+++ b/agent/steering/load.go
@@ -11,38 +11,40 @@
 )
 
 const (
-	// loadPause is the time between two looks at the rate of the weight store.
-	loadPause = 20 * time.Millisecond
+	// loadPollInterval is the time between two polls of the load queue, which
+	// keeps to the rate of the weight store.
+	loadPollInterval = 20 * time.Millisecond
 	// fetchTimeout bounds one read of weights.
 	fetchTimeout = time.Minute
-	// fetchPause is the pause after a read that failed, and loadTime the longest
-	// that a plan may take: by then its loads are of the past.
-	fetchPause = time.Second
-	loadTime   = 5 * time.Minute
-	// switchTime bounds a switch, with all its tries.
-	switchTime = 30 * time.Second
-	switchPoll = 50 * time.Millisecond
+	// fetchRetryDelay is the delay after a failed read. loadTimeout bounds the
+	// execution of a plan: after that time its load measurements are outdated.
+	fetchRetryDelay = time.Second
+	loadTimeout     = 5 * time.Minute
+	// switchTimeout bounds a switch, with all its attempts.
+	switchTimeout      = 30 * time.Second
+	switchPollInterval = 50 * time.Millisecond
 )
 
-// fetched is the end of a read.
-type fetched struct {
+// fetchResult is the number of bytes that a fetch has read.
+type fetchResult struct {
 	fetch loading.Fetch
 	read  int64
 }
 
-// carryOut loads what the moves need, the most useful replica first and within
-// the ranks' memory, and switches the group to the new map wave by wave. It
-// gives up when the lease has passed on, ranks are lost or come back, a switch
-// fails, a rank has no room, or it takes too long.
-func (g *Participant) carryOut(ctx context.Context, from standing, left part, maps rank.Placement, moves []expert.Move) {
-	ctx, cancel := context.WithTimeout(ctx, loadTime)
+// executePlan loads the weights that the moves need, the most useful replica
+// first and within the ranks' memory, and switches the group to the new map in
+// several steps. It abandons the plan when the lease has passed to another
+// agent, ranks are lost or come back, a switch fails, a rank has no free memory,
+// or loadTimeout has passed.
+func (g *Participant) executePlan(ctx context.Context, from groupState, sub subgroup, maps rank.Placement, moves []expert.Move) {
+	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
 	p, shape := &g.planning, g.shape.Load()
 	plan := loading.Plan{Group: shape.name, Version: uint64(maps.Version()), Tasks: loading.Tasks(&shape.expert, moves)}
 	for range shape.members {
 		plan.Room = append(plan.Room, int64(g.cfg.SpareSlots)*shape.expert.ExpertBytes)
 	}
-	maps = left.vacate(maps)
+	maps = sub.clearLostSlots(maps)
 	for _, m := range maps {
 		plan.Replicas = append(plan.Replicas, m.Replicas(shape.expert.Experts))
 	}
@@ -50,8 +52,8 @@
 		g.log.Warn("plan not loaded", "error", err)
 		return
 	}
-	done := make(chan fetched, len(moves)+1)
-	tick := time.NewTicker(loadPause)
+	done := make(chan fetchResult, len(moves)+1)
+	tick := time.NewTicker(loadPollInterval)
 	defer tick.Stop()
 	for p.queue.Loading(shape.name) {
 		todo := p.queue.Next(time.Now())
@@ -74,21 +76,21 @@
 			p.fence = 0 // the queue is dropped with the plan
 			return
 		}
-		if s, ok := g.standing(ctx); !ok || !s.follows(from) {
+		if s, ok := g.groupState(ctx); !ok || !s.sameMembership(from) {
 			p.fence = 0
 			return
 		}
 	}
 }
 
-// follows reports whether the group has still the steward and the ranks that it
-// had when a plan was made.
-func (s standing) follows(from standing) bool {
-	return s.fence == from.fence && s.view.Epoch == from.view.Epoch
+// sameMembership reports whether the group still has the coordinator and the
+// ranks that it had when a plan was made.
+func (s groupState) sameMembership(from groupState) bool {
+	return s.fence == from.fence && s.snapshot.Epoch == from.snapshot.Epoch
 }
 
 // fetch has a rank read a part of an expert's weights.
-func (g *Participant) fetch(ctx context.Context, shape *Shape, f loading.Fetch, done chan<- fetched) {
+func (g *Participant) fetch(ctx context.Context, shape *Shape, f loading.Fetch, done chan<- fetchResult) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	n, err := g.peers.Fetch(ctx, shape.members[f.Rank], rank.WeightsRequest{
@@ -97,16 +99,17 @@
 	if err != nil {
 		g.metrics.counts.Add("fetch-errors", 1)
 		n = 0
-		time.Sleep(fetchPause)
+		time.Sleep(fetchRetryDelay)
 	}
 	g.metrics.counts.Add("fetched-bytes", n)
 	select {
-	case done <- fetched{f, n}:
+	case done <- fetchResult{f, n}:
 	case <-ctx.Done():
 	}
 }
 
-// nextMaps returns the maps that the queue asks to switch to, if it does.
+// nextMaps returns the maps to switch to next; ok is false if the queue asks for
+// no switch.
 func nextMaps(shape *expert.Group, maps rank.Placement, todo loading.Actions) (rank.Placement, bool) {
 	var moves []expert.Move
 	for _, a := range todo.Arms {
@@ -128,35 +131,36 @@
 	return next, true
 }
 
-// switchTo has the steward switch the group to a map and waits for the end. It
-// reports whether the map is in force everywhere.
-func (g *Participant) switchTo(ctx context.Context, from standing, maps rank.Placement) bool {
-	ctx, cancel := context.WithTimeout(ctx, switchTime)
+// switchTo has the coordinator switch the group to a map and waits until the
+// switch ends. It reports whether the map is in force at all ranks.
+func (g *Participant) switchTo(ctx context.Context, from groupState, maps rank.Placement) bool {
+	ctx, cancel := context.WithTimeout(ctx, switchTimeout)
 	defer cancel()
-	v := g.contents.keep(maps)
-	g.setWant(ctx, from.fence, v)
-	tick := time.NewTicker(switchPoll)
+	v := g.placements.add(maps)
+	g.setDesired(ctx, from.fence, v)
+	tick := time.NewTicker(switchPollInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			// A switch under way still ends one way for all; it is not begun again.
-			g.setWant(g.ctx, from.fence, 0)
+			// A switch in progress still ends with the same outcome at all ranks;
+			// it is not retried.
+			g.setDesired(g.ctx, from.fence, 0)
 			return false
 		}
-		s, ok := g.standing(ctx)
-		if !ok || !s.follows(from) {
-			g.setWant(g.ctx, from.fence, 0)
+		s, ok := g.groupState(ctx)
+		if !ok || !s.sameMembership(from) {
+			g.setDesired(g.ctx, from.fence, 0)
 			return false
 		}
 		if s.version == v {
-			g.setWant(ctx, from.fence, 0)
+			g.setDesired(ctx, from.fence, 0)
 			return true
 		}
 	}
 }
 
-func (g *Participant) setWant(ctx context.Context, fence uint64, v group.Version) {
-	_ = g.duty.Do(ctx, func() { g.want, g.wantFence = v, fence })
+func (g *Participant) setDesired(ctx context.Context, fence uint64, v group.Version) {
+	_ = g.loop.Do(ctx, func() { g.desired, g.desiredFence = v, fence })
 }
--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -1,9 +1,10 @@
-// Package steering is an agent's part in one expert-parallel group: the member beside its rank,
-// and the steward while this agent holds the group's duty.
+// Package steering implements an agent's participation in one expert-parallel group: it is the
+// member for its rank, and the group's coordinator while it holds the coordinator lease.
 //
-// What waits for others (the rank, the other agents, the store) runs beside one duty that makes
-// all decisions, by package group. A steward also plans: it collects the ranks' loads, asks
-// package expert for a better map, loads what is new and switches the group to it.
+// One event loop makes all decisions, using package group. Calls that wait for the rank, the other
+// agents or the store run in other goroutines. A coordinator also plans: it collects the ranks'
+// loads, asks package expert for a better map, loads the new replicas and switches the group to
+// the map.
 //
 // # Usage
 //
@@ -25,18 +26,18 @@
 	"verbenashift/core/plumbing/duty"
 )
 
-// groupTick is the time between looks at the timers of a group.
-const groupTick = 10 * time.Millisecond
+// tickInterval is the time between two checks of a group's timers.
+const tickInterval = 10 * time.Millisecond
 
-// groupRing bounds the events that wait for a group's duty.
-const groupRing = 1024
+// eventQueueSize bounds the events that wait for a group's event loop.
+const eventQueueSize = 1024
 
-// groupSends bounds the messages on their way to other agents. The protocol
-// bears the loss of those beyond it.
-const groupSends = 256
+// maxSends bounds the messages in flight to other agents. Messages beyond it are
+// dropped, which the protocol tolerates.
+const maxSends = 256
 
-// groupRank is the agent's own rank.
-type groupRank interface {
+// rankClient calls the agent's own rank.
+type rankClient interface {
 	State(ctx context.Context) (rank.State, error)
 	Apply(ctx context.Context, o rank.Order) error
 	Map(ctx context.Context, v group.Version) (rank.Placement, error)
@@ -44,8 +45,8 @@
 	Fetch(ctx context.Context, w rank.WeightsRequest) (int64, error)
 }
 
-// groupPeers are the agents of the other ranks, by their names.
-type groupPeers interface {
+// peerClient calls the agents of the other ranks by their names.
+type peerClient interface {
 	Send(ctx context.Context, to string, m group.Message) error
 	Map(ctx context.Context, to string, v group.Version) (rank.Placement, error)
 	Loads(ctx context.Context, to string) (rank.Loads, int, error)
@@ -57,86 +58,88 @@
 	Call(ctx context.Context, c lease.Call) lease.Answer
 }
 
-// Participant is the agent's part in one group: the member beside the rank,
-// and the steward while this agent holds the group's duty. All decisions are
-// made on one duty; what waits for others runs beside it.
+// Participant is an agent's participation in one group: the member for its rank,
+// and the coordinator while this agent holds the coordinator lease. One event
+// loop makes all decisions; calls that wait for others run in other goroutines.
 type Participant struct {
 	self    string
 	cfg     Settings
 	log     *slog.Logger
 	metrics *Metrics
-	rank    groupRank
-	peers   groupPeers
+	rank    rankClient
+	peers   peerClient
 	store   leaseCaller
 	shape   atomic.Pointer[Shape]
-	began   time.Time
+	started time.Time
 	ctx     context.Context
 	stop    context.CancelFunc
-	duty    *duty.Loop
+	loop    *duty.Loop
 	ops     chan rankOp
 	sends   chan struct{}
-	// current is the number of the rank's operation that is out.
-	current  atomic.Uint64
-	contents *contents
-
-	// The duty alone uses these.
-	member  *group.Member
-	steward group.Role
-	holder  *lease.Holder
-	habit   lease.FencingSupport
-	local   []group.Message
-	leaving bool
-	ticked  time.Duration
-	want    group.Version
-	watched mapWatch
-	// wantFence is the fence under which want was planned.
-	wantFence uint64
+	// currentOp is the number of the pending operation at the rank.
+	currentOp  atomic.Uint64
+	placements *placementCache
+
+	// The fields below are used by the event loop only.
+	member     *group.Member
+	role       group.Role
+	holder     *lease.Holder
+	fencing    lease.FencingSupport
+	local      []group.Message
+	leaving    bool
+	lastTick   time.Duration
+	desired    group.Version
+	mixedSteps mixedStepDetector
+	// desiredFence is the fencing token under which desired was planned.
+	desiredFence uint64
 
 	planning planning
 }
 
-// Deps is what an Part needs of others.
+// Deps holds the dependencies of a Participant.
 type Deps struct {
-	// Self is the agent's name, Owner the one by which it holds the group's lease.
+	// Self is the agent's name, Owner the name under which it holds the group's
+	// lease.
 	Self        string
 	Incarnation uint64
 	Owner       string
 	Settings    Settings
 	Log         *slog.Logger
 	Metrics     *Metrics
-	Rank        groupRank
-	Peers       groupPeers
+	Rank        rankClient
+	Peers       peerClient
 	Store       leaseCaller
 }
 
-// New returns the part of an agent that knows nothing yet.
+// New returns a Participant that has no state of the group yet.
 func New(ctx context.Context, d Deps, shape *Shape) *Participant {
 	g := &Participant{
 		self: d.Self, cfg: d.Settings, log: d.Log.With("group", shape.name), metrics: d.Metrics,
-		rank: d.Rank, peers: d.Peers, store: d.Store, began: time.Now(), habit: shape.habit,
-		duty: duty.New(groupRing), ops: make(chan rankOp, 1), sends: make(chan struct{}, groupSends),
-		contents: newContents(),
-		member:   group.NewMember(group.MemberConfig{Name: d.Self, Habit: shape.habit}, d.Incarnation, 0),
+		rank: d.Rank, peers: d.Peers, store: d.Store, started: time.Now(), fencing: shape.fencing,
+		loop: duty.New(eventQueueSize), ops: make(chan rankOp, 1), sends: make(chan struct{}, maxSends),
+		placements: newPlacementCache(),
+		member:     group.NewMember(group.MemberConfig{Name: d.Self, Habit: shape.fencing}, d.Incarnation, 0),
 		holder: lease.NewHolder(lease.Config{
 			Role: "duties/group/" + shape.name, Owner: d.Owner, TTL: d.Settings.LeaseTTL,
 		}),
 	}
 	g.ctx, g.stop = context.WithCancel(ctx)
 	g.shape.Store(shape)
-	g.contents.keep(shape.initial())
-	g.duty.After(g.after, func() (time.Time, bool) { return g.began.Add(g.ticked + groupTick), true })
+	g.placements.add(shape.initial())
+	g.loop.After(g.after, func() (time.Time, bool) { return g.started.Add(g.lastTick + tickInterval), true })
 	return g
 }
 
-// Run takes part in the group until the context ends.
+// Run participates in the group until the context ends or Stop is called.
 func (g *Participant) Run() {
 	go g.serveRank()
 	go g.plan()
-	g.duty.Run(g.ctx)
+	g.loop.Run(g.ctx)
 }
 
-// now is the time since this part began, by the process's monotonic clock.
-func (g *Participant) now() time.Duration { return time.Since(g.began) }
+// now returns the time since this Participant was created, by the monotonic
+// clock.
+func (g *Participant) now() time.Duration { return time.Since(g.started) }
 
 // Name returns the name of the group.
 func (g *Participant) Name() string { return g.shape.Load().name }
@@ -144,13 +147,14 @@
 // Shape returns the group as configured.
 func (g *Participant) Shape() *Shape { return g.shape.Load() }
 
-// Fits reports whether a shape is that of the same group, so that the part goes on.
-func (g *Participant) Fits(s *Shape) bool { return g.Name() == s.name && g.habit == s.habit }
+// Fits reports whether s is a shape of the same group, which Reshape can apply
+// without a new Participant.
+func (g *Participant) Fits(s *Shape) bool { return g.Name() == s.name && g.fencing == s.fencing }
 
-// Stop ends the part at once.
+// Stop ends the participation at once.
 func (g *Participant) Stop() { g.stop() }
 
-// Loads returns the loads of the agent's own rank.
+// Loads returns the expert loads of the agent's own rank.
 func (g *Participant) Loads(ctx context.Context) (rank.Loads, error) { return g.rank.Loads(ctx) }
 
 // Fetch has the agent's own rank read a part of an expert's weights.
@@ -158,21 +162,21 @@
 	return g.rank.Fetch(ctx, w)
 }
 
-// Reshape takes in a changed configuration of the same group.
+// Reshape applies a changed configuration of the same group.
 func (g *Participant) Reshape(s *Shape) {
 	g.shape.Store(s)
-	g.contents.keep(s.initial())
+	g.placements.add(s.initial())
 }
 
-// Deliver hands a message of another agent to the duty.
+// Deliver passes a message of another agent to the event loop.
 func (g *Participant) Deliver(ctx context.Context, from string, m group.Message) error {
-	return g.duty.Post(ctx, func() { g.receive(from, m) })
+	return g.loop.Post(ctx, func() { g.receive(from, m) })
 }
 
-// after runs on the duty after each event, and when a timer is due.
+// after runs on the event loop after each event, and when a timer is due.
 func (g *Participant) after() {
-	if now := g.now(); now-g.ticked >= groupTick {
-		g.ticked = now
+	if now := g.now(); now-g.lastTick >= tickInterval {
+		g.lastTick = now
 		g.tick(now)
 	}
 	for len(g.local) > 0 {
@@ -182,24 +186,25 @@
 	}
 }
 
-// receive takes a message, as the steward and as the member.
+// receive handles a message, as the coordinator and as the member.
 func (g *Participant) receive(from string, m group.Message) {
 	now := g.now()
-	g.contents.note(m, from)
-	g.watch(from, m)
-	if st := g.acting(now); st != nil {
-		g.act(st.Receive(now, from, m))
+	g.placements.noteSender(m, from)
+	g.checkMixedSteps(from, m)
+	if st := g.coordinator(now); st != nil {
+		g.perform(st.Receive(now, from, m))
 	}
-	g.act(g.member.Receive(now, from, m))
+	g.perform(g.member.Receive(now, from, m))
 }
 
-// acting returns the steward while the lease is valid. It is asked right before
-// each use.
-func (g *Participant) acting(now time.Duration) *group.Coordinator {
-	return g.steward.Coordinator(now, g.stewardConfig(), g.holder)
+// coordinator returns the coordinator while this agent's lease is valid, else
+// nil. It is called right before each use, because the lease can expire at any
+// time.
+func (g *Participant) coordinator(now time.Duration) *group.Coordinator {
+	return g.role.Coordinator(now, g.coordinatorConfig(), g.holder)
 }
 
-func (g *Participant) stewardConfig() group.CoordinatorConfig {
+func (g *Participant) coordinatorConfig() group.CoordinatorConfig {
 	s := g.shape.Load()
 	return group.CoordinatorConfig{
 		Members: s.members, MinRanks: s.minRanks(g.cfg.LostRanks), Initial: s.initialVersion(),
@@ -207,55 +212,57 @@
 	}
 }
 
-// tick lets time pass: the lease first, then the steward, then the member.
+// tick advances the timers: the lease first, then the coordinator, then the
+// member.
 func (g *Participant) tick(now time.Duration) {
-	g.holder.Want(g.steward.Wanted(g.holder, g.due(now)) && !g.leaving)
+	g.holder.Want(g.role.Wanted(g.holder, g.shouldAcquire(now)) && !g.leaving)
 	for _, c := range g.holder.Tick(now) {
-		go g.call(c)
+		go g.callStore(c)
 	}
-	if st := g.acting(now); st != nil {
+	if st := g.coordinator(now); st != nil {
 		st.SetMembers(now, g.shape.Load().members)
-		st.SetDesired(g.wanted())
-		g.act(st.Tick(now))
+		st.SetDesired(g.desiredVersion())
+		g.perform(st.Tick(now))
 	}
-	g.act(g.member.Tick(now))
+	g.perform(g.member.Tick(now))
 }
 
-// wanted returns the map that this steward has planned. A plan made under an
-// earlier lease is not this one's.
-func (g *Participant) wanted() group.Version {
-	if g.wantFence != g.holder.Fence() {
+// desiredVersion returns the map that this coordinator has planned. A plan that
+// was made under an earlier lease does not count.
+func (g *Participant) desiredVersion() group.Version {
+	if g.desiredFence != g.holder.Fence() {
 		return 0
 	}
-	return g.want
+	return g.desired
 }
 
-// The waits before the duty of a group that stands still is taken over.
+// The delays before the coordinator role of a stopped group is taken over.
 const (
-	stillSilence = 2 * time.Second
-	dutyStagger  = 100 * time.Millisecond
+	stoppedRankTimeout = 2 * time.Second
+	takeoverStagger    = 100 * time.Millisecond
 )
 
-// due reports whether this agent should ask for the duty. If the steward has
-// handed it over to this agent it asks at once; if the rank stands still, soon;
-// else only after a long silence. The agents ask in turn, so that a free duty
-// costs the store a few calls and not one from each.
-func (g *Participant) due(now time.Duration) bool {
-	shape, heard := g.shape.Load(), g.member.LastReceived()
-	t := lease.Takeover{HolderTimeout: g.cfg.CoordinatorTimeout, Stagger: dutyStagger}
-	still := g.member.Orphaned(now)
-	if still && now-heard < stillSilence {
+// shouldAcquire reports whether this agent should try to acquire the coordinator
+// role. It tries at once if the coordinator has handed the role over to it, soon
+// if its rank has stopped, and otherwise only after CoordinatorTimeout without a
+// message. The candidates try one after the other, so that a free role costs the
+// store a few calls and not one from each agent.
+func (g *Participant) shouldAcquire(now time.Duration) bool {
+	shape, lastReceived := g.shape.Load(), g.member.LastReceived()
+	t := lease.Takeover{HolderTimeout: g.cfg.CoordinatorTimeout, Stagger: takeoverStagger}
+	stopped := g.member.Orphaned(now)
+	if stopped && now-lastReceived < stoppedRankTimeout {
 		return true
 	}
-	if still || g.member.Health(now) == group.Empty {
-		t.HolderTimeout = stillSilence
+	if stopped || g.member.Health(now) == group.Empty {
+		t.HolderTimeout = stoppedRankTimeout
 	}
-	return t.Due(now, heard, "duties/group/"+shape.name, g.self, shape.candidates)
+	return t.Due(now, lastReceived, "duties/group/"+shape.name, g.self, shape.candidates)
 }
 
 // sendTimeout bounds one message to another agent.
 const sendTimeout = time.Second
 
-// resignTime bounds how long a draining agent waits for the store to release
+// resignTimeout bounds how long a draining agent waits for the store to release
 // its lease.
-const resignTime = time.Second
+const resignTimeout = time.Second
--- a/agent/steering/part_test.go
+++ b/agent/steering/part_test.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// The store is out and the load moves to another expert. The steward's lease
-// lapses: it must not begin a switch, as another could by then, and the ranks
-// must go on. When the store is back the group is balanced again.
+// The store is down and the load moves to another expert. The coordinator's lease
+// expires: it must not start a switch, because another agent could by then, and
+// the ranks must continue. When the store is back the group is balanced again.
 func TestNoSwitchWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -39,7 +39,7 @@
 		first := f.shape.initialVersion()
 		v := f.await(t, "a switch", func(v group.Version) bool { return v != first })
 		f.set(func() { f.down = true })
-		time.Sleep(4 * time.Second) // the lease lapses
+		time.Sleep(4 * time.Second) // the lease expires
 		f.set(func() { f.hot = 5 })
 		v = f.await(t, "rest", func(group.Version) bool { return true })
 		next := f.states()[0].Next
@@ -52,10 +52,10 @@
 	})
 }
 
-// An engine dies and its group stands still. It is formed without the rank, and
-// the experts that only the lost rank held are loaded elsewhere: until then
-// nobody could answer a request for them. When the engine is back, with empty
-// memory, the group takes it in again.
+// An engine dies and its group stops. The group is formed without the rank, and
+// the experts that only the lost rank held are loaded at other ranks: until then
+// no rank can serve them. When the engine is back, with empty memory, the group
+// includes it again.
 func TestGroupGoesOnWithoutLostRank(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -82,12 +82,11 @@
 	})
 }
 
-// The agent that holds the duty dies in the middle of a switch, and the store
-// goes out at the same moment, so that nobody can take the duty over. If each
-// rank went its own way, the group would run a step on two maps; if only the
-// dead agent knew the outcome, callers would wait for good. The others count the
-// votes as soon as the dead agent is back, with empty memory, and reads its
-// rank's vote.
+// The coordinator dies in the middle of a switch, and the store fails at the same
+// moment, so that no agent can take the role over. If each rank decided for
+// itself, the group would run a step on two maps; if only the dead agent knew the
+// outcome, callers would wait forever. The others count the votes as soon as the
+// dead agent is back, with empty memory, and reads its rank's vote.
 func TestStewardDiesInSwitch(t *testing.T) {
 	for _, tt := range []struct {
 		name string
@@ -98,37 +97,37 @@
 	} {
 		for _, name := range []string{"a", "b", "c", "d"} {
 			t.Run(tt.name+" "+name, func(t *testing.T) {
-				synctest.Test(t, func(t *testing.T) { stewardDies(t, name, tt.at) })
+				synctest.Test(t, func(t *testing.T) { coordinatorDies(t, name, tt.at) })
 			})
 		}
 	}
 }
 
-// stewardDies lets the steward die when a rank has applied an order of a kind.
-// Until then nobody else is told an outcome.
-func stewardDies(t *testing.T, name string, at group.Kind) {
+// coordinatorDies stops the coordinator when the named rank has applied an order
+// of the given kind. Until then no other rank's agent receives an outcome.
+func coordinatorDies(t *testing.T, name string, at group.Kind) {
 	is := is.New(t)
 	f := newFleet(t)
 	first := f.shape.initialVersion()
 	f.await(t, "a group", func(v group.Version) bool { return v == first })
 	var died string
 	f.set(func() {
-		f.told = name
+		f.outcomesTo = name
 		f.ranks[name].onOrder = func(k group.Kind) {
 			if k != at || died != "" {
 				return
 			}
 			died, _, _ = strings.Cut(f.lease.Owner, "/")
 			f.agents[died].stop()
-			f.down, f.told = true, ""
+			f.down, f.outcomesTo = true, ""
 		}
 	})
-	time.Sleep(10 * time.Second) // the switch begins, and the steward dies
+	time.Sleep(10 * time.Second) // the switch starts, and the coordinator dies
 	f.set(func() { is.True(died != "") })
 	f.startAgent(died)
 	f.await(t, "one outcome on all ranks", func(group.Version) bool { return true })
 	before := f.states()[0].Next
 	time.Sleep(10 * time.Second)
-	is.True(f.states()[0].Next > before+100) // the group goes on
+	is.True(f.states()[0].Next > before+100) // the group continues
 	f.end(is)
 }
--- a/agent/steering/peers.go
+++ b/agent/steering/peers.go
@@ -13,15 +13,15 @@
 	"verbenashift/core/peer/wire"
 )
 
-// ErrNotMember says that an agent is not in the group.
+// ErrNotMember is returned for an agent that is not in the group.
 var ErrNotMember = errors.New("not a member of the group")
 
-// Peers reaches the other agents of a group.
+// Peers calls the other agents of a group.
 type Peers struct {
 	// Self is this agent's name.
 	Self   string
 	Dialer *peer.Dialer
-	// Shape returns the group as configured now.
+	// Shape returns the current configuration of the group.
 	Shape func() *Shape
 }
 
@@ -33,7 +33,7 @@
 	return a, nil
 }
 
-// Send implements groupPeers.
+// Send implements peerClient.
 func (p *Peers) Send(ctx context.Context, to string, m group.Message) error {
 	addr, err := p.address(to)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return err
 }
 
-// Map implements groupPeers.
+// Map implements peerClient.
 func (p *Peers) Map(ctx context.Context, to string, v group.Version) (rank.Placement, error) {
 	addr, err := p.address(to)
 	if err != nil {
@@ -60,13 +60,13 @@
 		return nil, err
 	}
 	if !resp.Msg.Found {
-		return nil, errNoContent
+		return nil, errPlacementNotFound
 	}
 	var content rank.Placement
 	return content, json.Unmarshal(resp.Msg.Placement, &content)
 }
 
-// Loads implements groupPeers.
+// Loads implements peerClient.
 func (p *Peers) Loads(ctx context.Context, to string) (rank.Loads, int, error) {
 	var l rank.Loads
 	addr, err := p.address(to)
@@ -80,7 +80,7 @@
 	return l, int(resp.Msg.Protected), json.Unmarshal(resp.Msg.Loads, &l)
 }
 
-// Fetch implements groupPeers.
+// Fetch implements peerClient.
 func (p *Peers) Fetch(ctx context.Context, to string, w rank.WeightsRequest) (int64, error) {
 	addr, err := p.address(to)
 	if err != nil {
--- a/agent/steering/plan.go
+++ b/agent/steering/plan.go
@@ -15,17 +15,18 @@
 	"verbenashift/core/experts/rank"
 )
 
-// reasonNoIntent is why a group without a confirmed intent is left alone.
+// reasonNoIntent is the reason for not moving experts of a group without a
+// confirmed intent.
 const reasonNoIntent = "no-confirmed-intent"
 
-// The bounds of the planner's calls to other agents.
+// The concurrency and the time limit of the planner's calls to other agents.
 const (
-	planCalls   = 32
-	planTimeout = 2 * time.Second
+	maxLoadCalls = 32
+	loadsTimeout = 2 * time.Second
 )
 
-// planning is the planner's state. The planner's goroutine alone uses it, but
-// for what mu guards.
+// planning is the planner's state. Only the planner's goroutine uses it, except
+// for the fields that mu guards.
 type planning struct {
 	fence      uint64
 	estimators []*expert.Estimator
@@ -41,15 +42,15 @@
 	loading bool
 }
 
-// standing is the group as the steward knows it when a plan is made.
-type standing struct {
-	fence uint64
-	view  group.Snapshot
-	// version is the map that all ranks have in force; 0 if they are not settled.
+// groupState is the coordinator's state of the group when a plan is made.
+type groupState struct {
+	fence    uint64
+	snapshot group.Snapshot
+	// version is the map in force at all ranks; 0 if there is no such map.
 	version group.Version
 }
 
-// plan looks at the loads at each interval while this agent holds the duty.
+// plan makes a plan at each interval while this agent is the coordinator.
 func (g *Participant) plan() {
 	tick := time.NewTicker(g.cfg.PlanInterval)
 	defer tick.Stop()
@@ -63,27 +64,27 @@
 	}
 }
 
-// standing returns the group as the steward knows it; ok is false if this agent
-// does not hold the duty.
-func (g *Participant) standing(ctx context.Context) (s standing, ok bool) {
-	// The duty may still run the function when ctx has ended.
-	answer := make(chan standing, 1)
-	err := g.duty.Do(ctx, func() {
+// groupState returns the coordinator's state of the group; ok is false if this
+// agent is not the coordinator.
+func (g *Participant) groupState(ctx context.Context) (s groupState, ok bool) {
+	// The event loop may still run the function after ctx has ended.
+	answer := make(chan groupState, 1)
+	err := g.loop.Do(ctx, func() {
 		now := g.now()
-		if st := g.acting(now); st != nil && !st.Superseded() {
-			answer <- standing{fence: g.holder.Fence(), view: st.Snapshot(now)}
+		if st := g.coordinator(now); st != nil && !st.Superseded() {
+			answer <- groupState{fence: g.holder.Fence(), snapshot: st.Snapshot(now)}
 		}
 	})
 	if err != nil {
-		return standing{}, false
+		return groupState{}, false
 	}
 	select {
 	case s = <-answer:
 	default:
-		return standing{}, false
+		return groupState{}, false
 	}
-	if s.view.Settled {
-		s.version = commonVersion(s.view)
+	if s.snapshot.Settled {
+		s.version = commonVersion(s.snapshot)
 	}
 	return s, true
 }
@@ -103,35 +104,35 @@
 	return found
 }
 
-// planOnce takes in the loads and makes and carries out one plan.
+// planOnce collects the loads, then makes and executes one plan.
 func (g *Participant) planOnce(ctx context.Context) {
-	s, ok := g.standing(ctx)
+	s, ok := g.groupState(ctx)
 	if !ok {
 		return
 	}
 	p, shape := &g.planning, g.shape.Load()
-	left := partOf(shape, s.view)
-	p.begin(s.fence, shape, left)
+	sub := subgroupOf(shape, s.snapshot)
+	p.prepare(s.fence, shape, sub)
 	if s.version == 0 {
-		p.note(0, "group-not-settled", "not moving: the group is being formed or switched")
+		p.setReason(0, "group-not-settled", "not moving: the group is being formed or switched")
 		return
 	}
-	maps, err := g.content(ctx, s.version)
+	maps, err := g.findPlacement(ctx, s.version)
 	if err != nil {
-		p.note(0, "map-unknown", "not moving: the content of the map in force is not known")
+		p.setReason(0, "map-unknown", "not moving: the content of the map in force is not known")
 		return
 	}
 	if !shape.fits(maps) {
-		p.note(0, "map-of-another-shape", "not moving: the map in force is for another number of ranks, layers or slots")
+		p.setReason(0, "map-of-another-shape", "not moving: the map in force is for another number of ranks, layers or slots")
 		return
 	}
-	protected, skew := g.observe(ctx, s.version, left.projectAll(maps), left)
+	protected, skew := g.observe(ctx, s.version, sub.projectMaps(maps), sub)
 	if !shape.confirmed {
-		p.note(skew, reasonNoIntent, "not moving: no intent has been confirmed for the group")
+		p.setReason(skew, reasonNoIntent, "not moving: no intent has been confirmed for the group")
 		return
 	}
 	in := expert.Input{Now: time.Now(), Protected: protected, Spent: p.budget}
-	for i, m := range left.projectAll(maps) {
+	for i, m := range sub.projectMaps(maps) {
 		in.Layers = append(in.Layers, expert.Layer{Map: m, Loads: p.estimators[i]})
 	}
 	plan := p.planner.Plan(in)
@@ -143,25 +144,25 @@
 	p.budget = p.budget.Spend(in.Now, p.planner.Policy, plan)
 	g.log.Info("plan", "moves", len(plan.Moves), "bytes", plan.Bytes, "skew-before", plan.SkewBefore, "skew-after", plan.SkewAfter)
 	p.setLoading(true)
-	g.carryOut(ctx, s, left, maps, left.places(plan.Moves))
+	g.executePlan(ctx, s, sub, maps, sub.groupMoves(plan.Moves))
 	p.setLoading(false)
 }
 
-// begin starts anew under another lease or for a group of another shape; what
-// the estimators of another steward knew is not known here. They serve on when
-// only ranks were lost or have come back.
-func (p *planning) begin(fence uint64, shape *Shape, left part) {
+// prepare resets the state under another lease or for a group of another shape,
+// because the estimates of another coordinator are not available here. The
+// estimators are reused when only ranks were lost or have come back.
+func (p *planning) prepare(fence uint64, shape *Shape, sub subgroup) {
 	same := p.fence == fence && p.planner != nil && len(p.estimators) == shape.layers &&
 		p.planner.Group.Experts == shape.expert.Experts
 	if same {
-		if !slices.Equal(p.planner.Group.Ranks, left.shape.Ranks) {
-			p.planner = expert.NewPlanner(&left.shape, shape.policy)
+		if !slices.Equal(p.planner.Group.Ranks, sub.shape.Ranks) {
+			p.planner = expert.NewPlanner(&sub.shape, shape.policy)
 		}
 		p.planner.Policy = shape.policy
 		return
 	}
 	p.fence, p.budget = fence, expert.Budget{}
-	p.planner = expert.NewPlanner(&left.shape, shape.policy)
+	p.planner = expert.NewPlanner(&sub.shape, shape.policy)
 	p.queue = loading.NewQueue(loading.Settings{Rate: shape.expert.StoreRate})
 	p.estimators = nil
 	for range shape.layers {
@@ -169,7 +170,7 @@
 	}
 }
 
-func (p *planning) note(skew float64, reason, text string) {
+func (p *planning) setReason(skew float64, reason, text string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if skew > 0 {
@@ -178,7 +179,7 @@
 	p.reason, p.text = reason, text
 }
 
-// record keeps a plan for operators, with the skew that was measured.
+// record adds a plan to the history shown to operators, with the measured skew.
 func (p *planning) record(now time.Time, skew float64, plan expert.Plan) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -196,19 +197,20 @@
 	p.loading = loading
 }
 
-// observe asks the ranks for their experts' loads and takes them in. It returns
-// the number of protected requests in progress and the skew by these loads.
-func (g *Participant) observe(ctx context.Context, v group.Version, maps rank.Placement, left part) (protected int, skew float64) {
+// observe queries the ranks for their experts' loads and updates the estimators.
+// It returns the number of protected requests in progress and the skew of these
+// loads.
+func (g *Participant) observe(ctx context.Context, v group.Version, maps rank.Placement, sub subgroup) (protected int, skew float64) {
 	members := g.shape.Load().members
-	ctx, cancel := context.WithTimeout(ctx, planTimeout)
+	ctx, cancel := context.WithTimeout(ctx, loadsTimeout)
 	defer cancel()
 	var calls errgroup.Group
-	calls.SetLimit(planCalls)
-	reports := make([]rank.Loads, len(left.live))
-	busy := make([]int, len(left.live))
-	for i, place := range left.live {
+	calls.SetLimit(maxLoadCalls)
+	reports := make([]rank.Loads, len(sub.live))
+	busy := make([]int, len(sub.live))
+	for i, index := range sub.live {
 		calls.Go(func() error {
-			l, n, err := g.peers.Loads(ctx, members[place])
+			l, n, err := g.peers.Loads(ctx, members[index])
 			if err == nil && l.Version == v {
 				reports[i], busy[i] = l, n
 			}
@@ -219,11 +221,12 @@
 	for _, n := range busy {
 		protected += n
 	}
-	return protected, g.takeIn(reports, maps, left)
+	return protected, g.observeReports(reports, maps, sub)
 }
 
-// takeIn puts the ranks' reports together and shows them to the estimators.
-func (g *Participant) takeIn(reports []rank.Loads, maps rank.Placement, left part) (skew float64) {
+// observeReports aggregates the ranks' reports and passes them to the
+// estimators. It returns the mean skew of the layers.
+func (g *Participant) observeReports(reports []rank.Loads, maps rank.Placement, sub subgroup) (skew float64) {
 	newest := int64(0)
 	for _, r := range reports {
 		newest = max(newest, r.UnixMillis)
@@ -232,41 +235,42 @@
 		return 0
 	}
 	for layer, m := range maps {
-		loads := together(reports, layer, m.Replicas(left.shape.Experts))
+		loads := aggregateLoads(reports, layer, m.Replicas(sub.shape.Experts))
 		g.planning.estimators[layer].Observe(time.UnixMilli(newest), loads)
-		skew += m.Skew(&left.shape, withoutGaps(loads)) / float64(len(maps))
+		skew += m.Skew(&sub.shape, zeroGaps(loads)) / float64(len(maps))
 	}
 	return skew
 }
 
-// together returns the load of each expert of a layer. Its traffic is split
-// evenly over its replicas, so that the replicas heard of tell of the others; an
-// expert of which no replica was heard is a gap.
-func together(reports []rank.Loads, layer int, replicas []int) []float64 {
+// aggregateLoads returns the load of each expert of a layer. An expert's traffic
+// is split evenly over its replicas, so the reported replicas are extrapolated
+// to the others; an expert without a reported replica is NaN.
+func aggregateLoads(reports []rank.Loads, layer int, replicas []int) []float64 {
 	loads := make([]float64, len(replicas))
 	for e := range loads {
-		heard := 0
+		received := 0
 		for _, r := range reports {
 			if layer < len(r.Layers) && e < len(r.Layers[layer]) && r.Layers[layer][e] != rank.NotHeld {
 				loads[e] += r.Layers[layer][e]
-				heard++
+				received++
 			}
 		}
-		if heard == 0 {
+		if received == 0 {
 			loads[e] = math.NaN()
 			continue
 		}
-		loads[e] *= float64(replicas[e]) / float64(heard)
+		loads[e] *= float64(replicas[e]) / float64(received)
 	}
 	return loads
 }
 
-func withoutGaps(loads []float64) []float64 {
-	whole := make([]float64, len(loads))
+// zeroGaps returns loads with 0 in place of NaN.
+func zeroGaps(loads []float64) []float64 {
+	filled := make([]float64, len(loads))
 	for i, l := range loads {
 		if !math.IsNaN(l) {
-			whole[i] = l
+			filled[i] = l
 		}
 	}
-	return whole
+	return filled
 }
--- a/agent/steering/rank.go
+++ b/agent/steering/rank.go
@@ -10,31 +10,33 @@
 	"verbenashift/core/experts/rank"
 )
 
-// rankTimeout is how long an operation at the rank may take; the member gives
-// it up after the same time.
+// rankTimeout bounds an operation at the rank; the member stops waiting for it
+// after the same time.
 const rankTimeout = 500 * time.Millisecond
 
-// ReasonStaleFence is the refusal of an order with an old number.
+// ReasonStaleFence is the reason for the refusal of an order whose fencing token
+// or sequence number is out of date.
 const ReasonStaleFence = "stale-fence"
 
-// rankOp is an order to the rank, or a reading of it if the order has no kind.
+// rankOp is an order to the rank, or a read of its state if the order has no
+// kind.
 type rankOp struct {
-	id    uint64
-	order group.Order
-	began time.Time
+	id      uint64
+	order   group.Order
+	started time.Time
 }
 
-// operate hands an operation to the rank's goroutine. A full channel loses it,
-// as if the rank had not answered.
-func (g *Participant) operate(op rankOp) {
-	g.current.Store(op.id)
+// enqueueOp passes an operation to the goroutine that calls the rank. A full
+// channel drops it, as if the rank had not answered.
+func (g *Participant) enqueueOp(op rankOp) {
+	g.currentOp.Store(op.id)
 	select {
 	case g.ops <- op:
 	default:
 	}
 }
 
-// serveRank does the operations at the rank, one after the other.
+// serveRank runs the operations at the rank, one after the other.
 func (g *Participant) serveRank() {
 	for {
 		select {
@@ -47,7 +49,7 @@
 }
 
 func (g *Participant) do(op rankOp) {
-	ctx, cancel := context.WithDeadline(g.ctx, op.began.Add(rankTimeout))
+	ctx, cancel := context.WithDeadline(g.ctx, op.started.Add(rankTimeout))
 	defer cancel()
 	if op.order.Kind == 0 {
 		g.read(ctx, op)
@@ -56,33 +58,34 @@
 	g.apply(ctx, op)
 }
 
-// read reads the rank. An engine that refuses the connection is dead; one that
-// is late may not be, and the member notices that by itself.
+// read reads the state of the rank. An engine that refuses the connection is
+// reported as dead. One that is late may still be alive, and the member detects
+// the missing answer by itself.
 func (g *Participant) read(ctx context.Context, op rankOp) {
 	s, err := g.rank.State(ctx)
 	switch {
 	case err == nil:
 		g.metrics.stalled(s.Stalls)
-		g.post(func() { g.act(g.member.Observed(g.now(), op.id, s.RankState, true)) })
+		g.post(func() { g.perform(g.member.Observed(g.now(), op.id, s.RankState, true)) })
 	case rank.ConnectionRefused(err):
-		g.post(func() { g.act(g.member.Observed(g.now(), op.id, group.RankState{}, false)) })
+		g.post(func() { g.perform(g.member.Observed(g.now(), op.id, group.RankState{}, false)) })
 	}
 }
 
-// apply gives an order. One for which the member has stopped waiting must not be
-// sent: the member may have sent another, and the rank could take the old one
-// after the new one.
+// apply sends an order to the rank. An order for which the member has stopped
+// waiting must not be sent: the member may have sent another, and the rank could
+// apply the old one after the new one.
 func (g *Participant) apply(ctx context.Context, op rankOp) {
 	o := rank.Order{Order: op.order}
 	if op.order.Kind == group.LoadMap || op.order.Kind == group.FormGroup {
-		p, err := g.content(ctx, op.order.Version)
+		p, err := g.findPlacement(ctx, op.order.Version)
 		if err != nil {
 			g.log.Warn("content of a map not found", "version", uint64(op.order.Version), "error", err)
 			return
 		}
 		o.Placement = p
 	}
-	if g.current.Load() != op.id || ctx.Err() != nil {
+	if g.currentOp.Load() != op.id || ctx.Err() != nil {
 		return
 	}
 	err := g.rank.Apply(ctx, o)
@@ -92,10 +95,10 @@
 		if refused.Reason == ReasonStaleFence {
 			g.metrics.counts.Add("fencing-refusals", 1)
 		}
-		g.post(func() { g.act(g.member.Applied(g.now(), op.id, refused)) })
+		g.post(func() { g.perform(g.member.Applied(g.now(), op.id, refused)) })
 	case err == nil:
-		g.post(func() { g.act(g.member.Applied(g.now(), op.id, nil)) })
+		g.post(func() { g.perform(g.member.Applied(g.now(), op.id, nil)) })
 	}
 }
 
-func (g *Participant) post(fn func()) { _ = g.duty.Post(g.ctx, fn) }
+func (g *Participant) post(fn func()) { _ = g.loop.Post(g.ctx, fn) }
--- a/agent/steering/round.go
+++ b/agent/steering/round.go
@@ -8,35 +8,35 @@
 	"verbenashift/core/experts/rank"
 )
 
-// part is what is left of a group in its epoch, after ranks have been lost. A
-// map has slots for every configured rank; what stands in those of a lost rank
-// is in no memory, so that plans are made for the part alone.
-type part struct {
-	// live are the places in the group's maps of the ranks in the epoch.
+// subgroup holds the ranks of a group that are in its current epoch. A map has
+// slots for every configured rank, but those of a lost rank are in no memory, so
+// plans are made for the subgroup only.
+type subgroup struct {
+	// live are the indexes in the group's maps of the ranks in the epoch.
 	live []int
-	// shape is a group of these ranks alone.
+	// shape is a group of these ranks only.
 	shape expert.Group
 }
 
-// partOf returns the part of a group that is in the epoch of a view.
-func partOf(s *Shape, v group.Snapshot) part {
-	p := part{shape: s.expert}
+// subgroupOf returns the ranks of a group that are in the epoch of a snapshot.
+func subgroupOf(s *Shape, v group.Snapshot) subgroup {
+	p := subgroup{shape: s.expert}
 	p.shape.Ranks = nil
 	for _, m := range v.Members {
-		place := slices.Index(s.members, m.Name)
-		if place >= 0 && !v.Epoch.IsZero() && m.Epoch == v.Epoch {
-			p.live = append(p.live, place)
+		index := slices.Index(s.members, m.Name)
+		if index >= 0 && !v.Epoch.IsZero() && m.Epoch == v.Epoch {
+			p.live = append(p.live, index)
 		}
 	}
 	slices.Sort(p.live)
-	for _, place := range p.live {
-		p.shape.Ranks = append(p.shape.Ranks, s.expert.Ranks[place])
+	for _, index := range p.live {
+		p.shape.Ranks = append(p.shape.Ranks, s.expert.Ranks[index])
 	}
 	return p
 }
 
-// fits reports whether maps are of the group's shape. They are not after the
-// number of its ranks has been changed.
+// fits reports whether maps have the group's numbers of layers, ranks and slots.
+// They do not after the number of ranks has been changed.
 func (s *Shape) fits(maps rank.Placement) bool {
 	for _, m := range maps {
 		if len(m) != len(s.members)*s.expert.Slots {
@@ -46,37 +46,38 @@
 	return len(maps) == s.layers
 }
 
-// project returns the slots of the part's ranks of one layer's map.
-func (p part) project(m expert.Map) expert.Map {
-	var own expert.Map
-	for _, place := range p.live {
-		own = append(own, m[place*p.shape.Slots:(place+1)*p.shape.Slots]...)
+// project returns the slots of the subgroup's ranks in one layer's map.
+func (p subgroup) project(m expert.Map) expert.Map {
+	var selected expert.Map
+	for _, index := range p.live {
+		selected = append(selected, m[index*p.shape.Slots:(index+1)*p.shape.Slots]...)
 	}
-	return own
+	return selected
 }
 
-// projectAll is project for each layer.
-func (p part) projectAll(maps rank.Placement) rank.Placement {
-	var own rank.Placement
+// projectMaps is project for each layer.
+func (p subgroup) projectMaps(maps rank.Placement) rank.Placement {
+	var selected rank.Placement
 	for _, m := range maps {
-		own = append(own, p.project(m))
+		selected = append(selected, p.project(m))
 	}
-	return own
+	return selected
 }
 
-// places returns the moves of a plan for the part as moves of the whole group.
-func (p part) places(moves []expert.Move) []expert.Move {
-	whole := slices.Clone(moves)
-	for i := range whole {
-		whole[i].Rank = p.live[whole[i].Rank]
+// groupMoves returns the moves of a plan for the subgroup as moves of the
+// complete group.
+func (p subgroup) groupMoves(moves []expert.Move) []expert.Move {
+	mapped := slices.Clone(moves)
+	for i := range mapped {
+		mapped[i].Rank = p.live[mapped[i].Rank]
 	}
-	return whole
+	return mapped
 }
 
-// vacate returns the maps with nothing in the slots of the lost ranks, so that
-// nobody counts on what stands there.
-func (p part) vacate(maps rank.Placement) rank.Placement {
-	var left rank.Placement
+// clearLostSlots returns the maps with the slots of the lost ranks empty, so that
+// their replicas are not counted.
+func (p subgroup) clearLostSlots(maps rank.Placement) rank.Placement {
+	var cleared rank.Placement
 	for _, m := range maps {
 		m = slices.Clone(m)
 		for i := range m {
@@ -84,7 +85,7 @@
 				m[i] = expert.Empty
 			}
 		}
-		left = append(left, m)
+		cleared = append(cleared, m)
 	}
-	return left
+	return cleared
 }
--- a/agent/steering/status.go
+++ b/agent/steering/status.go
@@ -9,16 +9,17 @@
 	"verbenashift/core/experts/group"
 )
 
-// Metrics are the counters of an agent's part in its group.
+// Metrics are the counters of an agent's participation in its group.
 type Metrics struct {
 	counts *expvar.Map
 
 	mu sync.Mutex
-	// stalls is the rank's own count at the last reading.
+	// stalls is the rank's own count at the last read.
 	stalls uint64
 }
 
-// NewMetrics publishes the counters and returns them. A process can do so once.
+// NewMetrics publishes the counters with expvar and returns them. A process can
+// call it only once.
 func NewMetrics() *Metrics {
 	m := &Metrics{counts: expvar.NewMap("agent-group")}
 	for _, name := range []string{"switches", "aborts", "formed", "stalled-steps", "fencing-refusals", "mixed-steps"} {
@@ -30,8 +31,8 @@
 // Add adds to a counter.
 func (m *Metrics) Add(name string, n int64) { m.counts.Add(name, n) }
 
-// stalled takes the rank's count of the steps for which it stood still. An
-// engine that has started again counts anew.
+// stalled records the rank's count of the steps for which it was stalled. The
+// count of a restarted engine starts again at 0.
 func (m *Metrics) stalled(total uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -47,25 +48,25 @@
 	stateForming   = "forming"
 	stateLoading   = "loading"
 	stateSwitching = "switching"
-	// stateDegraded is that of a group that goes on without lost ranks.
+	// stateDegraded is the state of a group that runs without its lost ranks.
 	stateDegraded = "degraded"
 )
 
-// Status returns what operators see of the group, as JSON, or nothing if this
-// agent does not hold the duty.
+// Status returns the status of the group for operators as JSON, or nil if this
+// agent is not the coordinator.
 func (g *Participant) Status() []byte {
-	s, ok := g.standing(g.ctx)
+	s, ok := g.groupState(g.ctx)
 	if !ok {
 		return nil
 	}
-	st := operator.GroupStatus{Name: g.shape.Load().name, Coordinator: g.self, Fence: s.fence, MapVersion: uint64(commonVersion(s.view))}
-	for _, m := range s.view.Members {
+	st := operator.GroupStatus{Name: g.shape.Load().name, Coordinator: g.self, Fence: s.fence, MapVersion: uint64(commonVersion(s.snapshot))}
+	for _, m := range s.snapshot.Members {
 		st.Step = max(st.Step, m.Next)
 		if m.Health != group.Stepping.String() {
 			st.Waiting = append(st.Waiting, operator.RankStatus{Target: m.Name, Health: m.Health, Lost: m.Lost})
 		}
 	}
-	st.State = stateOf(s.view)
+	st.State = stateOf(s.snapshot)
 	g.planning.fill(&st)
 	data, err := json.Marshal(st)
 	if err != nil {
@@ -91,7 +92,7 @@
 	return state
 }
 
-// fill adds what the planner knows.
+// fill adds the planner's state to the status.
 func (p *planning) fill(st *operator.GroupStatus) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/agent/steering/watch.go
+++ b/agent/steering/watch.go
@@ -5,40 +5,40 @@
 	"verbenashift/core/membership/lease"
 )
 
-// mapWatch finds steps that two ranks made on different maps, from the ranks'
-// own reports. It is the counter that shows a breach of what the switch
-// promises, as by an engine that does not do what it says. The duty alone uses
-// it.
-type mapWatch struct {
+// mixedStepDetector finds steps that two ranks ran on different maps, from the
+// ranks' own reports. Its counter shows violations of the guarantee of the map
+// switch, as by an engine that does not do what it reports. Only the event loop
+// uses it.
+type mixedStepDetector struct {
 	epoch lease.Number
-	ranks map[string]stay
-	// mixed are the ranks found at fault in the epoch.
+	ranks map[string]mapInterval
+	// mixed are the ranks found with a mixed step in the epoch.
 	mixed map[string]bool
 }
 
-// stay is a rank's time on one map.
-type stay struct {
+// mapInterval is the range of steps that a rank ran on one map.
+type mapInterval struct {
 	since   lease.Number
 	version group.Version
-	// low and high are the least and the greatest next step reported since.
+	// low and high are the lowest and the highest next step reported since then.
 	low, high uint64
 }
 
-// saw takes in a rank's state and returns the name of a rank that has made a
-// step on another map than this one, if it shows now for the first time.
+// observe records a rank's state. It returns the name of a rank that has run a
+// step on an older map than another rank, when this is detected for the first
+// time in the epoch.
 //
-// A rank with next step n has made step n-1 on its map. One on an earlier map
-// with a next step of n or more has made the same step on that map. Both are
-// facts of the past, so that it does not matter how old the reports are, nor in
-// which order they come.
-func (w *mapWatch) saw(name string, s group.RankState) (culprit string, found bool) {
+// A rank with next step n has run step n-1 on its map. A rank on an earlier map
+// with a next step of n or more has run the same step on that map. Both are
+// facts about the past, so neither the age nor the order of the reports matters.
+func (w *mixedStepDetector) observe(name string, s group.RankState) (culprit string, found bool) {
 	if s.Epoch.Less(w.epoch) || s.Epoch.IsZero() {
 		return "", false
 	}
 	if w.epoch.Less(s.Epoch) {
-		*w = mapWatch{epoch: s.Epoch, ranks: make(map[string]stay), mixed: make(map[string]bool)}
+		*w = mixedStepDetector{epoch: s.Epoch, ranks: make(map[string]mapInterval), mixed: make(map[string]bool)}
 	}
-	now := stay{since: s.Since, version: s.Version, low: s.Next, high: s.Next}
+	now := mapInterval{since: s.Since, version: s.Version, low: s.Next, high: s.Next}
 	if was, ok := w.ranks[name]; ok && was.since == s.Since {
 		now.low, now.high = min(was.low, now.low), max(was.high, now.high)
 	}
@@ -56,20 +56,20 @@
 	return "", false
 }
 
-// behind reports whether a rank was on an earlier map than the other in a step
-// that the other made on its map.
-func behind(a, b stay) bool {
+// behind reports whether rank a ran on an earlier map a step that rank b ran on
+// its own map.
+func behind(a, b mapInterval) bool {
 	return a.since.Less(b.since) && a.version != b.version && a.high >= b.low
 }
 
-// watch looks at a report for mixed steps.
-func (g *Participant) watch(from string, m group.Message) {
+// checkMixedSteps checks a report for mixed steps.
+func (g *Participant) checkMixedSteps(from string, m group.Message) {
 	r, ok := m.(group.Report)
 	if !ok {
 		return
 	}
-	if culprit, found := g.watched.saw(from, r.Rank); found {
+	if culprit, found := g.mixedSteps.observe(from, r.Rank); found {
 		g.metrics.counts.Add("mixed-steps", 1)
-		g.log.Error("a rank has made a step on another map than the others", "rank", culprit, "epoch-fence", r.Rank.Epoch.Fence)
+		g.log.Error("rank ran a step on a different map than the others", "rank", culprit, "epoch-fence", r.Rank.Epoch.Fence)
 	}
 }
--- a/agent/steering/watch_test.go
+++ b/agent/steering/watch_test.go
@@ -9,9 +9,9 @@
 	"verbenashift/core/membership/lease"
 )
 
-// One rank's engine goes on with its old map after a switch that it has armed
-// for. No message says so; callers get garbage until somebody compares what the
-// ranks report.
+// One rank's engine continues with its old map after a switch for which it was
+// armed. No message shows this; callers get wrong answers until the ranks'
+// reports are compared.
 func TestWatchFindsMixedStep(t *testing.T) {
 	at := func(sequence uint64, v group.Version, next uint64) group.RankState {
 		n := lease.Number{Fence: 1, Sequence: sequence}
@@ -41,18 +41,18 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			var w mapWatch
+			var w mixedStepDetector
 			culprit, times := "", 0
-			tell := func() {
+			replay := func() {
 				for _, r := range tt.reports {
-					if name, found := w.saw(r.from, r.state); found {
+					if name, found := w.observe(r.from, r.state); found {
 						culprit, times = name, times+1
 					}
 				}
 			}
-			tell()
+			replay()
 			is.Equal(culprit, tt.culprit)
-			tell() // repeated reports tell nothing new
+			replay() // repeated reports are not counted again
 			is.Equal(times == 1, tt.culprit != "")
 		})
 	}
