--- a/agent/adopt.go
+++ b/agent/adopt.go
@@ -14,38 +14,39 @@
 	"verbenashift/core/request/booking"
 )
 
-// adoptCalls is how many executors are asked at once.
-const adoptCalls = 32
+// maxSealCalls is how many executors are called at once.
+const maxSealCalls = 32
 
-// adoption holds what the executors told of previous homes that are dead.
-type adoption struct {
+// deadHomeRecords holds the records that the executors reported for previous
+// homes that are dead.
+type deadHomeRecords struct {
 	mu    sync.Mutex
 	homes map[string]map[booking.Key]booking.TransferAnswer
 }
 
-// adopted returns a key's record of a previous home that does not answer.
+// recoverRecord returns a key's record of a previous home that does not answer.
 //
-// It guards against keys that nobody decides on any more: the home has died
-// and left the configuration, and each of its keys would be unknown until all
-// memory of it has run out. Every grant of that home is in the register of the
-// executor that ran it, so that the executors together know what the home
-// knew. They are told first to refuse the dead process's grants for ever; a
-// grant that is still on its way can then do no harm. One executor that does
-// not answer, or that has forgotten, leaves the keys unknown.
-func (r *register) adopted(ctx context.Context, key booking.Key, home string) (booking.TransferAnswer, error) {
-	r.adopt.mu.Lock()
-	defer r.adopt.mu.Unlock()
-	records, ok := r.adopt.homes[home]
+// It handles keys without an owner: the home has died and was removed from the
+// configuration, and each of its keys would be unknown until all records of it
+// have expired. Every grant of that home is in the register of the executor that
+// ran it, so the executors together have the records of the home. They are first
+// sealed, which makes them refuse the dead process's grants permanently; a grant
+// that is still in flight can then do no harm. If one executor does not answer,
+// or has lost its records, the keys stay unknown.
+func (r *register) recoverRecord(ctx context.Context, key booking.Key, home string) (booking.TransferAnswer, error) {
+	r.deadHomes.mu.Lock()
+	defer r.deadHomes.mu.Unlock()
+	records, ok := r.deadHomes.homes[home]
 	if !ok {
 		var err error
-		if records, err = r.askExecutors(ctx, home); err != nil {
+		if records, err = r.sealDeadHome(ctx, home); err != nil {
 			return booking.TransferAnswer{}, err
 		}
-		if r.adopt.homes == nil {
-			r.adopt.homes = make(map[string]map[booking.Key]booking.TransferAnswer)
+		if r.deadHomes.homes == nil {
+			r.deadHomes.homes = make(map[string]map[booking.Key]booking.TransferAnswer)
 		}
-		r.adopt.homes[home] = records
-		r.log.Info("dead home's keys taken over", "home", home, "keys", len(records))
+		r.deadHomes.homes[home] = records
+		r.log.Info("records of a dead home recovered", "home", home, "keys", len(records))
 	}
 	if a, ok := records[key]; ok {
 		return a, nil
@@ -53,10 +54,11 @@
 	return booking.TransferAnswer{Kind: booking.TransferNone}, nil
 }
 
-// askExecutors seals the dead home's grants everywhere and joins the answers.
-func (r *register) askExecutors(ctx context.Context, home string) (map[booking.Key]booking.TransferAnswer, error) {
+// sealDeadHome seals the dead home's grants at all executors and merges their
+// answers.
+func (r *register) sealDeadHome(ctx context.Context, home string) (map[booking.Key]booking.TransferAnswer, error) {
 	if _, listed := r.follower.Index().Target(home); listed {
-		return nil, errors.Errorf("home %s is still configured and will be back", home)
+		return nil, errors.Errorf("home %s is still configured, so its records are not recovered from the executors", home)
 	}
 	last, err := r.lastIncarnation(ctx, home)
 	if err != nil {
@@ -65,19 +67,19 @@
 	var mu sync.Mutex
 	records := make(map[booking.Key]booking.TransferAnswer)
 	g, ctx := errgroup.WithContext(ctx)
-	g.SetLimit(adoptCalls)
+	g.SetLimit(maxSealCalls)
 	r.addresses.Range(func(name, addr any) bool {
 		if name == home {
 			return true
 		}
 		g.Go(func() error {
-			resp, err := r.sealFor(ctx, addr.(string), home, last+1)
+			resp, err := r.sealForHome(ctx, addr.(string), home, last+1)
 			if err != nil {
 				return errors.Wrapf(err, "executor %s", name)
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			join(records, name.(string), resp)
+			mergeSealed(records, name.(string), resp)
 			return nil
 		})
 		return true
@@ -85,8 +87,8 @@
 	return records, g.Wait()
 }
 
-// lastIncarnation reads the dead process's incarnation from the store, where
-// each agent records it at its start.
+// lastIncarnation reads the dead process's incarnation from the store, where each
+// agent records it at startup.
 func (r *register) lastIncarnation(ctx context.Context, home string) (uint64, error) {
 	kv, err := r.store.Get(ctx, "agents/"+home)
 	if err != nil {
@@ -95,9 +97,10 @@
 	return strconv.ParseUint(string(kv.Value), 10, 64)
 }
 
-// sealFor seals another home's grants at one executor. An executor whose
-// memory is younger than what a key may matter for has forgotten some.
-func (r *register) sealFor(ctx context.Context, addr, home string, incarnation uint64) (*wire.SealResponse, error) {
+// sealForHome seals another home's grants at one executor. It fails if the
+// executor's records go back less than the time for which a key matters, because
+// some may be missing.
+func (r *register) sealForHome(ctx context.Context, addr, home string, incarnation uint64) (*wire.SealResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, sealTimeout)
 	defer cancel()
 	resp, err := r.dialer.Agent(addr).Seal(ctx, connect.NewRequest(&wire.SealRequest{Home: home, HomeIncarnation: incarnation}))
@@ -106,14 +109,14 @@
 	}
 	age := time.Duration(resp.Msg.SinceMs) * time.Millisecond
 	if !resp.Msg.WholeMemory && age < r.home.Limits.Window() {
-		return nil, errors.Errorf("memory goes back %v only", age)
+		return nil, errors.Errorf("records go back only %v", age)
 	}
 	return resp.Msg, nil
 }
 
-// join adds an executor's keys. Of several attempts of a key at most one was
-// not sealed, and that one counts.
-func join(records map[booking.Key]booking.TransferAnswer, executor string, m *wire.SealResponse) {
+// mergeSealed adds an executor's keys to records. Of several attempts of a key at
+// most one was not sealed, and that one takes precedence.
+func mergeSealed(records map[booking.Key]booking.TransferAnswer, executor string, m *wire.SealResponse) {
 	for _, k := range sealAnswer(m).Keys {
 		a := booking.TransferAnswer{Kind: booking.TransferRecord, Body: k.Body, Attempt: k.Attempt}
 		if k.State != booking.Sealed {
--- a/agent/adopt_test.go
+++ b/agent/adopt_test.go
@@ -9,9 +9,9 @@
 	"verbenashift/core/request/booking"
 )
 
-// A home dies and leaves the configuration. One executor refused the first
-// attempt of a booking, another runs the second. Whoever takes the key over
-// must find the attempt that holds it, in whatever order the executors answer:
+// A home dies and is removed from the configuration. One executor refused the
+// first attempt of a booking, another runs the second. The key's new home must
+// find the attempt that holds the key, in whatever order the executors answer:
 // otherwise the booking would be made a second time.
 func TestHoldingAttemptWins(t *testing.T) {
 	is := is.New(t)
@@ -29,7 +29,7 @@
 			if name == "b" {
 				m = answer(2, booking.Running)
 			}
-			join(records, name, m)
+			mergeSealed(records, name, m)
 		}
 		is.Equal(records[key].Executor, "b")
 		is.Equal(records[key].Attempt, uint64(2))
--- a/agent/answers.go
+++ b/agent/answers.go
@@ -14,24 +14,24 @@
 	id        string
 	workspace string
 	attempt   uint32
-	// base is how many data frames of the answer came before this one's.
+	// base is the number of data frames of the answer before the first one in
+	// log.
 	base         uint64
 	mayNotRepeat bool
 	log          *draft.Log
 	cancel       context.CancelFunc
-	// idle is when the last reader left, or the answer ended.
-	idle time.Time
+	// idleSince is when the last reader disconnected, or the answer ended.
+	idleSince time.Time
 }
 
-// answers holds the answers by request id. It is safe for use by several
-// goroutines.
+// answers holds the answers by request id. It is safe for concurrent use.
 type answers struct {
-	// keep is how long an ended answer of a key is kept, keepRead how long any
-	// other is.
-	keep     time.Duration
-	keepRead time.Duration
-	// detached is how long a repeatable answer goes on without a reader.
-	detached time.Duration
+	// protectedRetention is how long an ended answer of a key is retained,
+	// otherRetention how long any other is.
+	protectedRetention time.Duration
+	otherRetention     time.Duration
+	// detachedTimeout is how long a repeatable answer continues without a reader.
+	detachedTimeout time.Duration
 	// memory bounds the ended answers, in bytes.
 	memory int
 
@@ -41,13 +41,14 @@
 
 func newAnswers(cfg Settings) *answers {
 	return &answers{
-		keep: cfg.Keep, keepRead: cfg.KeepRead, detached: cfg.Detached, memory: cfg.AnswerMemory,
+		protectedRetention: cfg.Keep, otherRetention: cfg.KeepRead, detachedTimeout: cfg.Detached, memory: cfg.AnswerMemory,
 		byID: make(map[string]*answer),
 	}
 }
 
-// put adds a. An older attempt of the same request is stopped and replaced; a
-// is not added if its attempt is not newer than the one held.
+// put adds a and reports whether it did. An older attempt of the same request is
+// cancelled and replaced; a is not added if its attempt is not newer than the one
+// held.
 func (s *answers) put(a *answer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,13 +59,13 @@
 	if ok {
 		old.cancel()
 	}
-	a.idle = time.Now()
+	a.idleSince = time.Now()
 	s.byID[a.id] = a
 	return true
 }
 
-// get returns a workspace's answer. Another workspace's is not found, so that
-// nothing shows that it exists.
+// get returns a workspace's answer. The answer of another workspace is reported as
+// not found, so that its existence is not disclosed.
 func (s *answers) get(id, workspace string) (*answer, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,49 +76,50 @@
 	return a, true
 }
 
-// touch notes that a reader has left.
+// touch records that a reader has disconnected or the answer has ended.
 func (s *answers) touch(a *answer) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.idle = time.Now()
+	a.idleSince = time.Now()
 }
 
-// sweep forgets answers that ended long ago and stops repeatable ones whose
-// readers have all gone: the entry died and nobody has come back.
-func (s *answers) sweep(now time.Time) {
+// expire removes answers that ended long ago and cancels repeatable ones that have
+// had no reader for detachedTimeout: the entry died and no caller has reconnected.
+func (s *answers) expire(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var ended []*answer
 	for id, a := range s.byID {
 		_, done := a.log.Ended()
-		idle := now.Sub(a.idle)
+		idle := now.Sub(a.idleSince)
 		switch {
 		case a.log.Readers() > 0:
-		case done && idle > s.life(a):
+		case done && idle > s.retention(a):
 			delete(s.byID, id)
 		case done:
 			ended = append(ended, a)
-		case !a.mayNotRepeat && idle > s.detached:
+		case !a.mayNotRepeat && idle > s.detachedTimeout:
 			a.cancel()
 		}
 	}
 	s.shrink(ended)
 }
 
-// life is how long an ended answer is kept: that of a key may be asked for by
-// a second try, any other only by a caller whose connection broke at its end.
-func (s *answers) life(a *answer) time.Duration {
+// retention returns how long an ended answer is retained: that of a key may be
+// requested by a second attempt, any other only by a caller whose connection broke
+// at the end of the answer.
+func (s *answers) retention(a *answer) time.Duration {
 	if a.mayNotRepeat {
-		return s.keep
+		return s.protectedRetention
 	}
-	return s.keepRead
+	return s.otherRetention
 }
 
-// shrink forgets the longest ended answers while all together take more memory
-// than they may. Without it a burst of long answers would take the memory of
-// the instance.
+// shrink removes the answers that ended first while all together exceed the memory
+// limit. Without it a burst of long answers would exhaust the memory of the
+// instance.
 func (s *answers) shrink(ended []*answer) {
-	slices.SortFunc(ended, func(a, b *answer) int { return b.idle.Compare(a.idle) })
+	slices.SortFunc(ended, func(a, b *answer) int { return b.idleSince.Compare(a.idleSince) })
 	total := 0
 	for _, a := range ended {
 		total += a.log.Size()
@@ -143,7 +145,7 @@
 // protected counts the answers in progress that may not be repeated.
 func (s *answers) protected() int {
 	n := 0
-	s.each(func(a *answer) {
+	s.forEachRunning(func(a *answer) {
 		if a.mayNotRepeat {
 			n++
 		}
@@ -151,8 +153,8 @@
 	return n
 }
 
-// each calls f for every answer that has not ended.
-func (s *answers) each(f func(*answer)) {
+// forEachRunning calls f for every answer that has not ended.
+func (s *answers) forEachRunning(f func(*answer)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.byID {
--- a/agent/app.go
+++ b/agent/app.go
@@ -28,35 +28,37 @@
 	"verbenashift/core/request/target"
 )
 
-// errEndOfAnswer is what the target's client returns at an answer's own end.
+// errEndOfAnswer is returned by the target's client at the regular end of an
+// answer.
 var errEndOfAnswer = io.EOF
 
-// sweepPeriod is the time between looks at answers that nobody reads.
-const sweepPeriod = time.Second
+// maintenanceInterval is the time between two scans for answers without readers
+// and for expired records.
+const maintenanceInterval = time.Second
 
-// Agent is the process beside one target: the only way to it.
+// Agent is the process beside one target, and the only access path to it.
 type Agent struct {
 	wireconnect.UnimplementedAgentServiceHandler
 
-	cfg        Settings
-	id         identity
-	log        *slog.Logger
-	tracer     trace.Tracer
-	metrics    *metrics
-	dialer     *peer.Dialer
-	follower   *follow.Follower
-	dispatcher *dispatcher
-	register   *register
-	answers    *answers
-	entries    *entries
-	members    *follow.Members
-	engine     *target.Engine
-	plain      *target.Service
-	step       stepTime
-	store      *store.Client
-
-	// group is the agent's part in its target's expert-parallel group, nil if
-	// there is none; groupMu guards its changes.
+	cfg           Settings
+	id            identity
+	log           *slog.Logger
+	tracer        trace.Tracer
+	metrics       *metrics
+	dialer        *peer.Dialer
+	follower      *follow.Follower
+	dispatcher    *dispatcher
+	register      *register
+	answers       *answers
+	entries       *entries
+	members       *follow.Members
+	engine        *target.Engine
+	serviceTarget *target.Service
+	step          stepTime
+	store         *store.Client
+
+	// group is the agent's participation in its target's expert-parallel group,
+	// nil if the target is in none; groupMu guards its changes.
 	group        atomic.Pointer[steering.Participant]
 	groupMu      sync.Mutex
 	groupStarts  uint64
@@ -70,7 +72,7 @@
 	servers  []*http.Server
 }
 
-// metrics are the agent's counters, shown by expvar.
+// metrics are the agent's counters, published by expvar.
 type metrics struct {
 	ends       *expvar.Map
 	claims     *expvar.Map
@@ -103,9 +105,9 @@
 	return store.New(store.Config{Addresses: cfg.Store, Timeout: cfg.StoreTimeout})
 }
 
-// watchers is how many agents of a zone watch the store; the others hear of a
-// change by heartbeat.
-const watchers = 2
+// watchersPerZone is how many agents of a zone watch the store; the others learn
+// of a change by heartbeat.
+const watchersPerZone = 2
 
 func newFollower(cfg Settings, s *store.Client, log *slog.Logger) *follow.Follower {
 	var f *follow.Follower
@@ -117,7 +119,8 @@
 }
 
 // watches reports whether this agent is one of its zone's watchers. Before the
-// first configuration there is no zone to go by, and every agent watches.
+// first configuration the agents of a zone are not known, and every agent
+// watches.
 func watches(x *config.Index, cfg Settings) bool {
 	if x == nil {
 		return true
@@ -128,7 +131,7 @@
 			zone = append(zone, t.Name)
 		}
 	}
-	return config.IsWatcher(cfg.Name, zone, watchers)
+	return config.IsWatcher(cfg.Name, zone, watchersPerZone)
 }
 
 func newIdentity(cfg Settings, s *store.Client, log *slog.Logger) identity {
@@ -148,20 +151,20 @@
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	opt := target.Options{OrderToken: cfg.OrderToken}
 	if cfg.Kind == kindService {
-		a.plain = target.NewService(cfg.Target, opt)
+		a.serviceTarget = target.NewService(cfg.Target, opt)
 	} else {
 		a.engine = target.NewEngine(cfg.Target, opt)
 	}
 	f.OnChange(func(x *config.Index) { a.register.configure(a.ctx, x) })
 	f.OnChange(a.entries.update)
-	f.OnChange(a.regroup)
+	f.OnChange(a.updateGroup)
 	f.OnChange(a.members.Update)
 	f.OnChange(follow.ReleaseMemory)
 	f.OnChange(func(x *config.Index) { log.Info("configuration in force", "revision", x.Revision()) })
 	return a
 }
 
-// load is this agent's first-hand view of its target.
+// load returns this agent's own measurement of its target's load.
 func (a *Agent) load() *wire.Load {
 	l := a.dispatcher.load.Load()
 	return &wire.Load{
@@ -170,16 +173,16 @@
 	}
 }
 
-// start opens the listeners and starts the duties.
+// start opens the listeners and starts the event loops.
 func (a *Agent) start(lc fx.Lifecycle, shutdown fx.Shutdowner) error {
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return a.listen(shutdown) },
 		OnStop:  a.drain,
 	})
-	go a.dispatcher.duty.Run(a.ctx)
-	go a.register.duty.Run(a.ctx)
+	go a.dispatcher.loop.Run(a.ctx)
+	go a.register.loop.Run(a.ctx)
 	go a.follower.Run(a.ctx)
-	go a.sweep(shutdown)
+	go a.runMaintenance(shutdown)
 	spread := &follow.Gossip{
 		Name: a.cfg.Name, Follower: a.follower, Dialer: a.dialer, Log: a.log,
 		Members: a.members, Period: a.cfg.Heartbeat, Seeds: a.cfg.Seeds,
@@ -189,32 +192,33 @@
 	return nil
 }
 
-// sweep forgets answers and registers that are no longer of use.
-func (a *Agent) sweep(shutdown fx.Shutdowner) {
-	tick := time.NewTicker(sweepPeriod)
+// runMaintenance periodically removes expired answers and entries, and updates
+// this agent's membership state.
+func (a *Agent) runMaintenance(shutdown fx.Shutdowner) {
+	tick := time.NewTicker(maintenanceInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case now := <-tick.C:
-			a.answers.sweep(now)
-			a.entries.sweep(now, a.members.VisibleFraction())
-			a.tellMembers(shutdown)
+			a.answers.expire(now)
+			a.entries.expire(now, a.members.VisibleFraction())
+			a.updateMembership(shutdown)
 		case <-a.ctx.Done():
 			return
 		}
 	}
 }
 
-// tellMembers says how long new work waits here, and stops this process if a
-// later one has its name: it was paused and replaced, and must not go on
-// deciding beside its successor.
-func (a *Agent) tellMembers(shutdown fx.Shutdowner) {
+// updateMembership publishes how long new work waits here, and stops this process
+// if a later process has its name: this one was paused and replaced, and must not
+// make decisions beside its successor.
+func (a *Agent) updateMembership(shutdown fx.Shutdowner) {
 	l := a.dispatcher.load.Load()
 	if l.Rate > 0 {
 		a.members.SetWait(time.Duration(float64(l.Queued) / l.Rate * float64(time.Second)))
 	}
 	if a.members.Superseded() && !a.draining.Load() {
-		a.log.Error("a later process has this agent's name; stopping")
+		a.log.Error("superseded by a later process with the same name; stopping")
 		_ = shutdown.Shutdown(fx.ExitCode(process.ExitFailure))
 	}
 }
--- a/agent/callers.go
+++ b/agent/callers.go
@@ -9,59 +9,58 @@
 	"verbenashift/core/request/quota"
 )
 
-// entryLife is how long an entry counts after its last heartbeat.
-const entryLife = time.Minute
+// entryExpiry is how long an entry is listed after its last heartbeat.
+const entryExpiry = time.Minute
 
-// entries holds the entries that this agent has heard of lately, and the
-// limits of the workspaces whose home it is. It is safe for use by several
-// goroutines.
+// entries holds the entries that sent this agent a heartbeat recently, and the
+// limits of the workspaces whose home it is. It is safe for concurrent use.
 type entries struct {
 	mu     sync.Mutex
-	heard  map[string]heardEntry
+	byName map[string]entryRecord
 	quota  *quota.Home
 	limits map[string]bool
 }
 
-// heardEntry is an entry as it told of itself.
-type heardEntry struct {
+// entryRecord is the state that an entry reported in its last heartbeat.
+type entryRecord struct {
 	state *wire.NodeState
 	at    time.Time
 }
 
 func newEntries() *entries {
-	return &entries{heard: make(map[string]heardEntry), quota: quota.NewHome(), limits: make(map[string]bool)}
+	return &entries{byName: make(map[string]entryRecord), quota: quota.NewHome(), limits: make(map[string]bool)}
 }
 
-// update takes the limits of a new configuration.
+// update applies the limits of a new configuration.
 func (e *entries) update(x *config.Index) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	gone := e.limits
+	removed := e.limits
 	e.limits = make(map[string]bool)
 	for _, ws := range x.Config().Workspaces {
-		e.limit(ws.Name, ws.TokensPerSecond, gone)
-		e.limit(quota.RequestLimitKey(ws.Name), ws.RequestsPerSecond, gone)
+		e.setLimit(ws.Name, ws.TokensPerSecond, removed)
+		e.setLimit(quota.RequestLimitKey(ws.Name), ws.RequestsPerSecond, removed)
 	}
-	for name := range gone {
+	for name := range removed {
 		e.quota.Forget(name)
 	}
 }
 
-func (e *entries) limit(name string, rate float64, gone map[string]bool) {
+func (e *entries) setLimit(name string, rate float64, removed map[string]bool) {
 	if rate <= 0 {
 		return
 	}
 	e.quota.SetLimit(name, quota.Limit{Rate: rate})
 	e.limits[name] = true
-	delete(gone, name)
+	delete(removed, name)
 }
 
-// hear takes a heartbeat of an entry and answers its quota report.
-func (e *entries) hear(m *wire.ExchangeRequest, now time.Time) ([]byte, error) {
+// receive handles a heartbeat and returns the answer to its quota report.
+func (e *entries) receive(m *wire.ExchangeRequest, now time.Time) ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if m.Kind == kindEntry {
-		e.heard[m.From] = heardEntry{at: now, state: &wire.NodeState{
+		e.byName[m.From] = entryRecord{at: now, state: &wire.NodeState{
 			Name: m.From, Zone: m.Zone, Revision: m.Revision, Draining: m.Draining, Incarnation: m.Incarnation,
 		}}
 	}
@@ -71,15 +70,15 @@
 	return e.quota.Merge(nil, m.Quota, now)
 }
 
-// kindEntry is how entries name themselves in heartbeats.
+// kindEntry is the kind of entries in heartbeats.
 const kindEntry = "entry"
 
-// nodes lists the entries heard within entryLife.
+// nodes lists the entries that sent a heartbeat within entryExpiry.
 func (e *entries) nodes(now time.Time) []*wire.NodeState {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []*wire.NodeState
-	for _, h := range e.heard {
+	for _, h := range e.byName {
 		s := &wire.NodeState{
 			Name: h.state.Name, Zone: h.state.Zone, Revision: h.state.Revision,
 			Draining: h.state.Draining, Incarnation: h.state.Incarnation,
@@ -90,23 +89,23 @@
 	return list
 }
 
-// count returns how many entries were heard within entryLife.
+// count returns the number of entries that sent a heartbeat within entryExpiry.
 func (e *entries) count() uint32 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return uint32(len(e.heard))
+	return uint32(len(e.byName))
 }
 
-// sweep forgets entries that have not been heard for long, and tells the limits
-// which part of the fleet this side of a partition can see: each side has a
-// home of its own, and both together must not give out a limit twice.
-func (e *entries) sweep(now time.Time, visible float64) {
+// expire removes entries without a recent heartbeat, and updates the fraction of
+// the fleet that is visible on this side of a network partition: each side has a
+// home of its own for a limit, and both together must not grant the limit twice.
+func (e *entries) expire(now time.Time, visible float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.quota.SetVisibleFraction(visible)
-	for name, h := range e.heard {
-		if now.Sub(h.at) > entryLife {
-			delete(e.heard, name)
+	for name, h := range e.byName {
+		if now.Sub(h.at) > entryExpiry {
+			delete(e.byName, name)
 		}
 	}
 }
--- a/agent/callers_test.go
+++ b/agent/callers_test.go
@@ -12,16 +12,16 @@
 	"verbenashift/core/request/quota"
 )
 
-// Two regions lose each other, and each finds a home for a workspace's limit
-// among its own agents. A home that sees half of the fleet must give out half
-// of the limit, or both sides together would give out all of it twice.
+// Two regions are partitioned, and each chooses a home for a workspace's limit
+// among its own agents. A home that sees half of the fleet must grant half of the
+// limit, or both sides together would grant all of it twice.
 func TestHalfOfTheFleetGetsHalfOfTheLimit(t *testing.T) {
 	is := is.New(t)
 	admitted := func(visible float64) int {
 		now := time.Now()
 		home := newEntries()
 		home.update(config.NewIndex(config.Config{Workspaces: []config.Workspace{{Name: "w", TokensPerSecond: 100}}}))
-		home.sweep(now, visible)
+		home.expire(now, visible)
 		l := quota.New("e1", rand.New(rand.NewPCG(1, 2)))
 		l.SetMembers(1, []string{"a"})
 		l.SetLimit("w", quota.Limit{Rate: 100})
@@ -32,7 +32,7 @@
 				n++
 			}
 			for _, agent := range l.Due(now) {
-				reply, err := home.hear(&wire.ExchangeRequest{Quota: l.AppendReport(nil, agent, now)}, now)
+				reply, err := home.receive(&wire.ExchangeRequest{Quota: l.AppendReport(nil, agent, now)}, now)
 				is.NoErr(err)
 				is.NoErr(l.Merge(agent, reply, now))
 			}
--- a/agent/calls.go
+++ b/agent/calls.go
@@ -13,7 +13,8 @@
 	"verbenashift/core/request/booking"
 )
 
-// Cancel stops a request whose caller has gone.
+// Cancel cancels a request whose caller has disconnected, unless it may not be
+// repeated.
 func (a *Agent) Cancel(_ context.Context, req *connect.Request[wire.CancelRequest]) (*connect.Response[wire.CancelResponse], error) {
 	ans, ok := a.answers.get(req.Msg.RequestId, req.Msg.Workspace)
 	if ok && !ans.mayNotRepeat {
@@ -32,19 +33,19 @@
 	}
 	now := time.Now()
 	if m.Kind == operator.KindAgent {
-		a.register.heard(ctx, m.From, m.Incarnation)
+		a.register.observe(ctx, m.From, m.Incarnation)
 	}
-	quota, err := a.entries.hear(m, now)
+	quota, err := a.entries.receive(m, now)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	if err := a.members.Merge(m.Digest); err != nil {
-		a.log.Info("digest of a peer not taken", "peer", m.From, "error", err)
+		a.log.Info("membership digest of a peer not merged", "peer", m.From, "error", err)
 	}
 	resp := &wire.ExchangeResponse{Digest: a.members.Digest(m.From), From: a.cfg.Name, Load: a.load(), Revision: a.follower.Revision(), Quota: quota}
 	resp.EntriesHeard = a.entries.count()
 	if m.Leaving {
-		a.leave(ctx)
+		a.startDraining(ctx)
 	}
 	if m.WantNodes {
 		resp.Nodes = a.entries.nodes(now)
@@ -64,7 +65,7 @@
 	return connect.NewResponse(&wire.FetchConfigResponse{Revision: revision, Config: data}), nil
 }
 
-// Claim decides on a key as its home.
+// Claim handles the claim of a key at its home.
 func (a *Agent) Claim(ctx context.Context, req *connect.Request[wire.ClaimRequest]) (*connect.Response[wire.ClaimResponse], error) {
 	ans, err := a.register.claim(ctx, req.Msg)
 	if err != nil {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Release sets a key free whose attempt never ran.
+// Release releases a key whose attempt never ran.
 func (a *Agent) Release(ctx context.Context, req *connect.Request[wire.ReleaseRequest]) (*connect.Response[wire.ReleaseResponse], error) {
 	p := booking.Proof{Key: booking.Key(req.Msg.Key), Attempt: req.Msg.Attempt, Executor: req.Msg.Executor, Incarnation: req.Msg.Incarnation}
 	ok := false
@@ -106,8 +107,7 @@
 	return connect.NewResponse(&wire.ReleaseResponse{Released: ok}), err
 }
 
-// Settle says what became of an attempt, and refuses it from then on if it has
-// not run.
+// Settle returns the state of an attempt, and seals it if it has not run.
 func (a *Agent) Settle(ctx context.Context, req *connect.Request[wire.SettleRequest]) (*connect.Response[wire.SettleResponse], error) {
 	q := booking.Query{Grant: grantOf(req.Msg.Grant), Incarnation: req.Msg.Incarnation, Body: booking.Digest(req.Msg.BodyDigest)}
 	var s booking.Resolution
@@ -129,7 +129,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Seal refuses a home's older grants and lists its keys.
+// Seal refuses a home's older grants from now on and lists the home's keys.
 func (a *Agent) Seal(ctx context.Context, req *connect.Request[wire.SealRequest]) (*connect.Response[wire.SealResponse], error) {
 	resp, err := a.register.seal(ctx, req.Msg)
 	if err != nil {
@@ -138,7 +138,7 @@
 	return connect.NewResponse(resp), nil
 }
 
-// Transfer hands a key's record to its new home.
+// Transfer returns a key's record to its new home.
 func (a *Agent) Transfer(ctx context.Context, req *connect.Request[wire.TransferRequest]) (*connect.Response[wire.TransferResponse], error) {
 	t := booking.Transfer{Key: booking.Key(req.Msg.Key), Revision: req.Msg.Revision}
 	var ans booking.TransferAnswer
@@ -152,20 +152,20 @@
 	return connect.NewResponse(&wire.TransferResponse{Record: record}), nil
 }
 
-// Handover keeps a register of an agent that restarts.
+// Handover stores a backup of the register of an agent that restarts.
 func (a *Agent) Handover(ctx context.Context, req *connect.Request[wire.HandoverRequest]) (*connect.Response[wire.HandoverResponse], error) {
 	if a.draining.Load() {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New(reasonDraining))
 	}
-	if err := a.register.keep(ctx, req.Msg); err != nil {
+	if err := a.register.storeBackup(ctx, req.Msg); err != nil {
 		return nil, connect.NewError(connect.CodeResourceExhausted, err)
 	}
 	return connect.NewResponse(&wire.HandoverResponse{}), nil
 }
 
-// Recall gives a kept register back.
+// Recall returns a stored backup of a register to its owner.
 func (a *Agent) Recall(ctx context.Context, req *connect.Request[wire.RecallRequest]) (*connect.Response[wire.RecallResponse], error) {
-	resp, err := a.register.give(ctx, req.Msg)
+	resp, err := a.register.takeBackup(ctx, req.Msg)
 	if err != nil {
 		return nil, err
 	}
--- a/agent/custody.go
+++ b/agent/custody.go
@@ -13,33 +13,33 @@
 	"verbenashift/core/request/booking"
 )
 
-// leave hands the register to a peer for this agent's next process, and passes
-// on what this agent keeps for others.
+// leave hands the register over to a peer for this agent's next process, and
+// forwards the backups that this agent holds for others.
 func (r *register) leave(ctx context.Context) error {
 	var mine booking.Handover
-	var kept []booking.Handover
+	var stored []booking.Handover
 	if err := r.do(ctx, func(now time.Duration) {
 		mine = booking.Handover{Home: r.home.Export(now), Executor: r.executor.Export(now)}
-		kept = r.custody.Drain()
+		stored = r.backups.Drain()
 	}); err != nil {
 		return err
 	}
-	for _, h := range kept {
+	for _, h := range stored {
 		if err := r.handOver(ctx, h); err != nil {
-			r.log.Warn("kept register lost", "of", h.Home.Name, "error", err)
+			r.log.Warn("backup of a register not handed over", "of", h.Home.Name, "error", err)
 		}
 	}
 	return r.handOver(ctx, mine)
 }
 
-// handOver gives one register to the first of its custodians that takes it.
+// handOver sends one register to the first of its backup holders that accepts it.
 func (r *register) handOver(ctx context.Context, h booking.Handover) error {
 	data, err := json.Marshal(h)
 	if err != nil {
 		return errors.Wrap(err, "encode register")
 	}
-	lost := errors.New("no peer took the register")
-	for _, t := range r.custodians(h.Home.Name) {
+	lastErr := errors.New("no peer accepted the register")
+	for _, t := range r.backupHolders(h.Home.Name) {
 		call, cancel := context.WithTimeout(ctx, sealTimeout)
 		_, err = r.dialer.Agent(t.Agent).Handover(call, connect.NewRequest(&wire.HandoverRequest{
 			From: h.Home.Name, Incarnation: h.Home.Incarnation, Register: data,
@@ -49,19 +49,19 @@
 			r.log.Info("register handed over", "of", h.Home.Name, "to", t.Name, "home-keys", len(h.Home.Keys), "run-keys", len(h.Executor.Keys))
 			return nil
 		}
-		lost = errors.Wrapf(err, "custodian %s", t.Name)
+		lastErr = errors.Wrapf(err, "backup holder %s", t.Name)
 	}
-	return lost
+	return lastErr
 }
 
-// keep takes the register of another agent into custody.
-func (r *register) keep(ctx context.Context, m *wire.HandoverRequest) error {
+// storeBackup stores a backup of another agent's register.
+func (r *register) storeBackup(ctx context.Context, m *wire.HandoverRequest) error {
 	var h booking.Handover
 	if err := json.Unmarshal(m.Register, &h); err != nil {
 		return errors.Wrap(err, "decode register")
 	}
 	taken := false
-	if err := r.do(ctx, func(now time.Duration) { taken = r.custody.Put(h, now) }); err != nil {
+	if err := r.do(ctx, func(now time.Duration) { taken = r.backups.Put(h, now) }); err != nil {
 		return err
 	}
 	if !taken {
@@ -70,11 +70,12 @@
 	return nil
 }
 
-// give returns a register in custody to the next process of its name.
-func (r *register) give(ctx context.Context, m *wire.RecallRequest) (*wire.RecallResponse, error) {
+// takeBackup returns a stored register to the next process of its name, and
+// removes it here.
+func (r *register) takeBackup(ctx context.Context, m *wire.RecallRequest) (*wire.RecallResponse, error) {
 	var h booking.Handover
 	found := false
-	if err := r.do(ctx, func(now time.Duration) { h, found = r.custody.Take(m.Of, m.Incarnation, now) }); err != nil {
+	if err := r.do(ctx, func(now time.Duration) { h, found = r.backups.Take(m.Of, m.Incarnation, now) }); err != nil {
 		return nil, err
 	}
 	if !found {
@@ -84,16 +85,16 @@
 	return &wire.RecallResponse{Found: true, Incarnation: h.Home.Incarnation, Register: data}, err
 }
 
-// heard notes the incarnation of an agent that is at work, which makes an
-// older register of it useless.
-func (r *register) heard(ctx context.Context, name string, incarnation uint64) {
-	_ = r.duty.Post(ctx, func() { r.custody.Observe(name, incarnation) })
+// observe records the incarnation of a running agent, which makes backups of its
+// older registers useless.
+func (r *register) observe(ctx context.Context, name string, incarnation uint64) {
+	_ = r.loop.Post(ctx, func() { r.backups.Observe(name, incarnation) })
 }
 
-// recall takes the register back from the peer that has the newest one.
+// recall fetches this agent's register from the peer that has the newest one.
 func (r *register) recall(ctx context.Context) (booking.Handover, bool) {
 	var best *wire.RecallResponse
-	for _, t := range r.custodians(r.home.Name) {
+	for _, t := range r.backupHolders(r.home.Name) {
 		call, cancel := context.WithTimeout(ctx, sealTimeout)
 		resp, err := r.dialer.Agent(t.Agent).Recall(call, connect.NewRequest(&wire.RecallRequest{
 			Of: r.home.Name, Incarnation: r.home.Incarnation,
@@ -107,30 +108,30 @@
 	if best == nil || json.Unmarshal(best.Register, &h) != nil {
 		return h, false
 	}
-	r.log.Info("register taken back", "home-keys", len(h.Home.Keys), "run-keys", len(h.Executor.Keys))
+	r.log.Info("register restored from a peer", "home-keys", len(h.Home.Keys), "run-keys", len(h.Executor.Keys))
 	return h, true
 }
 
-// custodians are the agents that keep a name's register, in the order in which
-// they are asked: a rendezvous order, which a restart does not change.
-func (r *register) custodians(name string) []config.Target {
+// backupHolders returns the agents that may hold a name's register, in the order
+// in which they are called: a rendezvous order, which a restart does not change.
+func (r *register) backupHolders(name string) []config.Target {
 	x := r.follower.Index()
 	if x == nil {
 		return nil
 	}
-	var custodians []config.Target
+	var holders []config.Target
 	var skip []string
 	names := config.TargetNames(x.Config())
-	for len(custodians) < handoverPeers {
+	for len(holders) < maxBackupHolders {
 		next := booking.BackupHolderOf(name, names, skip)
 		t, ok := x.Target(next)
 		if !ok {
-			return custodians
+			return holders
 		}
 		skip = append(skip, next)
 		if next != r.home.Name {
-			custodians = append(custodians, *t)
+			holders = append(holders, *t)
 		}
 	}
-	return custodians
+	return holders
 }
--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -12,24 +12,25 @@
 	"verbenashift/core/request/queue"
 )
 
-// dispatchRing is how many events may wait for the dispatcher.
-const dispatchRing = 1024
+// dispatchQueueSize bounds the events that wait for the dispatcher.
+const dispatchQueueSize = 1024
 
-// dispatcher owns the queue of the target: it starts requests when the target
-// has room and refuses them when it must.
+// dispatcher owns the queue of the target: it starts requests when the target has
+// a free slot and refuses those that cannot wait or run.
 type dispatcher struct {
-	duty  *duty.Loop
-	queue *queue.Queue
-	jobs  map[string]*job
-	shed  []queue.Shed
-	load  atomic.Pointer[queue.Load]
-	// pacer keeps to the limit and the pauses that the target asks for.
+	loop    *duty.Loop
+	queue   *queue.Queue
+	waiters map[string]*waiter
+	shed    []queue.Shed
+	load    atomic.Pointer[queue.Load]
+	// pacer enforces the rate limit and the pauses that the target requests.
 	pacer permit.Pacer
-	// pausedUntil is until when the target wants nothing, nil if it has never asked for that.
+	// pausedUntil is the end of the pause that the target requested last, nil if it has
+	// never requested one.
 	pausedUntil atomic.Pointer[time.Time]
 }
 
-// pause starts nothing for a time. It is called on the duty's goroutine.
+// pause stops starting requests for a time. It runs on the event loop.
 func (d *dispatcher) pause(span time.Duration, now time.Time) {
 	if span <= 0 {
 		return
@@ -39,7 +40,7 @@
 	d.pausedUntil.Store(&until)
 }
 
-// paused returns for how long the target wants nothing; 0 if it takes requests.
+// paused returns the rest of the pause that the target requested, 0 if there is none.
 func (d *dispatcher) paused() time.Duration {
 	until := d.pausedUntil.Load()
 	if until == nil {
@@ -48,40 +49,41 @@
 	return max(time.Until(*until), 0)
 }
 
-// job is a request that waits for its turn. verdict gets nil when it may
-// start, or its refusal.
-type job struct {
-	item    queue.Item
-	verdict chan *outcome.Error
+// waiter is a queued request. result receives nil when it may start, or its
+// refusal.
+type waiter struct {
+	item   queue.Item
+	result chan *outcome.Error
 }
 
 func newDispatcher(cfg Settings) *dispatcher {
 	d := &dispatcher{
-		duty: duty.New(dispatchRing),
+		loop: duty.New(dispatchQueueSize),
 		queue: queue.New(queue.Limits{
-			Slots: cfg.Slots, Items: cfg.Items, Tokens: int64(cfg.Tokens), Rate: float64(cfg.Rate),
+			Slots: cfg.Slots, Items: cfg.QueueItems, Tokens: int64(cfg.QueueTokens), Rate: float64(cfg.Rate),
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
-		jobs: make(map[string]*job),
+		waiters: make(map[string]*waiter),
 	}
 	d.load.Store(&queue.Load{Slots: cfg.Slots, Rate: float64(cfg.Rate)})
-	d.duty.After(d.settle, d.next)
+	d.loop.After(d.update, d.next)
 	return d
 }
 
-// settle starts what can start, answers what was shed and publishes the load.
-func (d *dispatcher) settle() {
+// update starts the requests that can start, refuses those that were shed and
+// publishes the load.
+func (d *dispatcher) update() {
 	now := time.Now()
 	d.queue.Expire(now)
 	d.startReady(now)
 	d.shed = d.queue.TakeShed(d.shed[:0])
 	for _, s := range d.shed {
-		d.answer(s.ID, s.Refusal)
+		d.resolve(s.ID, s.Refusal)
 	}
 	load := d.queue.Load()
 	d.load.Store(&load)
 }
 
-// startReady starts what can start, as fast as the target takes it.
+// startReady starts the requests that can start, no faster than the target allows.
 func (d *dispatcher) startReady(now time.Time) {
 	for !now.Before(d.pacer.ReadyAt()) {
 		item, ok := d.queue.Next(now)
@@ -89,12 +91,12 @@
 			return
 		}
 		d.pacer.RecordSent(now)
-		d.answer(item.ID, nil)
+		d.resolve(item.ID, nil)
 	}
 }
 
-// next returns when there is work without a new event: a request that waits is too late, or
-// the target takes the next one.
+// next returns when update is due without a new event: when a waiting request reaches its
+// deadline, or when the target accepts the next request.
 func (d *dispatcher) next() (time.Time, bool) {
 	at, ok := d.queue.NextDeadline()
 	ready := d.pacer.ReadyAt()
@@ -104,54 +106,55 @@
 	return at, ok
 }
 
-func (d *dispatcher) answer(id string, refusal *outcome.Error) {
-	if j, ok := d.jobs[id]; ok {
-		delete(d.jobs, id)
-		j.verdict <- refusal
+func (d *dispatcher) resolve(id string, refusal *outcome.Error) {
+	if w, ok := d.waiters[id]; ok {
+		delete(d.waiters, id)
+		w.result <- refusal
 	}
 }
 
-// wait queues item and returns nil when it may start. The request of a caller
-// that has gone is taken out again.
+// wait queues item and returns nil when it may start. The request is removed when
+// ctx ends, as when its caller has disconnected.
 func (d *dispatcher) wait(ctx context.Context, item queue.Item) *outcome.Error {
-	j := &job{item: item, verdict: make(chan *outcome.Error, 1)}
-	err := d.duty.Post(ctx, func() {
+	w := &waiter{item: item, result: make(chan *outcome.Error, 1)}
+	err := d.loop.Post(ctx, func() {
 		if refusal := d.queue.Enqueue(item, time.Now()); refusal != nil {
-			j.verdict <- refusal
+			w.result <- refusal
 			return
 		}
-		d.jobs[item.ID] = j
+		d.waiters[item.ID] = w
 	})
 	if err != nil {
 		return errCancelled
 	}
 	select {
-	case refusal := <-j.verdict:
+	case refusal := <-w.result:
 		return refusal
 	case <-ctx.Done():
-		return d.withdraw(ctx, j)
+		return d.withdraw(ctx, w)
 	}
 }
 
-// errCancelled is the end of a request whose caller went before it started.
+// errCancelled is the refusal of a request whose caller disconnected before it
+// started.
 var errCancelled = &outcome.Error{Outcome: outcome.NotRun, Reason: "cancelled"}
 
-func (d *dispatcher) withdraw(ctx context.Context, j *job) *outcome.Error {
-	_ = d.duty.Post(context.WithoutCancel(ctx), func() {
-		if _, ok := d.queue.Remove(j.item.ID); ok {
-			delete(d.jobs, j.item.ID)
-			j.verdict <- errCancelled
+func (d *dispatcher) withdraw(ctx context.Context, w *waiter) *outcome.Error {
+	_ = d.loop.Post(context.WithoutCancel(ctx), func() {
+		if _, ok := d.queue.Remove(w.item.ID); ok {
+			delete(d.waiters, w.item.ID)
+			w.result <- errCancelled
 		}
 	})
-	return <-j.verdict
+	return <-w.result
 }
 
 // served charges tokens to a running request.
 func (d *dispatcher) served(ctx context.Context, id string, tokens int64) {
-	_ = d.duty.Post(ctx, func() { d.queue.Served(id, tokens, time.Now()) })
+	_ = d.loop.Post(ctx, func() { d.queue.Served(id, tokens, time.Now()) })
 }
 
-// done ends a running request that took tokens in all.
+// done ends a running request that took the given number of tokens in total.
 func (d *dispatcher) done(id string, tokens int64) {
-	_ = d.duty.Post(context.Background(), func() { d.queue.Done(id, tokens, time.Now()) })
+	_ = d.loop.Post(context.Background(), func() { d.queue.Done(id, tokens, time.Now()) })
 }
--- a/agent/dispatch_test.go
+++ b/agent/dispatch_test.go
@@ -24,14 +24,14 @@
 	"verbenashift/core/request/target"
 )
 
-// Guards against giving a target more requests than the limit that it names.
+// Guards against sending a target more requests than the rate limit that it set.
 func TestQueueKeepsToTheLimitOfItsTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		a := &Agent{dispatcher: newDispatcher(Settings{Slots: 4, Items: 100, Tokens: 10000, Rate: 1000}), log: slog.New(slog.DiscardHandler)}
-		go a.dispatcher.duty.Run(ctx)
+		a := &Agent{dispatcher: newDispatcher(Settings{Slots: 4, QueueItems: 100, QueueTokens: 10000, Rate: 1000}), log: slog.New(slog.DiscardHandler)}
+		go a.dispatcher.loop.Run(ctx)
 		limit := 2.0
 		(&run{agent: a, req: &wire.SubmitRequest{}}).applyBackpressure(target.Backpressure{Limit: &limit})
 		var started atomic.Int32
@@ -48,18 +48,19 @@
 		is.Equal(started.Load(), int32(8))
 		(&run{agent: a, req: &wire.SubmitRequest{}}).applyBackpressure(target.Backpressure{})
 		synctest.Wait()
-		is.Equal(started.Load(), int32(20)) // it names none any more
+		is.Equal(started.Load(), int32(20)) // the target has cleared its limit
 	})
 }
 
-// Guards against starting requests while the target wants none, and never again after that.
+// Guards against starting requests during a pause that the target requested, and against
+// starting none after its end.
 func TestQueueKeepsToThePauseOfItsTarget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		a := &Agent{dispatcher: newDispatcher(Settings{Slots: 4, Items: 100, Tokens: 10000, Rate: 1000}), log: slog.New(slog.DiscardHandler)}
-		go a.dispatcher.duty.Run(ctx)
+		a := &Agent{dispatcher: newDispatcher(Settings{Slots: 4, QueueItems: 100, QueueTokens: 10000, Rate: 1000}), log: slog.New(slog.DiscardHandler)}
+		go a.dispatcher.loop.Run(ctx)
 		(&run{agent: a, req: &wire.SubmitRequest{}}).applyBackpressure(target.Backpressure{Pause: 3 * time.Second})
 		started := make(chan time.Time, 1)
 		began := time.Now()
@@ -73,21 +74,21 @@
 	})
 }
 
-// Guards against taking in requests that wait for a target which wants none, while others have
-// room.
+// Guards against queueing requests for a target that requested a pause, while other targets
+// have free slots.
 func TestAgentOfAPausedTargetRefuses(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	a := &Agent{dispatcher: newDispatcher(Settings{Slots: 1}), follower: follow.New(follow.Config{}), log: slog.New(slog.DiscardHandler)}
-	go a.dispatcher.duty.Run(ctx)
+	go a.dispatcher.loop.Run(ctx)
 	r := &run{agent: a, req: &wire.SubmitRequest{}, answer: &answer{log: draft.New(100)}}
 	refused := &target.RefusedError{Status: http.StatusServiceUnavailable, Backpressure: target.Backpressure{Pause: time.Minute}}
 	end := r.failure(ctx, refused)
 	is.Equal(end.Reason, peer.ReasonPaused)
 	is.Equal(end.RetryAfter, time.Minute)
 	r.applyBackpressure(refused.Backpressure)
-	is.NoErr(a.dispatcher.duty.Do(ctx, func() {}))
+	is.NoErr(a.dispatcher.loop.Do(ctx, func() {}))
 	m := http.NewServeMux()
 	m.Handle(wireconnect.AgentServiceSubmitProcedure, peer.HandleFrames(a.submit))
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,7 +105,7 @@
 	is.True(last.RetryAfterMs > 50000 && last.RetryAfterMs <= 60000)
 }
 
-// Guards against new requests to a target that has said that it leaves.
+// Guards against new requests to a target that has announced its shutdown.
 func TestAgentOfALeavingTargetDrains(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
@@ -116,14 +117,14 @@
 		members:  follow.NewMembers(member.Self{Name: "a"}),
 		register: newRegister(Settings{}, identity{}, nil, nil, f, log),
 	}
-	go a.dispatcher.duty.Run(ctx)
-	go a.register.duty.Run(ctx)
+	go a.dispatcher.loop.Run(ctx)
+	go a.register.loop.Run(ctx)
 	(&run{agent: a, req: &wire.SubmitRequest{}}).applyBackpressure(target.Backpressure{Leaving: true})
 	is.True(a.draining.Load())
 	is.True(a.load().Draining)
 }
 
-// Guards against an agent that does not read the limit in the answer of its target.
+// Guards against an agent that ignores the rate limit in an answer of its target.
 func TestLimitOfTheTargetIsHeeded(t *testing.T) {
 	is := is.New(t)
 	ctx, stop := context.WithCancel(t.Context())
@@ -138,13 +139,13 @@
 	for _, path := range []string{"/", "/refused"} {
 		a := &Agent{
 			dispatcher: newDispatcher(Settings{Slots: 1}), log: slog.New(slog.DiscardHandler),
-			plain: target.NewService(s.Listener.Addr().String(), target.Options{}),
+			serviceTarget: target.NewService(s.Listener.Addr().String(), target.Options{}),
 		}
-		go a.dispatcher.duty.Run(ctx)
+		go a.dispatcher.loop.Run(ctx)
 		r := &run{agent: a, answer: &answer{log: draft.New(100)}, req: &wire.SubmitRequest{Call: &wire.Call{Method: http.MethodGet, Path: path}}}
 		r.service(ctx)
 		paced := false
-		is.NoErr(a.dispatcher.duty.Do(ctx, func() { paced = !a.dispatcher.pacer.ReadyAt().IsZero() }))
+		is.NoErr(a.dispatcher.loop.Do(ctx, func() { paced = !a.dispatcher.pacer.ReadyAt().IsZero() }))
 		is.True(paced)
 	}
 }
--- a/agent/ending.go
+++ b/agent/ending.go
@@ -13,7 +13,7 @@
 	"verbenashift/core/request/target"
 )
 
-// cancelAtTarget stops the engine's work on a request that nobody wants.
+// cancelAtTarget cancels a request at the engine whose answer is no longer needed.
 func (r *run) cancelAtTarget(ctx context.Context) {
 	if r.agent.engine == nil {
 		return
@@ -23,8 +23,9 @@
 	_, _ = r.agent.engine.Cancel(ctx, r.req.RequestId)
 }
 
-// failure turns an error of the target into an ending. Only what surely never
-// reached the target, or was refused by it before it ran, is not-run.
+// failure converts an error of the target to an ending. The outcome is NotRun only
+// if the request certainly never reached the target, or was refused by it before
+// it ran.
 func (r *run) failure(ctx context.Context, err error) draft.Ending {
 	if ctx.Err() != nil {
 		return r.stopped(ctx)
@@ -44,8 +45,9 @@
 	}
 }
 
-// refusal passes a target's refusal of the request itself on to the caller, as
-// it stands; a busy target has not run it.
+// refusal converts a target's refusal to an ending. A busy target has not run the
+// request; an answer that rejects the request itself is passed to the caller
+// unchanged.
 func (r *run) refusal(e *target.RefusedError) draft.Ending {
 	switch {
 	case e.Backpressure.Pause > 0:
@@ -62,11 +64,12 @@
 	return draft.Ending{Outcome: outcome.Complete}
 }
 
-// applyBackpressure has the queue keep to what the target has asked for in an answer.
+// applyBackpressure applies the limits that the target requested in an answer to the
+// queue.
 func (r *run) applyBackpressure(a target.Backpressure) {
 	d := r.agent.dispatcher
-	// An agent that stops starts nothing more.
-	_ = d.duty.Post(context.Background(), func() {
+	// The error is ignored: an agent that stops starts no more requests.
+	_ = d.loop.Post(context.Background(), func() {
 		now := time.Now()
 		if d.pacer.SetLimit(a.Limit, now) {
 			r.agent.log.Info("target set a rate limit", "request-id", r.req.RequestId, "requests-a-second", a.Limit)
@@ -78,7 +81,7 @@
 	}
 	if a.Leaving && !r.agent.draining.Load() {
 		r.agent.log.Info("target announced its shutdown", "request-id", r.req.RequestId)
-		r.agent.leave(context.Background())
+		r.agent.startDraining(context.Background())
 	}
 }
 
@@ -92,14 +95,14 @@
 	return draft.Ending{Outcome: outcome.Unknown, Reason: reason}
 }
 
-// service makes a call of a plain service and passes its answer on as it is.
+// service makes a call to a plain service and passes its answer on unchanged.
 func (r *run) service(ctx context.Context) draft.Ending {
 	h := make(http.Header, len(r.req.Call.Headers))
 	for _, x := range r.req.Call.Headers {
 		h[http.CanonicalHeaderKey(x.Name)] = x.Values
 	}
 	h.Del(peer.HeaderSharedPrefix)
-	a, err := r.agent.plain.Do(ctx, target.Call{
+	a, err := r.agent.serviceTarget.Do(ctx, target.Call{
 		Method: r.req.Call.Method, Path: r.req.Call.Path, Tags: r.tags(ctx), Header: h, Body: r.req.Call.Body,
 	})
 	if err != nil {
--- a/agent/groups.go
+++ b/agent/groups.go
@@ -6,6 +6,7 @@
 	"fmt"
 
 	"connectrpc.com/connect"
+
 	"verbenashift/agent/steering"
 	"verbenashift/core/configuration/config"
 	"verbenashift/core/experts/group"
@@ -13,9 +14,9 @@
 	"verbenashift/core/peer/wire"
 )
 
-// regroup takes in a configuration: this agent's part in a group begins, goes
-// on or ends.
-func (a *Agent) regroup(x *config.Index) {
+// updateGroup applies a configuration: it starts, updates or stops this agent's
+// participation in a group.
+func (a *Agent) updateGroup(x *config.Index) {
 	a.groupMu.Lock()
 	defer a.groupMu.Unlock()
 	if a.engine == nil {
@@ -38,8 +39,9 @@
 	if s == nil {
 		return
 	}
-	// Each part has its own names: one that came to the lease or the reports of
-	// an earlier part of this process would give out that one's numbers again.
+	// Each participant has its own lease owner and incarnation: one that found the
+	// lease or the reports of an earlier participant of this process would issue
+	// the earlier one's numbers again.
 	a.groupStarts++
 	owner := fmt.Sprintf("%s/%d/%d", a.cfg.Name, a.id.incarnation, a.groupStarts)
 	peers := &steering.Peers{Self: a.cfg.Name, Dialer: a.dialer}
@@ -53,8 +55,8 @@
 	go g.Run()
 }
 
-// groupOf returns this agent's part in a group.
-func (a *Agent) groupOf(name string) (*steering.Participant, error) {
+// participant returns this agent's participant in a group.
+func (a *Agent) participant(name string) (*steering.Participant, error) {
 	g := a.group.Load()
 	if g == nil || g.Name() != name {
 		return nil, connect.NewError(connect.CodeNotFound, steering.ErrNotMember)
@@ -62,9 +64,9 @@
 	return g, nil
 }
 
-// Group takes a message of another agent of the group.
+// Group handles a message of another agent of the group.
 func (a *Agent) Group(ctx context.Context, req *connect.Request[wire.GroupRequest]) (*connect.Response[wire.GroupResponse], error) {
-	g, err := a.groupOf(req.Msg.Group)
+	g, err := a.participant(req.Msg.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +82,7 @@
 
 // GroupMap returns the content of a map that this agent or its rank has.
 func (a *Agent) GroupMap(ctx context.Context, req *connect.Request[wire.GroupMapRequest]) (*connect.Response[wire.GroupMapResponse], error) {
-	g, err := a.groupOf(req.Msg.Group)
+	g, err := a.participant(req.Msg.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +99,7 @@
 
 // GroupLoads returns the loads of this agent's rank.
 func (a *Agent) GroupLoads(ctx context.Context, req *connect.Request[wire.GroupLoadsRequest]) (*connect.Response[wire.GroupLoadsResponse], error) {
-	g, err := a.groupOf(req.Msg.Group)
+	g, err := a.participant(req.Msg.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -115,7 +117,7 @@
 // GroupFetch has this agent's rank read a part of an expert's weights.
 func (a *Agent) GroupFetch(ctx context.Context, req *connect.Request[wire.GroupFetchRequest]) (*connect.Response[wire.GroupFetchResponse], error) {
 	m := req.Msg
-	g, err := a.groupOf(m.Group)
+	g, err := a.participant(m.Group)
 	if err != nil {
 		return nil, err
 	}
--- a/agent/identity.go
+++ b/agent/identity.go
@@ -11,45 +11,45 @@
 	"verbenashift/core/configuration/store"
 )
 
-// identity tells the lives of one agent name apart.
+// identity distinguishes the processes that run under one agent name.
 type identity struct {
-	// incarnation grows from process to process.
+	// incarnation increases from process to process.
 	incarnation uint64
-	// first says that no earlier process had this name, so that nothing can
-	// have been forgotten.
+	// first reports whether no earlier process had this name, so that no state
+	// can have been lost.
 	first bool
 }
 
-// The tries to reach the store at the start. A deployment's processes start
-// together, and an agent that gives up at once would count as a later process
-// of its name, whose new keys are unknown for a long time.
+// The attempts to reach the store at startup. The processes of a deployment start
+// together, and an agent that does not retry would count as a later process of
+// its name, for which new keys are unknown for a long time.
 const (
-	identifyTries = 10
-	identifyPause = 300 * time.Millisecond
+	identifyAttempts = 10
+	identifyDelay    = 300 * time.Millisecond
 )
 
-// identify takes the next incarnation from the store. While the store is down
-// the wall clock serves, and the process counts as a later one, which is the
-// safe side: it asks the others for what it may have forgotten.
+// identify takes the next incarnation from the store. While the store is down it
+// uses the wall clock, and the process counts as a later one, which is safe: it
+// queries the other agents for state that it may have lost.
 func identify(ctx context.Context, s *store.Client, name string, log *slog.Logger) identity {
 	var tried identity
-	for range identifyTries {
+	for range identifyAttempts {
 		id, err := tryIdentify(ctx, s, name, tried)
 		if err == nil {
 			return id
 		}
 		tried = id
-		log.Warn("no incarnation from the store yet", "error", err)
-		time.Sleep(identifyPause)
+		log.Warn("could not record the incarnation in the store; retrying", "error", err)
+		time.Sleep(identifyDelay)
 	}
 	id := identity{incarnation: uint64(time.Now().UnixMilli())}
-	log.Warn("incarnation taken from the clock", "incarnation", id.incarnation)
+	log.Warn("incarnation not recorded in the store; taken from the clock", "incarnation", id.incarnation)
 	return id
 }
 
-// tryIdentify records the next incarnation. It returns what it tried to record
-// also with an error: where only the answer was lost, the next try finds that
-// number in the store and knows it for its own.
+// tryIdentify records the next incarnation. It returns the number that it tried
+// to record also with an error: if only the answer was lost, the next attempt
+// finds that number in the store and recognizes it as its own.
 func tryIdentify(ctx context.Context, s *store.Client, name string, tried identity) (identity, error) {
 	key := "agents/" + name
 	kv, err := s.Get(ctx, key)
--- a/agent/listen.go
+++ b/agent/listen.go
@@ -29,7 +29,7 @@
 	m := http.NewServeMux()
 	m.Handle(path, h)
 	m.Handle(wireconnect.AgentServiceSubmitProcedure, peer.HandleFrames(a.submit))
-	m.Handle(wireconnect.AgentServiceAttachProcedure, peer.HandleFrames(a.readOn))
+	m.Handle(wireconnect.AgentServiceAttachProcedure, peer.HandleFrames(a.handleAttach))
 	if err := a.serve(a.cfg.Peers, peer.NewServer(m, tls), shutdown); err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// unready returns why the agent takes no work, or "".
+// unready returns why the agent accepts no work, or "".
 func (a *Agent) unready() string {
 	switch {
 	case a.draining.Load():
@@ -70,7 +70,7 @@
 	return ""
 }
 
-// revisions returns those that were in force here.
+// revisions returns the configuration revisions that were in force here.
 func (a *Agent) revisions() observe.Revisions {
 	history := []uint64{}
 	for _, f := range a.follower.History() {
@@ -79,11 +79,11 @@
 	return observe.Revisions{Revision: a.follower.Revision(), History: history}
 }
 
-// drain ends the agent without cutting a request off: it refuses new work at
-// once, lets what runs end, hands over what is left at the bound and leaves its
-// register with a peer.
+// drain stops the agent without breaking a request off: it refuses new work at
+// once, waits for the running requests, hands over those that are still running
+// after DrainBound, and hands its register over to a peer.
 func (a *Agent) drain(context.Context) error {
-	a.leave(a.ctx)
+	a.startDraining(a.ctx)
 	if g := a.group.Load(); g != nil {
 		g.Resign(a.ctx)
 	}
@@ -103,29 +103,32 @@
 	return nil
 }
 
-// leave takes no new work from now on. What is queued and running goes on.
-func (a *Agent) leave(ctx context.Context) {
+// startDraining makes the agent refuse new work. Queued and running requests
+// continue.
+func (a *Agent) startDraining(ctx context.Context) {
 	if a.draining.Swap(true) {
 		return
 	}
-	a.log.Info("taking no new work")
+	a.log.Info("refusing new work")
 	a.members.SetDraining()
 	_ = a.register.do(ctx, func(time.Duration) { a.register.executor.Drain() })
 }
 
-// endAnswers waits for what runs, and ends what is left at the bound by a
-// handover: the entries read on at this agent's next process, or elsewhere.
-// Without it they would learn of the end by a broken connection only.
+// endAnswers waits for the running answers, and ends those that are left after
+// DrainBound with a handover: the entries resume them at this agent's next process
+// or at another agent. Without it they would notice the end only by a broken
+// connection.
 func (a *Agent) endAnswers() {
-	if a.idle(a.cfg.Bound) {
+	if a.idle(a.cfg.DrainBound) {
 		return
 	}
-	a.answers.each(func(ans *answer) {
+	a.answers.forEachRunning(func(ans *answer) {
 		ans.log.End(draft.Ending{Outcome: outcome.Unknown, Reason: reasonDraining, Handover: true})
 	})
 }
 
-// idle waits until nothing runs, for at most d.
+// idle waits until no answer is running, for at most d, and reports whether that
+// is so.
 func (a *Agent) idle(d time.Duration) bool {
 	return pause.Until(d, func() bool { return a.answers.running() == 0 })
 }
--- a/agent/main.go
+++ b/agent/main.go
@@ -1,6 +1,6 @@
-// Agent is the process beside one target and the only way to it. It holds the
-// queue of the target, the register of what may run at most once, the answers
-// while they grow, and the target's load at first hand.
+// Agent runs beside one target and is the only access path to it. It holds the
+// target's queue, the register of the keys that may run at most once, the
+// answers in progress, and a direct measurement of the target's load.
 //
 // # Usage
 //
@@ -27,7 +27,7 @@
 	}.Main()
 }
 
-// check checks what no single setting shows.
+// check checks the settings that depend on each other.
 func (c *Settings) check(file string) error {
 	if err := c.Peer.Check(c.Peers); err != nil {
 		return errors.Wrapf(err, "settings file %s: [tls]", file)
@@ -40,7 +40,7 @@
 
 // serve runs the agent until it is told to stop.
 func serve(cfg Settings) int {
-	return process.Run(cfg.Bound+time.Minute,
+	return process.Run(cfg.DrainBound+time.Minute,
 		fx.Supply(cfg),
 		fx.Provide(newLogger, newTracer, newDialer, newStore, newFollower, newIdentity, newAgent),
 		fx.Invoke((*Agent).start),
--- a/agent/orders.go
+++ b/agent/orders.go
@@ -15,7 +15,7 @@
 	"verbenashift/core/request/target"
 )
 
-// The reasons by which an order is refused without being sent.
+// The reasons of an order's refusal.
 const (
 	reasonNoEngine    = "no-engine"
 	reasonOtherKind   = "kind-belongs-to-the-group"
@@ -24,41 +24,41 @@
 	reasonNotExecuted = "target-refused"
 )
 
-// orderLifetime bounds how long an order can wait at a target before it is
-// carried out or dropped.
+// orderLifetime bounds how long an order can wait at a target before it is applied
+// or dropped.
 const orderLifetime = callTimeout
 
-// orderGuard lets the orders of others through to the target, one at a time and
-// none that is older than the last.
+// orderGuard forwards orders to the target one at a time, and refuses those that
+// are older than the last.
 type orderGuard struct {
-	mu    sync.Mutex
-	guard *lease.Guard
-	began time.Time
+	mu      sync.Mutex
+	guard   *lease.Guard
+	started time.Time
 }
 
-// Order passes a fenced order on to the target. It is refused if a later one is
-// known, and after a lost answer until the target has been read.
+// Order forwards a fenced order to the target. The order is refused if a later one
+// is known, and after a lost answer until the target's last order has been read.
 func (a *Agent) Order(ctx context.Context, req *connect.Request[wire.OrderRequest]) (*connect.Response[wire.OrderResponse], error) {
 	m := req.Msg
 	if a.engine == nil {
 		return connect.NewResponse(&wire.OrderResponse{Reason: reasonNoEngine}), nil
 	}
 	if m.Kind == rank.OrderKind {
-		// A map changes by the group's own protocol alone.
+		// Expert maps are changed only by the group protocol.
 		return connect.NewResponse(&wire.OrderResponse{Reason: reasonOtherKind}), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	o := target.Order{Fence: m.Fence, Sequence: m.Sequence, Kind: m.Kind, Argument: m.Argument}
-	return connect.NewResponse(a.orders.pass(ctx, a, o)), nil
+	return connect.NewResponse(a.orders.forward(ctx, a, o)), nil
 }
 
-// pass sends an order if the guard allows it.
-func (g *orderGuard) pass(ctx context.Context, a *Agent, o target.Order) *wire.OrderResponse {
+// forward sends an order if the guard allows it.
+func (g *orderGuard) forward(ctx context.Context, a *Agent, o target.Order) *wire.OrderResponse {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.begin(a)
-	g.learn(ctx, a.engine)
+	g.initGuard(a)
+	g.readApplied(ctx, a.engine)
 	var stale *lease.StaleError
 	switch err := g.guard.Admit(lease.Number{Fence: o.Fence, Sequence: o.Sequence}); {
 	case errors.As(err, &stale):
@@ -70,30 +70,31 @@
 	return g.send(ctx, a.engine, o)
 }
 
-// begin makes the guard for the target's habit, as configured.
-func (g *orderGuard) begin(a *Agent) {
+// initGuard creates the guard for the target's configured fencing support.
+func (g *orderGuard) initGuard(a *Agent) {
 	if g.guard != nil {
 		return
 	}
-	habit := lease.IgnoresFencing
+	fencing := lease.IgnoresFencing
 	if x := a.follower.Index(); x != nil {
 		if t, ok := x.Target(a.cfg.Name); ok && t.HonoursFencing {
-			habit = lease.HonoursFencing
+			fencing = lease.HonoursFencing
 		}
 	}
-	g.guard, g.began = lease.NewGuard(habit, orderLifetime), time.Now()
+	g.guard, g.started = lease.NewGuard(fencing, orderLifetime), time.Now()
 }
 
-// learn reads what the target has applied last, as far as a reading proves it.
-func (g *orderGuard) learn(ctx context.Context, e *target.Engine) {
-	if g.guard.CanRead(time.Since(g.began)) != nil {
+// readApplied reads the order that the target applied last, if the guard can rely
+// on a read now.
+func (g *orderGuard) readApplied(ctx context.Context, e *target.Engine) {
+	if g.guard.CanRead(time.Since(g.started)) != nil {
 		return
 	}
 	last, err := e.LastOrder(ctx)
 	if err != nil {
 		return
 	}
-	g.guard.SetApplied(time.Since(g.began), lease.Number{Fence: last.Fence, Sequence: last.Sequence})
+	g.guard.SetApplied(time.Since(g.started), lease.Number{Fence: last.Fence, Sequence: last.Sequence})
 }
 
 func (g *orderGuard) send(ctx context.Context, e *target.Engine, o target.Order) *wire.OrderResponse {
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -16,7 +16,7 @@
 	"verbenashift/core/request/target"
 )
 
-// orderTarget is a target that carries out any order and tells the last one.
+// orderTarget is a target that applies any order and reports the last one.
 type orderTarget struct {
 	mu   sync.Mutex
 	done []target.Order
@@ -43,10 +43,10 @@
 	_ = json.NewEncoder(w).Encode(last)
 }
 
-// An order of a holder whose lease has passed on comes after one of its
-// successor, to a target that does not look at the number; and the answer to an
-// order is lost, after which the agent must not send another before it has read
-// what the target did.
+// An order of a holder whose lease has passed to another arrives after one of its
+// successor, at a target that does not check the fencing token. And the answer to
+// an order is lost, after which the agent must not send another before it has read
+// the target's last order.
 func TestOrdersAreGuarded(t *testing.T) {
 	is := is.New(t)
 	o := &orderTarget{done: []target.Order{{Fence: 4, Sequence: 2, Kind: "drain"}}}
@@ -54,18 +54,18 @@
 	defer s.Close()
 	a := &Agent{engine: target.NewEngine(strings.TrimPrefix(s.URL, "http://"), target.Options{}), groupMetrics: steering.NewMetrics()}
 	g := &a.orders
-	g.guard, g.began = lease.NewGuard(lease.HonoursFencing, time.Second), time.Now()
-	give := func(fence, sequence uint64) string {
-		resp := g.pass(t.Context(), a, target.Order{Fence: fence, Sequence: sequence, Kind: "set-role"})
+	g.guard, g.started = lease.NewGuard(lease.HonoursFencing, time.Second), time.Now()
+	order := func(fence, sequence uint64) string {
+		resp := g.forward(t.Context(), a, target.Order{Fence: fence, Sequence: sequence, Kind: "set-role"})
 		is.Equal(resp.Applied, resp.Reason == "")
 		return resp.Reason
 	}
-	is.Equal(give(4, 2), steering.ReasonStaleFence) // learned from the target
-	is.Equal(give(6, 1), "")
-	is.Equal(give(5, 9), steering.ReasonStaleFence)
+	is.Equal(order(4, 2), steering.ReasonStaleFence) // learned from the target
+	is.Equal(order(6, 1), "")
+	is.Equal(order(5, 9), steering.ReasonStaleFence)
 	o.lose = true
-	is.Equal(give(6, 2), reasonAnswerLost)
-	is.Equal(give(6, 2), steering.ReasonStaleFence) // it had taken effect
-	is.Equal(give(6, 3), "")
+	is.Equal(order(6, 2), reasonAnswerLost)
+	is.Equal(order(6, 2), steering.ReasonStaleFence) // it had taken effect
+	is.Equal(order(6, 3), "")
 	is.Equal(len(o.done), 4)
 }
--- a/agent/register.go
+++ b/agent/register.go
@@ -18,35 +18,36 @@
 	"verbenashift/core/request/booking"
 )
 
-// The bounds of the register's calls to other agents.
+// The limits of the register's event queue and of its calls to other agents, and
+// the tolerated difference between wall clocks.
 const (
-	registerRing  = 1024
-	sealTimeout   = 2 * time.Second
-	sealRetry     = time.Second
-	handoverPeers = 3
-	clockSlack    = 10 * time.Minute
+	registerQueueSize = 1024
+	sealTimeout       = 2 * time.Second
+	sealRetry         = time.Second
+	maxBackupHolders  = 3
+	clockTolerance    = 10 * time.Minute
 )
 
-// reasonCutOff is the answer of a home that hears nobody.
-const reasonCutOff = "home-cut-off"
+// reasonIsolated is the answer of a home that has no contact with other agents.
+const reasonIsolated = "home-cut-off"
 
-// register owns this agent's two parts in running a key at most once: home of
-// the keys that hash to it, executor of the keys that its target runs.
+// register owns this agent's state for running a key at most once: as the home of
+// the keys that hash to it, and as the executor of the keys that its target runs.
 type register struct {
-	duty     *duty.Loop
-	home     booking.Home
-	executor booking.Executor
-	custody  booking.Backups
-	store    *store.Client
-	adopt    adoption
-	started  time.Time
-	dialer   *peer.Dialer
-	follower *follow.Follower
-	log      *slog.Logger
-	// addresses are the agents of all targets that were ever configured here:
-	// a removed target's agent still has records.
+	loop      *duty.Loop
+	home      booking.Home
+	executor  booking.Executor
+	backups   booking.Backups
+	store     *store.Client
+	deadHomes deadHomeRecords
+	started   time.Time
+	dialer    *peer.Dialer
+	follower  *follow.Follower
+	log       *slog.Logger
+	// addresses are those of the agents of all targets that were ever configured
+	// here: the agent of a removed target still has records.
 	addresses sync.Map
-	// configured is set with the first target list; the rebuild follows it.
+	// configured is set with the first target list, which starts the rebuild.
 	configured bool
 	ready      chan struct{}
 }
@@ -54,10 +55,10 @@
 func newRegister(cfg Settings, id identity, s *store.Client, d *peer.Dialer, f *follow.Follower, log *slog.Logger) *register {
 	lim := booking.Limits{Retention: cfg.Retention, MaxRun: cfg.MaxRun, ConfigLag: cfg.ConfigLag}
 	return &register{
-		duty:     duty.New(registerRing),
+		loop:     duty.New(registerQueueSize),
 		home:     booking.Home{Name: cfg.Name, Incarnation: id.incarnation, First: id.first, Limits: lim},
 		executor: booking.Executor{Name: cfg.Name, Incarnation: id.incarnation, First: id.first, Limits: lim},
-		custody:  booking.Backups{Limits: lim},
+		backups:  booking.Backups{Limits: lim},
 		store:    s,
 		started:  time.Now(),
 		dialer:   d,
@@ -67,18 +68,18 @@
 	}
 }
 
-// now is the time since the process started; it never goes back.
+// now returns the time since the process started, by the monotonic clock.
 func (r *register) now() time.Duration {
 	return time.Since(r.started)
 }
 
-// do runs fn on the register's goroutine.
+// do runs fn on the register's event loop.
 func (r *register) do(ctx context.Context, fn func(now time.Duration)) error {
-	return r.duty.Do(ctx, func() { fn(r.now()) })
+	return r.loop.Do(ctx, func() { fn(r.now()) })
 }
 
-// wait returns when the register of the process before has been taken back, if
-// there is one. An executor that answers earlier would deny what it ran.
+// wait waits until the register of the previous process, if there is one, has been
+// restored. An executor that answered earlier would deny runs of that process.
 func (r *register) wait(ctx context.Context) error {
 	select {
 	case <-r.ready:
@@ -88,9 +89,9 @@
 	}
 }
 
-// configure puts a new target list in force, and starts the rebuild after the
-// first one. Lists that this process has missed come first, in order: keys may
-// have been claimed at the homes of any of them.
+// configure applies a new target list, and starts the rebuild after the first one.
+// Lists that this process has missed are applied first, in order: keys may have
+// been claimed at the homes of any of them.
 func (r *register) configure(ctx context.Context, x *config.Index) {
 	cfg := x.Config()
 	for _, t := range cfg.Targets {
@@ -98,7 +99,7 @@
 	}
 	lists := r.pastLists(cfg)
 	lists = append(lists, booking.Generation{Revision: cfg.Revision, Names: config.HomeNames(cfg), Executors: config.TargetNames(cfg)})
-	_ = r.duty.Post(ctx, func() {
+	_ = r.loop.Post(ctx, func() {
 		for _, g := range lists {
 			r.home.Configure(g, r.now())
 		}
@@ -106,14 +107,14 @@
 			return
 		}
 		r.configured = true
-		go r.begin(ctx)
+		go r.start(ctx)
 	})
 }
 
 // pastLists returns the replaced target lists whose keys may still matter. The
-// wall clocks of entries and agents may differ by up to clockSlack.
+// wall clocks of entries and agents may differ by up to clockTolerance.
 func (r *register) pastLists(cfg config.Config) []booking.Generation {
-	life := r.home.Limits.Window() + r.home.Limits.ConfigLag + clockSlack
+	life := r.home.Limits.Window() + r.home.Limits.ConfigLag + clockTolerance
 	oldest := time.Now().Add(-life).UnixMilli()
 	var lists []booking.Generation
 	for _, p := range cfg.PastTargets {
@@ -124,9 +125,9 @@
 	return lists
 }
 
-// begin takes back a register that was left with a peer and then seals the
+// start restores a register that was handed over to a peer and then seals the
 // executors, so that earlier grants of this home can do no harm.
-func (r *register) begin(ctx context.Context) {
+func (r *register) start(ctx context.Context) {
 	if x, ok := r.recall(ctx); ok {
 		_ = r.do(ctx, func(now time.Duration) {
 			r.home.Import(x.Home, now)
@@ -141,7 +142,7 @@
 	}
 }
 
-// sealAt seals one executor and tries until it answers.
+// sealAt seals one executor and retries until it answers.
 func (r *register) sealAt(ctx context.Context, name string) {
 	for ctx.Err() == nil {
 		if r.trySeal(ctx, name) == nil {
@@ -181,7 +182,7 @@
 	return a
 }
 
-// seal answers another home that seals this executor.
+// seal handles the request of another home to seal this executor.
 func (r *register) seal(ctx context.Context, m *wire.SealRequest) (*wire.SealResponse, error) {
 	if err := r.wait(ctx); err != nil {
 		return nil, err
@@ -205,17 +206,17 @@
 	return resp, nil
 }
 
-// claim decides on a claim, after it has fetched the key's record from earlier
-// homes where the target list has changed.
+// claim decides on a claim. If the target list has changed, it first fetches the
+// key's record from the previous homes.
 func (r *register) claim(ctx context.Context, m *wire.ClaimRequest) (booking.Answer, error) {
 	c := booking.Claim{
 		Key: booking.Key(m.Key), Body: booking.Digest(m.BodyDigest), RequestID: m.RequestId,
 		Executor: m.Executor, ExecutorIncarnation: m.ExecutorIncarnation, Revision: m.Revision,
 	}
-	// A home that is cut off from all others may act on an old target list: a
-	// newer list's home would grant beside it.
+	// A home that is isolated from all others may use an old target list: the home
+	// by a newer list could grant the same key.
 	if r.follower.SinceConfirmed() > r.home.Limits.ConfigLag {
-		return booking.Answer{Kind: booking.Rebuilding, Reason: reasonCutOff, RetryAfter: time.Second}, nil
+		return booking.Answer{Kind: booking.Rebuilding, Reason: reasonIsolated, RetryAfter: time.Second}, nil
 	}
 	var a booking.Answer
 	claim := func(now time.Duration) { a = r.home.Claim(c, now) }
@@ -231,15 +232,15 @@
 	if err := r.do(ctx, claim); err != nil {
 		return a, err
 	}
-	// A previous home that cannot be asked may have granted the key.
+	// A previous home that cannot be reached may have granted the key.
 	if a.Kind == booking.NeedTransfer {
 		a = booking.Answer{Kind: booking.Unknown, Reason: booking.ReasonUnreachable}
 	}
 	return a, nil
 }
 
-// address returns the address of a target's agent, which may have left the
-// configuration; "" if this process never knew it.
+// address returns the address of a target's agent, also of one that was removed
+// from the configuration; "" if this process never knew it.
 func (r *register) address(name string) string {
 	if a, ok := r.addresses.Load(name); ok {
 		return a.(string)
@@ -247,12 +248,12 @@
 	return ""
 }
 
-// transfer asks a previous home for a key's record, and, where it does not
-// answer, the executors for what they hold of that home.
+// transfer requests a key's record from a previous home, or, if that does not
+// answer, from the executors.
 func (r *register) transfer(ctx context.Context, key booking.Key, name string) {
-	a, err := r.askTransfer(ctx, key, name)
+	a, err := r.requestTransfer(ctx, key, name)
 	if err != nil {
-		a, err = r.adopted(ctx, key, name)
+		a, err = r.recoverRecord(ctx, key, name)
 	}
 	if err != nil {
 		r.log.Warn("previous home unreachable", "home", name, "error", err)
@@ -261,7 +262,7 @@
 	_ = r.do(ctx, func(now time.Duration) { r.home.Transferred(key, name, a, now) })
 }
 
-func (r *register) askTransfer(ctx context.Context, key booking.Key, name string) (booking.TransferAnswer, error) {
+func (r *register) requestTransfer(ctx context.Context, key booking.Key, name string) (booking.TransferAnswer, error) {
 	var a booking.TransferAnswer
 	ctx, cancel := context.WithTimeout(ctx, sealTimeout)
 	defer cancel()
--- a/agent/run.go
+++ b/agent/run.go
@@ -22,7 +22,7 @@
 	"verbenashift/core/request/target"
 )
 
-// The reasons with which a run ends.
+// The reasons of a run's outcome.
 const (
 	reasonUnreachable = "target-unreachable"
 	reasonRefused     = "target-refused"
@@ -33,13 +33,14 @@
 	reasonMaxRun      = "run-too-long"
 )
 
-// The steps in which a run reports its progress, and the tries to read on
-// after its connection to the target broke.
+// chargeStep is the number of tokens after which a run is charged in the queue.
+// The reattach constants bound the attempts to resume an answer after its
+// connection to the target broke.
 const (
-	servedStep    = 16
-	reattachTries = 3
-	reattachPause = 100 * time.Millisecond
-	serviceBuffer = 32 << 10
+	chargeStep       = 16
+	reattachAttempts = 3
+	reattachDelay    = 100 * time.Millisecond
+	serviceBuffer    = 32 << 10
 )
 
 // run carries one request through the queue and the target.
@@ -48,37 +49,38 @@
 	req    *wire.SubmitRequest
 	answer *answer
 	key    booking.Key
-	// keyed says that the register holds the request's key.
-	keyed   bool
-	tokens  int64
-	charged int64
-	last    time.Time
+	// keyed reports whether the register holds the request's key.
+	keyed     bool
+	tokens    int64
+	charged   int64
+	lastToken time.Time
 }
 
-// do runs the request to its end, which it writes into the answer.
+// do runs the request and writes its outcome to the answer.
 func (r *run) do(ctx context.Context) {
 	defer r.answer.cancel()
 	ctx = telemetry.Extract(ctx, r.req.TraceParent)
 	if refusal := r.wait(ctx); refusal != nil {
 		r.withdraw(ctx)
-		r.end(draft.Ending{Outcome: refusal.Outcome, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter})
+		r.finish(draft.Ending{Outcome: refusal.Outcome, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter})
 		return
 	}
 	defer func() { r.agent.dispatcher.done(r.req.RequestId, r.tokens) }()
 	if !r.start(ctx) {
-		r.end(draft.Ending{Outcome: outcome.NotRun, Reason: booking.ReasonSealed})
+		r.finish(draft.Ending{Outcome: outcome.NotRun, Reason: booking.ReasonSealed})
 		return
 	}
 	ctx, span := r.agent.tracer.Start(ctx, "target.call", trace.WithAttributes(attribute.Bool("may-not-repeat", r.req.MayNotRepeat)))
 	defer span.End()
 	e := r.call(ctx)
-	r.settle(ctx, e.Outcome)
-	r.end(e)
+	r.recordOutcome(ctx, e.Outcome)
+	r.finish(e)
 }
 
-// settle writes down how the run of a key ended. A key that surely never
-// reached the target is taken back, so that another attempt may run it.
-func (r *run) settle(ctx context.Context, o outcome.Outcome) {
+// recordOutcome records in the register how the run of a key ended. The start of
+// a key that certainly never reached the target is undone, so that another
+// attempt may run it.
+func (r *run) recordOutcome(ctx context.Context, o outcome.Outcome) {
 	if !r.keyed {
 		return
 	}
@@ -93,14 +95,14 @@
 
 var errMaxRun = errors.New("run too long")
 
-// end writes the ending and counts it.
-func (r *run) end(e draft.Ending) {
+// finish writes the ending to the answer and counts it.
+func (r *run) finish(e draft.Ending) {
 	r.answer.log.End(e)
 	r.agent.answers.touch(r.answer)
 	r.agent.metrics.ends.Add(e.Outcome.String(), 1)
 }
 
-// wait passes the request through the queue.
+// wait queues the request until it may start; it returns its refusal, if any.
 func (r *run) wait(ctx context.Context) *outcome.Error {
 	ctx, span := r.agent.tracer.Start(ctx, "agent.queue")
 	defer span.End()
@@ -117,8 +119,8 @@
 	return refusal
 }
 
-// start writes down that the target is about to be given the key. It reports
-// false if the attempt was sealed meanwhile.
+// start records that the key is about to be sent to the target. It returns false
+// if the attempt was sealed in the meantime.
 func (r *run) start(ctx context.Context) bool {
 	if !r.keyed {
 		return true
@@ -128,7 +130,7 @@
 	return err == nil && ok
 }
 
-// withdraw takes a key back that the target has not seen, so that another
+// withdraw releases a key that was not sent to the target, so that another
 // attempt may run it.
 func (r *run) withdraw(ctx context.Context) {
 	if !r.keyed {
@@ -138,13 +140,13 @@
 }
 
 func (r *run) call(ctx context.Context) draft.Ending {
-	if r.agent.plain != nil {
+	if r.agent.serviceTarget != nil {
 		return r.service(ctx)
 	}
 	return r.model(ctx)
 }
 
-// tags name the request to the target.
+// tags returns the metadata that identifies the request to the target.
 func (r *run) tags(ctx context.Context) target.Tags {
 	t := target.Tags{RequestID: r.req.RequestId, Workspace: r.req.Workspace, TraceParent: telemetry.Inject(ctx)}
 	for _, h := range r.req.Call.Headers {
@@ -155,8 +157,9 @@
 	return t
 }
 
-// salt separates the workspaces' cached prefixes, unless one shares its own.
-func (r *run) salt() string {
+// cacheSalt returns the salt that separates the workspaces' cached prefixes; it
+// is empty if the request shares its prefix.
+func (r *run) cacheSalt() string {
 	for _, h := range r.req.Call.Headers {
 		if h.Name == peer.HeaderSharedPrefix {
 			return ""
@@ -166,11 +169,11 @@
 	return hex.EncodeToString(sum[:16])
 }
 
-// model runs a completion and reads it to its end.
+// model runs a completion and reads its answer to the end.
 func (r *run) model(ctx context.Context) draft.Ending {
 	c := target.Completion{
 		Path: r.req.Call.Path, Tags: r.tags(ctx), Body: r.req.Call.Body,
-		Fields: target.Fields{Priority: int(r.req.Priority), CacheSalt: r.salt()},
+		Fields: target.Fields{Priority: int(r.req.Priority), CacheSalt: r.cacheSalt()},
 	}
 	if res := r.req.Resume; res != nil {
 		c.Resume = &target.Resume{Text: res.Text, Tokens: int(res.Frames)}
@@ -183,17 +186,17 @@
 	if err != nil {
 		return r.failure(ctx, err)
 	}
-	return r.pump(ctx, stream)
+	return r.relay(ctx, stream)
 }
 
-// pump reads a stream into the answer. When its connection breaks, the engine
-// may still be at work: the rest is asked for by the request's name, which
+// relay copies a stream to the answer. When its connection breaks, the engine may
+// still be running the request: the rest is requested by the request id, which
 // runs nothing twice.
-func (r *run) pump(ctx context.Context, stream *target.Stream) draft.Ending {
+func (r *run) relay(ctx context.Context, stream *target.Stream) draft.Ending {
 	r.applyBackpressure(stream.Backpressure)
 	r.answer.log.Head(http.StatusOK, headersOf(stream.Header))
 	for try := 0; ; try++ {
-		err := r.copy(stream)
+		err := r.copyStream(stream)
 		_ = stream.Close()
 		if err == nil {
 			return draft.Ending{Outcome: outcome.Complete}
@@ -209,12 +212,13 @@
 	}
 }
 
-// reattach asks the engine for the rest of the answer, nil if it is lost.
+// reattach requests the rest of the answer from the engine; it returns nil if the
+// rest is not available.
 func (r *run) reattach(ctx context.Context, try int) *target.Stream {
-	if !r.req.Call.Stream || try >= reattachTries {
+	if !r.req.Call.Stream || try >= reattachAttempts {
 		return nil
 	}
-	for range reattachTries {
+	for range reattachAttempts {
 		stream, err := r.agent.engine.Resume(ctx, r.req.Call.Path, r.req.RequestId, int(r.answer.base)+int(r.tokens))
 		if err == nil {
 			r.agent.metrics.reattached.Add(1)
@@ -225,7 +229,7 @@
 			return nil
 		}
 		select {
-		case <-time.After(reattachPause):
+		case <-time.After(reattachDelay):
 		case <-ctx.Done():
 			return nil
 		}
@@ -233,9 +237,9 @@
 	return nil
 }
 
-// copy appends the events of a stream to the answer. It returns nil at the
-// stream's own end.
-func (r *run) copy(stream *target.Stream) error {
+// copyStream appends the events of a stream to the answer. It returns nil at the
+// regular end of the stream.
+func (r *run) copyStream(stream *target.Stream) error {
 	for {
 		data, err := stream.Next()
 		if errors.Is(err, errEndOfAnswer) {
@@ -251,16 +255,16 @@
 	}
 }
 
-// count notes one token of progress.
+// count records one token of progress.
 func (r *run) count() {
 	r.tokens++
-	if r.tokens-r.charged >= servedStep {
+	if r.tokens-r.charged >= chargeStep {
 		r.agent.dispatcher.served(context.Background(), r.req.RequestId, r.tokens-r.charged)
 		r.charged = r.tokens
 	}
 	now := time.Now()
-	if !r.last.IsZero() {
-		r.agent.step.add(now.Sub(r.last), now)
+	if !r.lastToken.IsZero() {
+		r.agent.step.add(now.Sub(r.lastToken), now)
 	}
-	r.last = now
+	r.lastToken = now
 }
--- a/agent/run_test.go
+++ b/agent/run_test.go
@@ -18,8 +18,8 @@
 	"verbenashift/core/request/target"
 )
 
-// A target refuses, breaks off or cannot be reached. "Not run" is said only
-// where it surely did not run: a caller books again on that word.
+// A target refuses, breaks off or cannot be reached. The outcome may be NotRun
+// only if the request certainly did not run, because the caller then repeats it.
 func TestFailureIsTold(t *testing.T) {
 	for _, tt := range []struct {
 		err  error
@@ -40,8 +40,8 @@
 	}
 }
 
-// An agent drains, and an entry that has not heard of it sends a request all
-// the same. It is refused at once as not run; to begin it would cut its answer
+// An agent drains, and an entry that does not know it yet sends a request. It must
+// be refused at once as not run: if it were started, its answer would be broken
 // off when the agent stops.
 func TestDrainingAgentRefuses(t *testing.T) {
 	is := is.New(t)
@@ -62,8 +62,8 @@
 	is.Equal(end.Reason, reasonDraining)
 }
 
-// An agent is told to stop while an answer is in progress. It may stop early
-// only once that has ended.
+// An agent is stopped while an answer is in progress. It may stop before the bound
+// only after the answer has ended.
 func TestDrainWaitsForAnswers(t *testing.T) {
 	is := is.New(t)
 	a := &Agent{answers: newAnswers(Settings{Keep: time.Minute})}
@@ -74,8 +74,8 @@
 	is.True(a.idle(time.Minute))
 }
 
-// An answer is longer than the bound of its agent's drain. Its entry must be
-// told that the answer goes on elsewhere, and not that it is over.
+// An answer takes longer than the bound of its agent's drain. Its entry must be
+// told that the answer continues elsewhere, and not that it has ended.
 func TestLongAnswerIsHandedOver(t *testing.T) {
 	is := is.New(t)
 	a := &Agent{answers: newAnswers(Settings{Keep: time.Minute})}
--- a/agent/service.go
+++ b/agent/service.go
@@ -14,10 +14,11 @@
 // callTimeout bounds one short call to the target or another agent.
 const callTimeout = 2 * time.Second
 
-// reasonDraining is the refusal of an agent that takes no new work.
+// reasonDraining is the reason of the refusals of an agent that accepts no new
+// work.
 const reasonDraining = "draining"
 
-// frames is the stream towards an entry.
+// frames is the response stream to an entry.
 type frames = peer.FrameWriter
 
 // submit queues a request on the target and streams its answer.
@@ -31,21 +32,21 @@
 	r := &run{agent: a, req: m}
 	if m.MayNotRepeat {
 		r.keyed = true
-		if done, err := a.book(ctx, r, stream); done {
+		if done, err := a.acceptKey(ctx, r, stream); done {
 			return err
 		}
 	}
-	if !a.begin(r) {
+	if !a.startRun(r) {
 		return a.refuse(stream, m.Attempt, outcome.Unknown, "attempt-superseded", 0)
 	}
 	return a.send(ctx, r.answer, m.Attempt, 0, stream)
 }
 
-// begin starts a run in the background: it outlives the stream that asked for
-// it, so that a broken connection cuts no answer off.
-func (a *Agent) begin(r *run) bool {
-	// The longest run counts from here on, the queue included: the registers
-	// forget a key by that time.
+// startRun starts a run in the background: it outlives the stream that requested
+// it, so that a broken connection does not end the answer.
+func (a *Agent) startRun(r *run) bool {
+	// MaxRun counts from here on, including the time in the queue: the registers
+	// expire a key by that time.
 	ctx, cancel := context.WithTimeoutCause(a.ctx, a.cfg.MaxRun, errMaxRun)
 	r.answer = &answer{
 		id: r.req.RequestId, workspace: r.req.Workspace, attempt: r.req.Attempt,
@@ -60,9 +61,9 @@
 	return true
 }
 
-// book shows a request that may not be repeated to the register. It reports
-// done if the request is answered without a run of its own.
-func (a *Agent) book(ctx context.Context, r *run, stream *frames) (done bool, err error) {
+// acceptKey submits a request that may not be repeated to the register. It
+// returns done if the request was answered without a run of its own.
+func (a *Agent) acceptKey(ctx context.Context, r *run, stream *frames) (done bool, err error) {
 	m := r.req
 	s := booking.Submission{
 		Grant: grantOf(m.Grant), Body: booking.Digest(m.BodyDigest), RequestID: m.RequestId, Incarnation: m.Incarnation,
@@ -102,8 +103,8 @@
 	})
 }
 
-// readOn streams an answer again.
-func (a *Agent) readOn(ctx context.Context, m *wire.AttachRequest, stream *frames) error {
+// handleAttach streams an existing answer again.
+func (a *Agent) handleAttach(ctx context.Context, m *wire.AttachRequest, stream *frames) error {
 	if m.Probe {
 		return a.probe(m, stream)
 	}
@@ -113,7 +114,7 @@
 	return a.attach(ctx, m.RequestId, m.Workspace, m.Attempt, m.After, stream)
 }
 
-// probe tells whether the answer is held here.
+// probe reports whether this agent holds the answer.
 func (a *Agent) probe(m *wire.AttachRequest, stream *frames) error {
 	if _, ok := a.answers.get(m.RequestId, m.Workspace); !ok {
 		return a.refuse(stream, m.Attempt, outcome.Unknown, peer.ReasonNotSeen, 0)
@@ -132,8 +133,9 @@
 	return a.send(ctx, ans, attempt, after, stream)
 }
 
-// reattach asks the target for an answer that this agent does not know: it has
-// restarted with an empty memory while the engine went on with its work.
+// reattach requests an answer from the target that this agent does not hold: the
+// agent has restarted with empty memory while the engine continued to run the
+// request.
 func (a *Agent) reattach(ctx context.Context, m *wire.AttachRequest) {
 	if a.engine == nil {
 		return
@@ -165,7 +167,7 @@
 	a.metrics.reattached.Add(1)
 	go func() {
 		defer stop()
-		run.end(run.pump(runCtx, s))
+		run.finish(run.relay(runCtx, s))
 	}()
 }
 
@@ -184,7 +186,7 @@
 		if err != nil {
 			return err
 		}
-		a.fill(&msg, f, ans.base, attempt)
+		a.fillFrame(&msg, f, ans.base, attempt)
 		if err := stream.Send(&msg); err != nil {
 			return err
 		}
@@ -194,8 +196,8 @@
 	}
 }
 
-// fill writes one frame of an answer into a message that is used again.
-func (a *Agent) fill(msg *wire.Frame, f draft.Frame, base uint64, attempt uint32) {
+// fillFrame writes one frame of an answer to a message that is reused.
+func (a *Agent) fillFrame(msg *wire.Frame, f draft.Frame, base uint64, attempt uint32) {
 	msg.Reset()
 	msg.Sequence = base + f.Sequence - 1
 	msg.Attempt = attempt
--- a/agent/steering/load.go
+++ b/agent/steering/load.go
@@ -61,7 +61,7 @@
 			go g.fetch(ctx, shape, f, done)
 		}
 		for _, err := range todo.Failed {
-			g.log.Warn("plan given up", "error", err)
+			g.log.Warn("plan abandoned", "error", err)
 		}
 		if next, ok := nextMaps(&shape.expert, maps, todo); ok {
 			committed := g.switchTo(ctx, from, next)
