--- a/agent/steering/fleet_test.go
+++ b/agent/steering/fleet_test.go
@@ -21,8 +21,8 @@
 	"verbenashift/core/membership/lease"
 )
 
-// fleet is a group of ranks with the agents beside them, in one process. It
-// knows which map was used in each step, and nothing else of the protocol.
+// fleet is a group of ranks with their agents in one process. It records which
+// map was used in each step, and uses nothing else of the protocol.
 type fleet struct {
 	shape *Shape
 	ctx   context.Context
@@ -30,15 +30,15 @@
 
 	mu     sync.Mutex
 	ranks  map[string]*fakeRank
-	agents map[string]*Part
+	agents map[string]*Participant
 	starts uint64
 	used   map[string]group.Version
 	mixed  string
 	lease  lease.Answer
 	until  time.Time
 	down   bool
-	// told, if set, is the only rank whose agent gets outcomes.
-	told string
+	// outcomesTo, if set, is the only rank whose agent receives outcomes.
+	outcomesTo string
 	// hot is the expert that is much busier than the others.
 	hot int
 }
@@ -58,13 +58,13 @@
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := &fleet{
-		ranks: make(map[string]*fakeRank), agents: make(map[string]*Part), used: make(map[string]group.Version),
+		ranks: make(map[string]*fakeRank), agents: make(map[string]*Participant), used: make(map[string]group.Version),
 	}
 	f.ctx, f.stop = context.WithCancel(t.Context())
 	f.shape = &Shape{
 		name: "caption", model: "caption", members: []string{"a", "b", "c", "d"}, layers: 2, confirmed: true,
 		expert: expert.Group{Experts: 8, Slots: 3, ExpertBytes: 1 << 10, StoreRate: 1 << 20},
-		policy: expert.Lightbox(), habit: lease.HonoursFencing,
+		policy: expert.Lightbox(), fencing: lease.HonoursFencing,
 	}
 	f.shape.candidates = f.shape.members
 	for _, name := range f.shape.members {
@@ -88,17 +88,17 @@
 	f.starts++
 	g := New(f.ctx, Deps{
 		Self: name, Incarnation: f.starts, Owner: fmt.Sprintf("%s/%d", name, f.starts),
-		Settings: Settings{Beat: time.Second, Silence: 4 * time.Second, LeaseTTL: 3 * time.Second, PlanInterval: time.Second, Spare: 4, LostRanks: 1},
+		Settings: Settings{ProbeInterval: time.Second, CoordinatorTimeout: 4 * time.Second, LeaseTTL: 3 * time.Second, PlanInterval: time.Second, SpareSlots: 4, LostRanks: 1},
 		Log:      slog.New(slog.NewJSONHandler(io.Discard, nil)), Metrics: testMetrics(), Rank: f.ranks[name], Peers: fleetPeers{f, name}, Store: f,
 	}, f.shape)
 	f.agents[name] = g
 	go g.Run()
 }
 
-// testMetrics returns the process's counters, which can be made once only.
+// testMetrics returns the process's counters, which can be published only once.
 var testMetrics = sync.OnceValue(NewMetrics)
 
-func (f *fleet) agent(name string) (*Part, error) {
+func (f *fleet) agent(name string) (*Participant, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if g := f.agents[name]; g != nil && g.ctx.Err() == nil {
@@ -118,16 +118,16 @@
 	if err != nil {
 		return err
 	}
-	if _, ok := m.(group.Outcome); ok && p.deaf(to) {
+	if _, ok := m.(group.Outcome); ok && p.dropsOutcomes(to) {
 		return context.DeadlineExceeded
 	}
 	return g.Deliver(ctx, p.self, m)
 }
 
-func (f *fleet) deaf(to string) bool {
+func (f *fleet) dropsOutcomes(to string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told != "" && f.told != to
+	return f.outcomesTo != "" && f.outcomesTo != to
 }
 
 func (f *fleet) Map(ctx context.Context, to string, v group.Version) (rank.Placement, error) {
@@ -135,9 +135,9 @@
 	if err != nil {
 		return nil, err
 	}
-	p, ok := g.Content(ctx, v)
+	p, ok := g.Placement(ctx, v)
 	if !ok {
-		return nil, errNoContent
+		return nil, errPlacementNotFound
 	}
 	return p, nil
 }
@@ -154,7 +154,7 @@
 	return f.ranks[to].Fetch(ctx, w)
 }
 
-// Call is the store's side of the lease.
+// Call implements leaseCaller.
 func (f *fleet) Call(_ context.Context, c lease.Call) lease.Answer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,7 +181,7 @@
 	return f.lease
 }
 
-// run lets the rank do its steps until the fleet ends.
+// run runs the rank's steps until the fleet ends.
 func (r *fakeRank) run() {
 	const step = 5 * time.Millisecond
 	tick := time.NewTicker(step)
@@ -295,7 +295,8 @@
 	return all
 }
 
-// await waits until all ranks use one map that is accepted and none is armed.
+// await waits until all ranks use the same map, accept returns true for it and no
+// rank is armed.
 func (f *fleet) await(t *testing.T, what string, accept func(group.Version) bool) group.Version {
 	t.Helper()
 	for range 3000 {
