--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -45,8 +45,8 @@
 // Guards against a target that gets nothing any more after a restart under its name, since what
 // was decided on its earlier incarnation still holds in the table.
 func TestRestartedTargetIsSentRequests(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
-	other := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
+	other := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), s, other)
 	f := r.gateway.fleet
 	f.mu.Lock()
--- a/gateway/doubts_test.go
+++ b/gateway/doubts_test.go
@@ -58,8 +58,8 @@
 
 // Guards against requests to a target that others have found to fail.
 func TestDoubtedTargetGetsNothingNew(t *testing.T) {
-	first := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
-	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	first := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
+	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), first, second)
 	now := time.Now()
 	r.gateway.fleet.doubted(doubt{Target: "t0", Born: 99}, "front-1", now)
@@ -83,12 +83,12 @@
 	var fail atomic.Bool
 	bad := scripted.Serve(t, func(x *scripted.Exchange) {
 		if fail.Load() {
-			x.Whole(500, "no")
+			x.Respond(500, "no")
 			return
 		}
-		x.Whole(200, "ok")
+		x.Respond(200, "ok")
 	})
-	good := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	good := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), bad, good)
 	r.warm()
 	fail.Store(true)
--- a/gateway/heldback_test.go
+++ b/gateway/heldback_test.go
@@ -88,12 +88,12 @@
 func TestHeldBackIsRefusedAtOnce(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe, deployment.Stream} {
 		t.Run(string(kind), func(t *testing.T) {
-			s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+			s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 			r := newHeldRig(t, kind, s)
 			r.hold(quarantine.Hold{Crashes: 3})
 			_, answer := r.ask()
 			r.Equal(answer.Status, http.StatusServiceUnavailable)
-			r.True(answer.Comeback() > 9*time.Minute)
+			r.True(answer.RetryAfter() > 9*time.Minute)
 			r.Equal(total(s), 0)
 			for _, change := range []func(*scripted.Call){
 				func(c *scripted.Call) { c.Body += "." },
@@ -114,7 +114,7 @@
 	hold := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
 		<-hold
-		x.Whole(200, "ok")
+		x.Respond(200, "ok")
 	})
 	r := newHeldRig(t, deployment.Safe, s)
 	read := r.logged()
@@ -131,7 +131,7 @@
 	r.hold(quarantine.Hold{Crashes: 3})
 	c, answer := r.ask()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
-	r.True(answer.Comeback() > 9*time.Minute) // the word on the hold, not on the queue
+	r.True(answer.RetryAfter() > 9*time.Minute) // the word on the hold, not on the queue
 	close(hold)
 	r.Equal((<-served).Status, http.StatusOK)
 	own := story.RequestTrace(c.ID, read())
@@ -149,7 +149,7 @@
 	r = newHeldRig(t, deployment.Safe, s0, s1)
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusBadGateway)
-	r.Equal(answer.Comeback(), time.Duration(0))
+	r.Equal(answer.RetryAfter(), time.Duration(0))
 	r.Equal(total(s0, s1), 1)
 }
 
@@ -166,13 +166,13 @@
 	r = newHeldRig(t, deployment.Stream, s0, s1)
 	_, answer := r.ask()
 	r.Equal(answer.Status, http.StatusOK)
-	r.True(!answer.Whole)
+	r.True(!answer.Complete)
 	r.Equal(total(s0, s1), 1)
 }
 
 // Guards against keeping a neighbour back that one whole answer clears.
 func TestTrialIsServed(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newHeldRig(t, deployment.Unsafe, s)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	for range 3 {
@@ -200,7 +200,7 @@
 	time.Sleep(trialSettles + 100*time.Millisecond)
 	_, second := r.ask()
 	r.Equal(second.Status, http.StatusServiceUnavailable)
-	r.True(second.Comeback() > time.Minute)
+	r.True(second.RetryAfter() > time.Minute)
 	r.Equal(total(s0, s1), 1)
 }
 
@@ -227,7 +227,7 @@
 
 // Guards against crashes that nobody acts on while the store is away.
 func TestCrashesWhileTheStoreIsAway(t *testing.T) {
-	r := newHeldRig(t, deployment.Safe, scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") }))
+	r := newHeldRig(t, deployment.Safe, scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") }))
 	r.shelf.down = true
 	s := r.gateway.isolator
 	for _, target := range []string{"a", "b", "c"} {
@@ -279,7 +279,7 @@
 
 // Guards against holding a request again by old reports after an operator has freed it.
 func TestOperatorFreesARequest(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newHeldRig(t, deployment.Safe, s)
 	r.hold(quarantine.Hold{Crashes: 3})
 	_, answer := r.ask()
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -22,7 +22,7 @@
 func TestLimitedTargetGetsNothingWithoutAPermit(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		limited := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("1", "ok") })
-		free := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+		free := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 		r := newRig(t, routeOf(kind), limited, free)
 		for range 40 {
 			_, got := r.ask()
@@ -39,10 +39,10 @@
 	_, got := r.ask()
 	r.Equal(got.Status, 200)
 	c := r.call()
-	c.Patience = time.Second
+	c.Timeout = time.Second
 	got = c.Do(t.Context())
 	r.Equal(got.Status, 503)
-	r.True(got.Comeback() > 0)
+	r.True(got.RetryAfter() > 0)
 	r.Equal(len(s.Seen()), 1)
 }
 
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -46,19 +46,19 @@
 }
 
 func failures() map[string]failing {
-	ok := func(x *scripted.Exchange) { x.Whole(200, "ok") }
+	ok := func(x *scripted.Exchange) { x.Respond(200, "ok") }
 	hang := func(x *scripted.Exchange) { x.WaitForClose(time.Minute) }
 	group := func(known int, pace, skew float64) string {
 		return fmt.Sprintf(`{"time":%q,"msg":"group state","instance":"side-1","service":"pool","ranks":16,"known":%d,"slowest-pace":%g,"skew":%g}`,
 			time.Now().Format(time.RFC3339Nano), known, pace, skew)
 	}
-	short := func(_ *rig, c *scripted.Call) { c.Patience = 100 * time.Millisecond }
+	short := func(_ *rig, c *scripted.Call) { c.Timeout = 100 * time.Millisecond }
 	return map[string]failing{
 		"served":              {kind: deployment.Safe, script: ok, want: story.Served},
 		"no such route":       {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Path = "/none/" }, want: story.NotAllowed},
 		"key taken away":      {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Key = "old" }, want: story.NotAllowed},
 		"gateway just begun":  {kind: deployment.Safe, script: ok, change: func(r *rig, _ *scripted.Call) { r.restart(); r.gateway.startup.Lost() }, want: story.NoConfiguration},
-		"failed by servers":   {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Whole(500, "no") }, want: story.ServerFailed},
+		"failed by servers":   {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Respond(500, "no") }, want: story.ServerFailed},
 		"refused by servers":  {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, want: story.Refused},
 		"answer lost":         {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Close() }, want: story.ConnectionLost},
 		"stream broken off":   {kind: deployment.Stream, script: breakOff, want: story.ConnectionLost},
@@ -109,7 +109,7 @@
 	read := r.logged()
 	c := r.call()
 	c.Do(ctx)
-	<-s.Left()
+	<-s.Disconnects()
 	time.Sleep(20 * time.Millisecond) // The line is written after the connection is closed.
 	is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, read())).Kind, story.CallerDisconnected)
 }
@@ -120,7 +120,7 @@
 	hold := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
 		<-hold
-		x.Whole(200, "ok")
+		x.Respond(200, "ok")
 	})
 	route := routeOf(deployment.Safe)
 	route.Objective = time.Millisecond // no patience for a place
@@ -148,7 +148,7 @@
 // Guards against a story that lacks a line on why a draft went on elsewhere.
 func TestStoryOfAMovedStream(t *testing.T) {
 	is := is.New(t)
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Stream), s)
 	read := r.logged()
 	now := time.Now()
@@ -170,7 +170,7 @@
 // Guards against lines that do not say how old the load was by which a target was picked.
 func TestLineNamesTheAgeOfTheLoad(t *testing.T) {
 	is := is.New(t)
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	read := r.logged()
 	r.gateway.digest(&rankpeer.Digest{Targets: []string{"t0"}, Running: []uint16{1}, Queued: []uint16{0}, Pace: []uint16{10}}, time.Now().Add(-700*time.Millisecond))
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -19,7 +19,7 @@
 func resting(seconds string, on *atomic.Bool) func(x *scripted.Exchange) {
 	return func(x *scripted.Exchange) {
 		if !on.Load() {
-			x.Whole(200, "ok")
+			x.Respond(200, "ok")
 			return
 		}
 		x.RefuseFor(seconds)
@@ -32,7 +32,7 @@
 		var on atomic.Bool
 		on.Store(true)
 		pausing := scripted.Serve(t, resting("60", &on))
-		other := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+		other := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 		r := newRig(t, routeOf(kind), pausing, other)
 		for range 40 {
 			_, got := r.ask()
@@ -118,7 +118,7 @@
 	r.ask()
 	_, got := r.ask()
 	r.Equal(got.Status, 503)
-	r.True(got.Comeback() > 2*time.Second && got.Comeback() <= 3*time.Second)
+	r.True(got.RetryAfter() > 2*time.Second && got.RetryAfter() <= 3*time.Second)
 	r.Equal(len(s.Seen()), 1)
 }
 
--- a/gateway/pending_test.go
+++ b/gateway/pending_test.go
@@ -23,9 +23,9 @@
 			x.WaitForClose(time.Minute)
 			return
 		}
-		x.Whole(200, "ok")
+		x.Respond(200, "ok")
 	})
-	answers = scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	answers = scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	route := routeOf(kind)
 	route.Timeout = timeout
 	r = newRig(t, route, hangs, answers)
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -93,8 +93,8 @@
 func (r *rig) call() scripted.Call {
 	r.calls++
 	return scripted.Call{
-		Front: r.front, Method: http.MethodPost, Path: "/a/item?q=1", Host: rigHost, Key: rigKey,
-		ID: fmt.Sprintf("r%d", r.calls), Body: rigBody, Patience: rigPatience,
+		Gateway: r.front, Method: http.MethodPost, Path: "/a/item?q=1", Host: rigHost, Key: rigKey,
+		ID: fmt.Sprintf("r%d", r.calls), Body: rigBody, Timeout: rigPatience,
 	}
 }
 
@@ -153,13 +153,13 @@
 					spoil(x)
 					return
 				}
-				x.Whole(200, "whole answer")
+				x.Respond(200, "whole answer")
 			}
 			a, b := scripted.Serve(t, script), scripted.Serve(t, script)
 			r := newRig(t, routeOf(deployment.Safe), a, b)
 			c, got := r.ask()
 			r.Equal(got.Status, 200)
-			r.True(got.Whole)
+			r.True(got.Complete)
 			r.True(got.Sealed(c.ID))
 			r.Equal(got.Body, "whole answer")
 			r.Equal(total(a, b), 2)
@@ -185,7 +185,7 @@
 
 // Guards against sending a booking over a kept connection that its server closes just then.
 func TestBookingsUseNewConnections(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "booked") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "booked") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
 	for range 3 {
 		_, got := r.ask()
@@ -202,7 +202,7 @@
 func TestRefusedBookingGoesElsewhere(t *testing.T) {
 	refuse := func(x *scripted.Exchange) { x.Refuse() }
 	a := scripted.Serve(t, refuse)
-	b := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "booked") })
+	b := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "booked") })
 	r := newRig(t, routeOf(deployment.Unsafe), a, b)
 	for range 20 { // whichever is tried first
 		_, got := r.ask()
@@ -213,14 +213,14 @@
 	all := newRig(t, routeOf(deployment.Unsafe), scripted.Serve(t, refuse), scripted.Serve(t, refuse))
 	_, got := all.ask()
 	all.Equal(got.Status, platform.StatusNotRun)
-	all.True(got.Comeback() > 0)
-	all.True(got.Comeback() <= rigPatience/3) // the longest that callers honour
+	all.True(got.RetryAfter() > 0)
+	all.True(got.RetryAfter() <= rigPatience/3) // the longest that callers honour
 }
 
 // Guards against a run by another service, at the address of a server that has left.
 func TestAddressOfAnotherServer(t *testing.T) {
 	other := scripted.Serve(t, func(x *scripted.Exchange) { x.Misdirected() })
-	own := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "own") })
+	own := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "own") })
 	r := newRig(t, routeOf(deployment.Unsafe), other, own)
 	for range 30 {
 		_, got := r.ask()
@@ -228,7 +228,7 @@
 		r.Equal(got.Body, "own")
 	}
 	for _, seen := range other.Seen() {
-		r.Equal(seen.Meant(), "t0")
+		r.Equal(seen.ExpectedInstance(), "t0")
 	}
 	r.True(len(other.Seen()) <= 1)
 }
@@ -236,14 +236,14 @@
 // Guards against a request that is changed on its way, a key that a server sees, and a
 // workspace that the caller claims.
 func TestServerGetsWhatTheCallerSent(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	c := r.call()
 	c.Method, c.Path, c.Body = http.MethodPut, "/a/x%2Fy//z?b=2&a=%20", "line 1\r\n\r\nGET /smuggled HTTP/1.1\r\n\r\n"
 	prompt := scripted.PromptHeader("m", "14,80", "5c:8,91:4")
 	c.Header = prompt.Clone()
 	c.Header["X-Own"] = []string{"1", "2"}
-	scripted.ClaimWorkspace(c.Header, "a-competitor")
+	scripted.ForgeWorkspace(c.Header, "a-competitor")
 	r.Equal(c.Do(t.Context()).Status, 200)
 	r.Equal(len(s.Seen()), 1) // the body is no second request
 	got := s.Seen()[0]
@@ -263,7 +263,7 @@
 
 // Guards against replacing a server's own failure by one of the gateway's.
 func TestFailureOfTheServerIsPassedOn(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(500, "the desk is closed") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(500, "the desk is closed") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
 	c, got := r.ask()
 	r.Equal(got.Status, 500)
@@ -274,7 +274,7 @@
 
 // Guards against running a lookup on more servers than the operator allows.
 func TestNoMoreServersThanAllowed(t *testing.T) {
-	fail := func(x *scripted.Exchange) { x.Whole(500, "no") }
+	fail := func(x *scripted.Exchange) { x.Respond(500, "no") }
 	a, b, c := scripted.Serve(t, fail), scripted.Serve(t, fail), scripted.Serve(t, fail)
 	r := newRig(t, routeOf(deployment.Safe), a, b, c)
 	_, got := r.ask()
@@ -295,11 +295,11 @@
 			route.Timeout = tt.route
 			r := newRig(t, route, s)
 			c := r.call()
-			c.Patience = tt.caller
+			c.Timeout = tt.caller
 			got := c.Do(t.Context())
 			r.Equal(got.Status, platform.StatusTimeout) // it may have run: no promise
-			r.True(s.Seen()[0].Left() <= 200*time.Millisecond)
-			<-s.Left() // the server hears that nobody waits any more
+			r.True(s.Seen()[0].RemainingTime() <= 200*time.Millisecond)
+			<-s.Disconnects() // the server hears that nobody waits any more
 		})
 	}
 }
@@ -316,7 +316,7 @@
 	r := newRig(t, routeOf(deployment.Stream), s)
 	got := r.call().Do(ctx)
 	r.True(got.Err != nil)
-	<-s.Left()
+	<-s.Disconnects()
 	r.Equal(len(s.Seen()), 1) // and it is sent nowhere else
 }
 
@@ -347,7 +347,7 @@
 	r := newRig(t, routeOf(deployment.Stream), a, b)
 	c, got := r.ask()
 	r.Equal(got.Status, 200)
-	r.True(got.Whole)
+	r.True(got.Complete)
 	r.True(got.Sealed(c.ID))
 	r.Equal(got.Body, scripted.Event(1)+scripted.Event(2)+scripted.Event(3)+scripted.Event(4))
 	last := append(a.Seen(), b.Seen()...)
@@ -390,7 +390,7 @@
 			r := newRig(t, route, servers...)
 			got := make(chan scripted.Answer, 1)
 			begun := make(chan struct{}, 8)
-			go func() { got <- r.call().DoParts(t.Context(), func(string) { begun <- struct{}{} }) }()
+			go func() { got <- r.call().DoStreaming(t.Context(), func(string) { begun <- struct{}{} }) }()
 			at := <-first
 			<-begun
 			r.gateway.digest(slowDigest(ranks, at, tt.slow), time.Now())
@@ -402,7 +402,7 @@
 			if !tt.moves {
 				answer = <-got
 			}
-			r.True(answer.Whole)
+			r.True(answer.Complete)
 			r.Equal(answer.Body, scripted.Event(1)+scripted.Event(2)+scripted.Event(3))
 			r.Equal(total(servers...) == 2, tt.moves)
 		})
@@ -442,7 +442,7 @@
 	route.Resumable = false
 	r := newRig(t, route, a, b)
 	_, got := r.ask()
-	r.True(!got.Whole)
+	r.True(!got.Complete)
 	r.Equal(total(a, b), 1)
 }
 
@@ -457,12 +457,12 @@
 		x.End()
 	})
 	r := newRig(t, routeOf(deployment.Stream), s)
-	got := r.call().DoParts(t.Context(), func(part string) {
+	got := r.call().DoStreaming(t.Context(), func(part string) {
 		if strings.Contains(part, "part 1") {
 			close(read)
 		}
 	})
-	r.True(got.Whole)
+	r.True(got.Complete)
 	r.Equal(got.Body, scripted.Event(1)+scripted.Event(2))
 }
 
@@ -474,7 +474,7 @@
 			x.Write(scripted.Head(200, before, "Content-Length: 12\r\n") + "for another!")
 		}
 		before = x.ID()
-		x.Whole(200, "own")
+		x.Respond(200, "own")
 	})
 	r := newRig(t, routeOf(deployment.Safe), s)
 	for range 3 {
@@ -490,7 +490,7 @@
 func TestEarlyAnswerToALongBody(t *testing.T) {
 	sent := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
-		x.Whole(200, "early")
+		x.Respond(200, "early")
 		if x.ReadsLate() {
 			<-sent
 			x.ReadBody()
@@ -516,7 +516,7 @@
 // Guards against serving what the configuration does not allow, and sending away what it may
 // allow once it is known.
 func TestWhatIsNotAllowed(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	for name, tt := range map[string]struct {
 		change func(*scripted.Call)
@@ -544,7 +544,7 @@
 // Guards against refusing the callers of a gateway that reads its configuration just now:
 // many have lost an attempt already and get no third one.
 func TestStartingGatewayHoldsCallers(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	r.restart()
 	answers := make(chan scripted.Answer)
@@ -560,8 +560,8 @@
 
 // Guards against acting on an older configuration after a newer one is in force.
 func TestNewVersionIsInForce(t *testing.T) {
-	before := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "before") })
-	after := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "after") })
+	before := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "before") })
+	after := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "after") })
 	r := newRig(t, routeOf(deployment.Safe), before)
 	_, got := r.ask()
 	r.Equal(got.Body, "before")
@@ -586,7 +586,7 @@
 // Guards against a gateway that only knows the routes of its start.
 func TestLaterRoutesAreServed(t *testing.T) {
 	const later = 30
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, x.Target) })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, x.Target) })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	for i := range later {
 		cfg := *r.view.Config
@@ -610,8 +610,8 @@
 // Guards against closing a kept connection without an answer to a request that was read.
 func TestKeptConnectionGetsAnswers(t *testing.T) {
 	scripts := []func(*scripted.Exchange){
-		func(x *scripted.Exchange) { x.Whole(200, "ok") },
-		func(x *scripted.Exchange) { x.Whole(200, "ok"); x.Close() },
+		func(x *scripted.Exchange) { x.Respond(200, "ok") },
+		func(x *scripted.Exchange) { x.Respond(200, "ok"); x.Close() },
 		func(x *scripted.Exchange) { x.Close() },
 		func(x *scripted.Exchange) { x.Refuse() },
 	}
@@ -619,10 +619,10 @@
 		var n atomic.Int64
 		script := func(x *scripted.Exchange) { scripts[int(n.Add(1))%len(scripts)](x) }
 		r := newRig(t, routeOf(kind), scripted.Serve(t, script), scripted.Serve(t, script))
-		over := scripted.OneConnection()
+		over := scripted.SingleConnection()
 		for i := range 60 {
 			c := r.call()
-			c.Over = over
+			c.Transport = over
 			switch i % 10 {
 			case 4:
 				c.Path = "/nowhere"
@@ -631,7 +631,7 @@
 			}
 			got := c.Do(r.t.Context())
 			r.NoErr(got.Err)
-			r.True(got.Whole)
+			r.True(got.Complete)
 			r.True(!got.Closes) // the caller may go on
 		}
 		over.CloseIdleConnections()
@@ -643,7 +643,7 @@
 	hold := make(chan struct{})
 	leaving := scripted.Serve(t, func(x *scripted.Exchange) {
 		<-hold
-		x.Whole(200, "from the one that leaves")
+		x.Respond(200, "from the one that leaves")
 	})
 	r := newRig(t, routeOf(deployment.Safe), leaving)
 	answer := make(chan scripted.Answer)
@@ -651,7 +651,7 @@
 	for len(leaving.Seen()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	stays := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "from the one that stays") })
+	stays := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "from the one that stays") })
 	t0 := r.view.Targets["t0"]
 	t0.Draining = true
 	view := r.view
@@ -669,13 +669,13 @@
 
 // Guards against cutting off requests at a stop.
 func TestStoppingGatewayServesToTheEnd(t *testing.T) {
-	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	r.True(r.gateway.ready())
 	r.gateway.leaving.Store(true)
 	r.True(!r.gateway.ready())
 	c := r.call()
-	c.Keep = true
+	c.KeepAlive = true
 	got := c.Do(t.Context())
 	r.Equal(got.Status, 200)
 	r.True(got.Closes)
--- a/gateway/share_test.go
+++ b/gateway/share_test.go
@@ -15,7 +15,7 @@
 // streams at once.
 func TestSlackOfRetriesIsSharedByAll(t *testing.T) {
 	const slack, all = 264, 53
-	r := newRig(t, routeOf(deployment.Safe), scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") }))
+	r := newRig(t, routeOf(deployment.Safe), scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") }))
 	r.gateway.bounds = boot.Bounds{RetryRatio: 0.2, RetryBurst: slack, RetryWindow: 10 * time.Second}
 	r.gateway.budgets = retry.NewBudgets(retryLimits(r.gateway.bounds))
 	left := func() float64 { return r.gateway.retriesLeft("pool") }
--- a/gateway/silence_test.go
+++ b/gateway/silence_test.go
@@ -44,7 +44,7 @@
 			r.gateway.budgets = retry.NewBudgets(retry.Limits{Ratio: 1e-9, KeyBurst: tt.retries, Window: time.Minute})
 			r.gateway.mu.Unlock()
 			got, begun := make(chan scripted.Answer, 1), make(chan struct{}, 8)
-			go func() { got <- r.call().DoParts(t.Context(), func(string) { begun <- struct{}{} }) }()
+			go func() { got <- r.call().DoStreaming(t.Context(), func(string) { begun <- struct{}{} }) }()
 			<-first
 			<-begun
 			left := r.othersGoOn(time.Now().Add(900 * time.Millisecond))
@@ -57,7 +57,7 @@
 			if !tt.moves {
 				answer = <-got
 			}
-			r.True(answer.Whole)
+			r.True(answer.Complete)
 			r.Equal(answer.Body, scripted.Event(1)+scripted.Event(2))
 			r.Equal(total(a, b) == 2, tt.moves)
 		})
--- a/gateway/spans_test.go
+++ b/gateway/spans_test.go
@@ -17,7 +17,7 @@
 func TestSpanOfEachHop(t *testing.T) {
 	is := is.New(t)
 	bad := scripted.Serve(t, func(x *scripted.Exchange) { x.Refuse() })
-	good := scripted.Serve(t, func(x *scripted.Exchange) { x.Whole(200, "ok") })
+	good := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), bad, good)
 	spans := tracetest.NewSpanRecorder()
 	r.gateway.tracer = sdktrace.NewTracerProvider(sdktrace.WithSpanProcessor(spans)).Tracer("test")
--- a/standin/engine/command.go
+++ b/standin/engine/command.go
@@ -64,7 +64,7 @@
 		Name:    "engine",
 		Listen:  cmd.String("listen"),
 		Handler: e.Handler(),
-		Duty: func(ctx context.Context) {
+		Background: func(ctx context.Context) {
 			if r != nil {
 				go r.run(ctx)
 			}
--- a/standin/rank/meet.go
+++ b/standin/rank/meet.go
@@ -6,9 +6,9 @@
 	"verbenashift/core/membership/lease"
 )
 
-// Meeting is what the ranks of an epoch tell each other to stay in step. Ranks
+// StepMessage is what the ranks of an epoch tell each other to stay in step. Ranks
 // tell the first one what they have done; it tells them what all have done.
-type Meeting struct {
+type StepMessage struct {
 	From  string       `json:"from"`
 	Epoch lease.Number `json:"epoch"`
 	// Done is the last step done, by the sender or, with All, by everyone.
@@ -39,7 +39,7 @@
 	if len(s.Members) == 0 {
 		return
 	}
-	m := Meeting{From: r.cfg.Name, Epoch: s.Epoch, Done: s.Next - 1, Used: r.used}
+	m := StepMessage{From: r.cfg.Name, Epoch: s.Epoch, Done: s.Next - 1, Used: r.used}
 	if s.Members[0] == r.cfg.Name {
 		r.gather(m)
 		return
@@ -52,7 +52,7 @@
 }
 
 // Receive takes a message from another rank.
-func (r *Rank) Receive(m Meeting) {
+func (r *Rank) Receive(m StepMessage) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -65,7 +65,7 @@
 }
 
 // allow notes what all ranks have done.
-func (r *Rank) allow(m Meeting) {
+func (r *Rank) allow(m StepMessage) {
 	if r.meeting != m.Epoch {
 		r.meeting, r.allowed = m.Epoch, m.Done
 	}
@@ -74,7 +74,7 @@
 }
 
 // gather counts, at the meeting place, what the ranks have done.
-func (r *Rank) gather(m Meeting) {
+func (r *Rank) gather(m StepMessage) {
 	h, s := &r.hub, &r.rank.State
 	if h.epoch != m.Epoch || h.done == nil {
 		*h = hub{epoch: m.Epoch, done: make(map[string]uint64)}
@@ -109,7 +109,7 @@
 }
 
 func (r *Rank) tellAll(member string) {
-	m := Meeting{From: r.cfg.Name, Epoch: r.hub.epoch, Done: r.hub.all, All: true, Offset: r.hub.offset}
+	m := StepMessage{From: r.cfg.Name, Epoch: r.hub.epoch, Done: r.hub.all, All: true, Offset: r.hub.offset}
 	if member == r.cfg.Name {
 		r.allow(m)
 		return
--- a/standin/rank/rank.go
+++ b/standin/rank/rank.go
@@ -61,7 +61,7 @@
 
 // Link carries messages to other ranks of the group. They may be lost.
 type Link interface {
-	Send(to string, m Meeting)
+	Send(to string, m StepMessage)
 }
 
 // weight names one expert's weights.
@@ -96,7 +96,7 @@
 	// ends is when the step in progress is done.
 	ends time.Time
 	// told is what this rank has last told the meeting place, and sent when.
-	told Meeting
+	told StepMessage
 	sent time.Time
 
 	ledger judge.Rank
--- a/standin/rank/rank_test.go
+++ b/standin/rank/rank_test.go
@@ -33,7 +33,7 @@
 // ranks is a group whose ranks reach each other in no time.
 type ranks map[string]*standin.Rank
 
-func (r ranks) Send(to string, m standin.Meeting) { go r[to].Receive(m) }
+func (r ranks) Send(to string, m standin.StepMessage) { go r[to].Receive(m) }
 
 var (
 	names = []string{"a", "b", "c"}
--- a/standin/rank/udp.go
+++ b/standin/rank/udp.go
@@ -43,7 +43,7 @@
 }
 
 // Send implements Link.
-func (u *UDP) Send(to string, m Meeting) {
+func (u *UDP) Send(to string, m StepMessage) {
 	a, ok := u.peers[to]
 	if !ok {
 		return
@@ -54,7 +54,7 @@
 }
 
 // Run hands what comes to receive until ctx ends.
-func (u *UDP) Run(ctx context.Context, receive func(Meeting)) {
+func (u *UDP) Run(ctx context.Context, receive func(StepMessage)) {
 	context.AfterFunc(ctx, func() { _ = u.conn.Close() })
 	const largest = 2048
 	buf := make([]byte, largest)
@@ -63,7 +63,7 @@
 		if err != nil {
 			return
 		}
-		var m Meeting
+		var m StepMessage
 		if json.Unmarshal(buf[:n], &m) == nil {
 			receive(m)
 		}
--- a/standin/scripted/call.go
+++ b/standin/scripted/call.go
@@ -11,19 +11,19 @@
 
 // Call is one attempt of a caller.
 type Call struct {
-	// Front is the address of the gateway.
-	Front                  string
+	// Gateway is the address of the gateway.
+	Gateway                string
 	Method, Path, Host, ID string
 	Body                   string
 	// Key is the caller's secret; empty for none.
 	Key string
-	// Patience is how long the caller says it waits; 0 for not saying.
-	Patience time.Duration
-	// Keep says that the caller would use the connection again.
-	Keep bool
-	// Over is where the caller keeps its connections; nil for a connection of the
+	// Timeout is how long the caller says it waits; 0 for not saying.
+	Timeout time.Duration
+	// KeepAlive says that the caller would use the connection again.
+	KeepAlive bool
+	// Transport is where the caller keeps its connections; nil for a connection of the
 	// call's own.
-	Over *http.Transport
+	Transport *http.Transport
 	// Header is sent beside what a Call sets itself.
 	Header http.Header
 }
@@ -33,8 +33,8 @@
 	Status int
 	Header http.Header
 	Body   string
-	// Whole says that the answer has ended as complete.
-	Whole bool
+	// Complete says that the answer has ended as complete.
+	Complete bool
 	// Closes says that the connection ends with the answer.
 	Closes bool
 	// Err is why there is no answer, or no whole one.
@@ -56,11 +56,11 @@
 	return h
 }
 
-// ClaimWorkspace adds a claim that a caller has no right to make.
-func ClaimWorkspace(h http.Header, name string) { h.Set("X-Tenant", name) }
+// ForgeWorkspace adds a claim that a caller has no right to make.
+func ForgeWorkspace(h http.Header, name string) { h.Set("X-Tenant", name) }
 
-// Comeback returns when the caller may come back; 0 if it was not told.
-func (a Answer) Comeback() time.Duration {
+// RetryAfter returns when the caller may come back; 0 if it was not told.
+func (a Answer) RetryAfter() time.Duration {
 	s, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	if err != nil {
 		return 0
@@ -76,11 +76,11 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Whole: err == nil, Closes: resp.Close, Err: err}
+	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Complete: err == nil, Closes: resp.Close, Err: err}
 }
 
 func (c Call) open(ctx context.Context) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Front+c.Path, strings.NewReader(c.Body))
+	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Gateway+c.Path, strings.NewReader(c.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -93,24 +93,24 @@
 	if c.Key != "" {
 		req.Header.Set("Authorization", "Token "+c.Key)
 	}
-	if c.Patience > 0 {
-		req.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.Patience.Milliseconds(), 10))
+	if c.Timeout > 0 {
+		req.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	}
-	t := c.Over
+	t := c.Transport
 	if t == nil {
-		t = &http.Transport{DisableKeepAlives: !c.Keep, DisableCompression: true}
+		t = &http.Transport{DisableKeepAlives: !c.KeepAlive, DisableCompression: true}
 	}
 	return t.RoundTrip(req)
 }
 
-// OneConnection returns a place for connections that holds one, which is used
+// SingleConnection returns a place for connections that holds one, which is used
 // again as long as the gateway lets it.
-func OneConnection() *http.Transport {
+func SingleConnection() *http.Transport {
 	return &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}
 }
 
-// Left returns how long a server was told that its caller still waits.
-func (r Request) Left() time.Duration {
+// RemainingTime returns how long a server was told that its caller still waits.
+func (r Request) RemainingTime() time.Duration {
 	ms, err := strconv.ParseFloat(r.Header.Get("X-Deadline-Ms"), 64)
 	if err != nil {
 		return 0
@@ -121,11 +121,11 @@
 // Workspace returns the workspace that a server was told.
 func (r Request) Workspace() string { return r.Header.Get("X-Tenant") }
 
-// Meant returns the server that the request was meant for.
-func (r Request) Meant() string { return r.Header.Get("X-Expect-Instance") }
+// ExpectedInstance returns the server that the request was meant for.
+func (r Request) ExpectedInstance() string { return r.Header.Get("X-Expect-Instance") }
 
-// DoParts is like Do, and tells of each part of the body as it arrives.
-func (c Call) DoParts(ctx context.Context, part func(string)) Answer {
+// DoStreaming is like Do, and tells of each part of the body as it arrives.
+func (c Call) DoStreaming(ctx context.Context, part func(string)) Answer {
 	resp, err := c.open(ctx)
 	if err != nil {
 		return Answer{Err: err}
@@ -140,7 +140,7 @@
 			part(string(buf[:n]))
 		}
 		if err != nil {
-			got.Whole = err == io.EOF
+			got.Complete = err == io.EOF
 			return got
 		}
 	}
--- a/standin/scripted/scripted.go
+++ b/standin/scripted/scripted.go
@@ -81,9 +81,9 @@
 	return append([]Request(nil), s.seen...)
 }
 
-// Left gets a value for each connection that the other side has closed while the
+// Disconnects gets a value for each connection that the other side has closed while the
 // server was waiting; see Exchange.WaitForClose.
-func (s *Server) Left() <-chan struct{} { return s.left }
+func (s *Server) Disconnects() <-chan struct{} { return s.left }
 
 func (s *Server) serve(c net.Conn) {
 	s.mu.Lock()
@@ -162,8 +162,8 @@
 	return fmt.Sprintf("HTTP/1.1 %d %s\r\nX-Request-Id: %s\r\nX-Response-Seal: %s\r\n%s\r\n", status, http.StatusText(status), id, Seal(id), lines)
 }
 
-// Whole sends a whole answer.
-func (x *Exchange) Whole(status int, body string) {
+// Respond sends a whole answer.
+func (x *Exchange) Respond(status int, body string) {
 	x.Write(Head(status, x.ID(), fmt.Sprintf("Content-Length: %d\r\n", len(body))) + body)
 }
 
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -29,8 +29,8 @@
 	Name    string
 	Listen  string
 	Handler http.Handler
-	// Duty, if set, runs beside the server until its context ends.
-	Duty func(ctx context.Context)
+	// Background, if set, runs beside the server until its context ends.
+	Background func(ctx context.Context)
 }
 
 // Run serves until ctx ends or the process gets SIGTERM or SIGINT.
@@ -61,8 +61,8 @@
 			if err != nil {
 				return err
 			}
-			if o.Duty != nil {
-				go o.Duty(duty)
+			if o.Background != nil {
+				go o.Background(duty)
 			}
 			go func() {
 				if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
