--- a/standin/engine/command.go
+++ b/standin/engine/command.go
@@ -20,18 +20,18 @@
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "engine",
-		Usage: "stand in for a model engine",
+		Usage: "run a fake model engine",
 		Flags: append(rankFlags(), []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:9100", Usage: "IP address and port"},
 			&cli.StringFlag{Name: "name", Usage: "target name in the ledger"},
-			&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "streams that run at once"},
-			&cli.DurationFlag{Name: "step", Value: defaultStep, Usage: "time of one step"},
+			&cli.IntFlag{Name: "slots", Value: defaultSlots, Usage: "number of streams that run concurrently"},
+			&cli.DurationFlag{Name: "step", Value: defaultStep, Usage: "duration of one step"},
 			&cli.DurationFlag{Name: "startup", Usage: "time between admission and the first step"},
 			&cli.DurationFlag{Name: "load-lag", Usage: "age of load reports"},
-			&cli.DurationFlag{Name: "keep", Value: defaultKeep, Usage: "how long an ended generation is kept"},
-			&cli.BoolFlag{Name: "honour-fencing", Usage: "refuse orders with an older fencing number"},
+			&cli.DurationFlag{Name: "keep", Value: defaultKeep, Usage: "how long a completed generation is retained"},
+			&cli.BoolFlag{Name: "honour-fencing", Usage: "reject orders with an older fencing token"},
 			&cli.StringFlag{Name: "check-orders", Usage: "bearer token that orders must carry"},
-			&cli.StringFlag{Name: "ledger", Usage: "file to which runs are appended"},
+			&cli.StringFlag{Name: "ledger", Usage: "file to append runs to"},
 		}...),
 		Action: run,
 	}
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,9 +1,10 @@
-// Package engine is a small fake of a model engine that batches continuously.
+// Package engine is a fake model engine with continuous batching.
 //
-// One goroutine advances all running streams in lock-step: a step takes the
-// configured time and gives each running stream one token, so that one slow
-// step holds back every stream. Requests beyond the slots wait by priority.
-// A generation whose connection breaks goes on and can be re-attached to.
+// One goroutine advances all running streams in lockstep: a step takes the
+// configured time and produces one token for each running stream, so one slow
+// step delays every stream. Requests beyond the slots are queued by priority.
+// A generation continues when its connection breaks, and a client can attach to
+// it again.
 //
 // # Usage
 //
@@ -27,29 +28,29 @@
 
 // Config holds the settings of an engine.
 type Config struct {
-	// Slots is how many streams run at once.
+	// Slots is the number of streams that run concurrently.
 	Slots int
-	// Step is the time of one step.
+	// Step is the duration of one step.
 	Step time.Duration
 	// Startup is the time between admission and the first step of a stream.
 	Startup time.Duration
 	// LoadLag is the age of load reports.
 	LoadLag time.Duration
-	// Keep is how long an ended generation can be re-attached to.
+	// Keep is how long a client can attach to a completed generation.
 	Keep time.Duration
-	// HonourFencing refuses orders with an older fencing number.
+	// HonourFencing rejects orders with an older fencing token.
 	HonourFencing bool
 	// OrderToken, if set, is the bearer token that orders must carry.
 	OrderToken string
-	// Rank is the rank of an expert-parallel group that the engine is, nil for
-	// none.
+	// Rank is the engine's rank in an expert-parallel group, or nil if it
+	// belongs to no group.
 	Rank Rank
 }
 
-// Rank takes the orders that concern the expert map, and serves its own paths.
+// Rank applies the orders that concern the expert map, and serves its own paths.
 type Rank interface {
 	Register(m *mux.Router)
-	// Apply returns a *group.RefusedError for an order that it refuses.
+	// Apply returns a *group.RefusedError for an order that it rejects.
 	Apply(argument json.RawMessage) error
 }
 
@@ -68,7 +69,7 @@
 	faults      faults
 	samples     []sample
 	step        time.Duration
-	last        Order
+	lastOrder   Order
 	steps       uint64
 }
 
@@ -109,8 +110,8 @@
 	}
 }
 
-// begin admits waiting streams and returns the time of the next step. It
-// reports false if nothing runs.
+// begin admits waiting streams and returns the duration of the next step. It
+// returns false if no stream is running.
 func (e *Engine) begin() (time.Duration, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -136,19 +137,19 @@
 		}
 		g.number = n
 		g.state = stateRunning
-		g.ready = now.Add(e.cfg.Startup)
+		g.startAt = now.Add(e.cfg.Startup)
 		e.running = append(e.running, g)
 	}
 }
 
-// advance ends a step: each stream that has started gets one token.
+// advance completes a step: each stream past its startup time gets one token.
 func (e *Engine) advance(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.steps++
 	kept := e.running[:0]
 	for _, g := range e.running {
-		if now.Before(g.ready) {
+		if now.Before(g.startAt) {
 			kept = append(kept, g)
 			continue
 		}
@@ -169,8 +170,8 @@
 	e.running = kept
 }
 
-// end records the end of a running generation and lets it be forgotten: at
-// once if it broke or was cancelled, after the keep time if it is whole.
+// end records the end of a running generation and removes it: immediately if it
+// broke or was cancelled, after Config.Keep if it is complete.
 func (e *Engine) end(g *generation, s state) {
 	result := ledger.Result{Tokens: g.done - g.run.Resumed, Cancelled: s == stateCancelled, Broken: s == stateBroken}
 	if err := e.ledger.End(g.number, result); err != nil {
@@ -194,7 +195,7 @@
 	}
 }
 
-// submit queues a new generation. It returns nil if the engine refuses.
+// submit queues a new generation. It returns nil if the engine refuses it.
 func (e *Engine) submit(g *generation) *subscription {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -212,8 +213,8 @@
 	return g.subscribe(e, g.done)
 }
 
-// attach subscribes to a known generation from token n on. It returns nil if
-// the request is unknown or n lies beyond its end.
+// attach subscribes to an existing generation from token n on. It returns nil if
+// the request is unknown or n is out of range.
 func (e *Engine) attach(id string, n int) *subscription {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -224,8 +225,8 @@
 	return g.subscribe(e, n)
 }
 
-// cancel stops a generation and returns the state it was in; false means that
-// the request is unknown.
+// cancel stops a generation and returns its previous state, or false if the
+// request is unknown.
 func (e *Engine) cancel(id string) (state, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -20,19 +20,19 @@
 
 const step = 10 * time.Millisecond
 
-// bench is an engine in a bubble of virtual time.
-type bench struct {
+// testEngine is an engine in a synctest bubble.
+type testEngine struct {
 	*Engine
 	handler http.Handler
 }
 
-// inBubble runs f with an engine whose steps take virtual time.
-func inBubble(t *testing.T, cfg Config, f func(is *is.I, b *bench)) {
+// inBubble runs f in a synctest bubble, with an engine whose steps take fake time.
+func inBubble(t *testing.T, cfg Config, f func(is *is.I, b *testEngine)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		l, _ := ledger.Open("")
 		cfg.Step, cfg.Keep = step, time.Second
-		b := &bench{Engine: New(cfg, l)}
+		b := &testEngine{Engine: New(cfg, l)}
 		b.handler = b.Handler()
 		ctx, stop := context.WithCancel(t.Context())
 		go b.Run(ctx)
@@ -42,9 +42,9 @@
 	})
 }
 
-// ask sends a request; text is the answer's text and whole says that it ended
-// with its end mark.
-func (b *bench) ask(ctx context.Context, id, body string) (status int, text string, whole bool) {
+// post sends a completion request. It returns the status, the answer's text
+// and whether the stream ended with the [DONE] marker.
+func (b *testEngine) post(ctx context.Context, id, body string) (status int, text string, complete bool) {
 	r := httptest.NewRequestWithContext(ctx, http.MethodPost, completionsPath, strings.NewReader(body))
 	r.Header.Set("X-Request-Id", id)
 	w := httptest.NewRecorder()
@@ -57,15 +57,15 @@
 			Choices []struct{ Text string }
 		}
 		data = strings.TrimPrefix(data, "data: ")
-		whole = whole || data == "[DONE]"
+		complete = complete || data == "[DONE]"
 		if json.Unmarshal([]byte(data), &piece) == nil && len(piece.Choices) > 0 {
 			text += piece.Choices[0].Text
 		}
 	}
-	return w.Code, text, whole
+	return w.Code, text, complete
 }
 
-func (b *bench) do(method, path, body string) *httptest.ResponseRecorder {
+func (b *testEngine) do(method, path, body string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	b.handler.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 	return w
@@ -75,19 +75,19 @@
 	return fmt.Sprintf(`{"model":"m","prompt":"p","stream":true,"max_tokens":%d%s}`, tokens, more)
 }
 
-// One overloaded rank makes one step long. All streams of the engine must
-// feel it: a fake that slows one stream only would hide the straggler.
+// A stalled step must delay all streams of the engine. A fake that delayed only
+// one stream would hide a straggling rank.
 func TestStallHoldsEveryStream(t *testing.T) {
-	inBubble(t, Config{Slots: 3}, func(is *is.I, b *bench) {
+	inBubble(t, Config{Slots: 3}, func(is *is.I, b *testEngine) {
 		began := time.Now()
 		b.do(http.MethodPost, "/faults", `{"stall-ms":100}`)
 		var all sync.WaitGroup
 		var took [3]time.Duration
 		for i := range took {
 			all.Go(func() {
-				_, text, whole := b.ask(context.Background(), fmt.Sprint(i), prompt(5, ""))
+				_, text, complete := b.post(context.Background(), fmt.Sprint(i), prompt(5, ""))
 				took[i] = time.Since(began)
-				is.True(whole)
+				is.True(complete)
 				is.Equal(text, answer.Text("m", "p", 5))
 			})
 		}
@@ -99,10 +99,10 @@
 }
 
 func TestWaitingRunByPriority(t *testing.T) {
-	inBubble(t, Config{Slots: 1}, func(is *is.I, b *bench) {
+	inBubble(t, Config{Slots: 1}, func(is *is.I, b *testEngine) {
 		var all sync.WaitGroup
 		for _, r := range []struct{ id, more string }{{"first", ""}, {"later", `,"priority":2`}, {"urgent", `,"priority":0`}} {
-			all.Go(func() { b.ask(context.Background(), r.id, prompt(2, r.more)) })
+			all.Go(func() { b.post(context.Background(), r.id, prompt(2, r.more)) })
 			synctest.Wait()
 		}
 		all.Wait()
@@ -114,51 +114,51 @@
 	})
 }
 
-// An agent's connection to the engine is cut in the middle of a draft. The
-// generation goes on, and a second connection gets exactly the rest; after
-// the keep time the engine knows nothing of it.
+// Guards against losing a generation when its connection breaks midway: it
+// continues, a second connection gets exactly the remaining tokens, and the engine
+// drops it after Config.Keep.
 func TestGenerationOutlivesItsConnection(t *testing.T) {
-	inBubble(t, Config{Slots: 1}, func(is *is.I, b *bench) {
-		ctx, cut := context.WithTimeout(context.Background(), 3*step+step/2)
-		defer cut()
-		_, text, whole := b.ask(ctx, "r", prompt(6, ""))
-		is.True(!whole)
+	inBubble(t, Config{Slots: 1}, func(is *is.I, b *testEngine) {
+		ctx, cancel := context.WithTimeout(context.Background(), 3*step+step/2)
+		defer cancel()
+		_, text, complete := b.post(ctx, "r", prompt(6, ""))
+		is.True(!complete)
 		is.Equal(text, answer.Text("m", "p", 3))
 		again := `{"stream":true,"resume":{"request-id":"r","from":3}}`
-		_, rest, whole := b.ask(context.Background(), "", again)
-		is.True(whole)
+		_, rest, complete := b.post(context.Background(), "", again)
+		is.True(complete)
 		is.Equal(text+rest, answer.Text("m", "p", 6))
 		is.Equal(len(b.ledger.Report().Runs), 1) // re-attaching is no second run
 		time.Sleep(2 * time.Second)
-		status, _, _ := b.ask(context.Background(), "", again)
+		status, _, _ := b.post(context.Background(), "", again)
 		is.Equal(status, http.StatusNotFound)
 	})
 }
 
 func TestResumeByText(t *testing.T) {
-	inBubble(t, Config{Slots: 1}, func(is *is.I, b *bench) {
+	inBubble(t, Config{Slots: 1}, func(is *is.I, b *testEngine) {
 		had := answer.Text("m", "p", 2)
-		_, rest, whole := b.ask(context.Background(), "r", prompt(5, `,"resume":{"tokens":2,"text":"`+had+`"}`))
-		is.True(whole)
+		_, rest, complete := b.post(context.Background(), "r", prompt(5, `,"resume":{"tokens":2,"text":"`+had+`"}`))
+		is.True(complete)
 		is.Equal(had+rest, answer.Text("m", "p", 5))
 		run := b.ledger.Report().Runs[0]
 		is.Equal([]int{run.Resumed, run.Tokens}, []int{2, 3})
 		for _, wrong := range []string{`{"tokens":2,"text":"other "}`, `{"tokens":2}`, `{"tokens":9,"text":"x"}`} {
-			status, _, _ := b.ask(context.Background(), "r", prompt(5, `,"resume":`+wrong))
+			status, _, _ := b.post(context.Background(), "r", prompt(5, `,"resume":`+wrong))
 			is.Equal(status, http.StatusBadRequest)
 		}
 	})
 }
 
-// A caller hangs up. Work that waited never runs and the ledger must not show
-// it; work that ran is stopped and the ledger shows what it cost.
+// A caller disconnects. A waiting request must never run nor appear in the
+// ledger; a running one is stopped and the ledger shows the tokens it produced.
 func TestCancel(t *testing.T) {
-	inBubble(t, Config{Slots: 1}, func(is *is.I, b *bench) {
+	inBubble(t, Config{Slots: 1}, func(is *is.I, b *testEngine) {
 		var all sync.WaitGroup
 		for _, id := range []string{"running", "waiting"} {
 			all.Go(func() {
-				_, _, whole := b.ask(context.Background(), id, prompt(9, ""))
-				is.True(!whole)
+				_, _, complete := b.post(context.Background(), id, prompt(9, ""))
+				is.True(!complete)
 			})
 			synctest.Wait()
 		}
@@ -176,16 +176,16 @@
 }
 
 func TestFaults(t *testing.T) {
-	inBubble(t, Config{Slots: 1}, func(is *is.I, b *bench) {
+	inBubble(t, Config{Slots: 1}, func(is *is.I, b *testEngine) {
 		b.do(http.MethodPost, "/faults", `{"break-after-tokens":2,"count":1}`)
-		_, text, whole := b.ask(context.Background(), "r", prompt(5, ""))
-		is.True(!whole)
+		_, text, complete := b.post(context.Background(), "r", prompt(5, ""))
+		is.True(!complete)
 		is.Equal(text, answer.Text("m", "p", 2))
 		is.True(b.ledger.Report().Runs[0].Broken)
 		is.Equal(b.do(http.MethodDelete, "/v1/requests/r", "").Code, http.StatusNotFound)
 
 		b.do(http.MethodPost, "/faults", `{"refuse":true}`)
-		status, _, _ := b.ask(context.Background(), "s", prompt(5, ""))
+		status, _, _ := b.post(context.Background(), "s", prompt(5, ""))
 		is.Equal(status, http.StatusServiceUnavailable)
 		is.Equal(len(b.ledger.Report().Runs), 1) // a refusal is no run
 		is.Equal(b.do(http.MethodPost, "/faults", `{"refusee":true}`).Code, http.StatusBadRequest)
@@ -193,25 +193,26 @@
 }
 
 func TestLoadLags(t *testing.T) {
-	inBubble(t, Config{Slots: 1, LoadLag: 5 * step}, func(is *is.I, b *bench) {
-		go b.ask(context.Background(), "a", prompt(100, ""))
+	inBubble(t, Config{Slots: 1, LoadLag: 5 * step}, func(is *is.I, b *testEngine) {
+		go b.post(context.Background(), "a", prompt(100, ""))
 		synctest.Wait()
-		go b.ask(context.Background(), "b", prompt(1, ""))
+		go b.post(context.Background(), "b", prompt(1, ""))
 		time.Sleep(3 * step)
-		is.Equal(b.lagged().Running, 0) // not seen yet
+		is.Equal(b.delayedLoad().Running, 0) // not seen yet
 		time.Sleep(4 * step)
-		load := b.lagged()
+		load := b.delayedLoad()
 		is.Equal([]int{load.Running, load.Waiting}, []int{1, 1})
 		is.Equal(load.TokensPerSecond, 100.0)
 		b.do(http.MethodPost, "/faults", `{"report-load":3}`)
-		is.Equal(b.lagged().Running, 3)
+		is.Equal(b.delayedLoad().Running, 3)
 		time.Sleep(200 * step)
 	})
 }
 
-// A paused steward wakes and sends an order with an old fencing number. The
-// engine that honours fencing refuses it and tells its number; the one that
-// ignores the number obeys; one that checks who orders refuses a stranger.
+// A coordinator resumes after a pause and sends an order with an old fencing
+// token. An engine that honours fencing rejects it and returns its own token, one
+// that ignores fencing applies it, and one that checks the bearer token rejects an
+// unknown sender.
 func TestOrders(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -229,7 +230,7 @@
 			is := is.New(t)
 			l, _ := ledger.Open("")
 			e := New(c.cfg, l)
-			e.last = Order{Fence: 4, Sequence: 2, Kind: "drain"}
+			e.lastOrder = Order{Fence: 4, Sequence: 2, Kind: "drain"}
 			r := httptest.NewRequest(http.MethodPost, "/v1/orders", strings.NewReader(`{"fence":3,"sequence":1,"kind":"set-map"}`))
 			r.Header.Set("Authorization", c.token)
 			w := httptest.NewRecorder()
--- a/standin/engine/faults.go
+++ b/standin/engine/faults.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// faults are the switches of the engine. The engine's mutex guards them.
+// faults are the injected faults of the engine, guarded by Engine.mu.
 type faults struct {
-	stall       time.Duration
-	slowFactor  float64
-	refuse      bool
-	breakAfter  int
-	breakCount  int
-	reportLoad  float64
-	orderAnswer int
+	stall            time.Duration
+	slowFactor       float64
+	refuse           bool
+	breakAfter       int
+	breakCount       int
+	reportLoad       float64
+	lostOrderAnswers int
 }
 
-// faultRequest is the body of POST /faults; fields left out change nothing.
+// faultRequest is the body of POST /faults. Omitted fields stay unchanged.
 type faultRequest struct {
 	StallMS          *int     `json:"stall-ms"`
 	SlowFactor       *float64 `json:"slow-factor"`
@@ -25,20 +25,20 @@
 	BreakAfterTokens *int     `json:"break-after-tokens"`
 	Count            *int     `json:"count"`
 	ReportLoad       *float64 `json:"report-load"`
-	// LoseOrderAnswers drops the answers to the next orders after they took
-	// effect.
+	// LoseOrderAnswers is the number of orders whose responses are dropped after
+	// the orders took effect.
 	LoseOrderAnswers *int `json:"lose-order-answers"`
 }
 
-// stepTime returns the time of the next step and uses up a stall.
+// stepTime returns the duration of the next step and clears a pending stall.
 func (f *faults) stepTime(step time.Duration) time.Duration {
 	d := time.Duration(float64(step)*f.slowFactor) + f.stall
 	f.stall = 0
 	return d
 }
 
-// breaks reports whether a generation of which this engine has made that many
-// tokens breaks now.
+// breaks reports whether a generation breaks now, after this engine has produced
+// made tokens of it. If so, it decrements breakCount.
 func (f *faults) breaks(made int) bool {
 	if f.breakCount <= 0 || made < f.breakAfter {
 		return false
@@ -67,7 +67,7 @@
 		f.reportLoad = *r.ReportLoad
 	}
 	if r.LoseOrderAnswers != nil {
-		f.orderAnswer = *r.LoseOrderAnswers
+		f.lostOrderAnswers = *r.LoseOrderAnswers
 	}
 }
 
--- a/standin/engine/generation.go
+++ b/standin/engine/generation.go
@@ -23,16 +23,17 @@
 
 func (s state) String() string { return stateNames[s] }
 
-// generation is one answer being made. The engine's mutex guards it.
+// generation is one answer in progress, guarded by Engine.mu.
 type generation struct {
 	run     ledger.Run
 	number  int
 	prompt  string
 	arrival uint64
 	index   int
-	// done and total count tokens from the beginning of the whole answer.
+	// done and total count tokens from the start of the complete answer,
+	// including tokens that another engine produced.
 	done, total int
-	ready       time.Time
+	startAt     time.Time
 	state       state
 	subscribers []*subscription
 }
@@ -49,33 +50,33 @@
 }
 
 func (g *generation) subscribe(e *Engine, from int) *subscription {
-	s := &subscription{engine: e, g: g, next: from, ring: make(chan struct{}, 1)}
+	s := &subscription{engine: e, g: g, next: from, wakeup: make(chan struct{}, 1)}
 	g.subscribers = append(g.subscribers, s)
 	s.wake()
 	return s
 }
 
-// subscription reads the tokens of one generation for one connection.
+// subscription delivers the tokens of one generation to one connection.
 type subscription struct {
 	engine *Engine
 	g      *generation
 	next   int
-	ring   chan struct{}
+	wakeup chan struct{}
 }
 
 func (s *subscription) wake() {
 	select {
-	case s.ring <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// wait returns the range of new tokens and the state of the generation once
-// either has changed.
+// wait blocks until there are new tokens or the generation has ended, and
+// returns the range of the new tokens and the state.
 func (s *subscription) wait(ctx context.Context) (from, to int, st state, err error) {
 	for {
 		select {
-		case <-s.ring:
+		case <-s.wakeup:
 		case <-ctx.Done():
 			return 0, 0, 0, ctx.Err()
 		}
@@ -90,14 +91,14 @@
 	}
 }
 
-// close ends the subscription; the generation goes on.
+// close ends the subscription; the generation continues.
 func (s *subscription) close() {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	s.g.subscribers = slices.DeleteFunc(s.g.subscribers, func(x *subscription) bool { return x == s })
 }
 
-// queue orders waiting generations by priority, then by arrival.
+// queue is a heap of waiting generations, ordered by priority, then by arrival.
 type queue []*generation
 
 func (q queue) Len() int { return len(q) }
--- a/standin/engine/http.go
+++ b/standin/engine/http.go
@@ -20,7 +20,7 @@
 	maxBody         = 64 << 20
 )
 
-// request is the body of a completion or chat completion.
+// request is the body of a completion or chat completion request.
 type request struct {
 	Model         string           `json:"model"`
 	Prompt        string           `json:"prompt"`
@@ -35,8 +35,8 @@
 	Resume    *resume `json:"resume"`
 }
 
-// resume continues an answer: after Tokens tokens that ended in Text, or from
-// token From of a generation that this engine knows by RequestID.
+// resume asks to continue an answer: after the first Tokens tokens, which end in
+// Text, or from token From of this engine's generation RequestID.
 type resume struct {
 	Text      string `json:"text"`
 	Tokens    int    `json:"tokens"`
@@ -80,16 +80,16 @@
 		return
 	}
 	defer sub.close()
-	a := &answerer{sub: sub, g: sub.g, chat: chat, usage: req.StreamOptions.IncludeUsage}
+	a := &responder{sub: sub, g: sub.g, chat: chat, usage: req.StreamOptions.IncludeUsage}
 	if req.Stream {
 		a.stream(w, r)
 		return
 	}
-	a.whole(w, r)
+	a.respond(w, r)
 }
 
-// open finds or starts the generation that req asks for; it writes the
-// refusal and returns nil if there is none.
+// open attaches to or starts the generation that req asks for. If it can't, it
+// writes an error response and returns nil.
 func (e *Engine) open(w http.ResponseWriter, r *http.Request, req request) *subscription {
 	if req.Resume != nil && req.Resume.RequestID != "" {
 		sub := e.attach(req.Resume.RequestID, req.Resume.From)
@@ -136,8 +136,8 @@
 	}
 }
 
-// resume skips the tokens that another engine has made. It reports false if
-// the text is not how those tokens end.
+// resume skips the tokens that another engine has produced. It returns false if
+// those tokens don't end in the given text.
 func (g *generation) resume(from *resume) bool {
 	if from == nil {
 		return true
@@ -164,8 +164,8 @@
 	writeJSON(w, http.StatusOK, cancelled{was.String()})
 }
 
-// cancelled is the answer to a cancellation; State is the state before it, so
-// that "waiting" says that nothing was run.
+// cancelled is the response to a cancellation. State is the state before it, so
+// "waiting" means that the generation never ran.
 type cancelled struct {
 	State string `json:"state"`
 }
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Load is a load report as GET /v1/load gives it.
+// Load is the load report that GET /v1/load returns.
 type Load struct {
 	Running         int     `json:"running"`
 	Waiting         int     `json:"waiting"`
 	TokensPerSecond float64 `json:"tokens-per-second"`
 	StepMS          float64 `json:"step-ms"`
-	// UnixMillis is the time at which the report was true.
+	// UnixMillis is the time of the measurement.
 	UnixMillis int64 `json:"unix-millis"`
 }
 
@@ -20,8 +20,8 @@
 	load Load
 }
 
-// sample records the load of this moment and drops what no report needs: all
-// but the newest sample that is older than the lag.
+// sample records the current load and drops the samples that no report needs:
+// of those older than the lag, all but the newest.
 func (e *Engine) sample() {
 	now := time.Now()
 	l := Load{
@@ -40,8 +40,8 @@
 	e.samples = e.samples[old:]
 }
 
-// lagged returns the load as it was one lag ago.
-func (e *Engine) lagged() Load {
+// delayedLoad returns the load as of Config.LoadLag ago.
+func (e *Engine) delayedLoad() Load {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	cut := time.Now().Add(-e.cfg.LoadLag)
@@ -59,5 +59,5 @@
 }
 
 func (e *Engine) serveLoad(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, http.StatusOK, e.lagged())
+	writeJSON(w, http.StatusOK, e.delayedLoad())
 }
--- a/standin/engine/orders.go
+++ b/standin/engine/orders.go
@@ -13,7 +13,7 @@
 	"verbenashift/standin/ledger"
 )
 
-// Order is an order as POST /v1/orders takes it.
+// Order is the body of POST /v1/orders.
 type Order struct {
 	Fence    uint64          `json:"fence"`
 	Sequence uint64          `json:"sequence"`
@@ -25,7 +25,7 @@
 	"load-model": true, "load-adapter": true, "set-role": true, "set-map": true, "drain": true,
 }
 
-func (e *Engine) allowed(r *http.Request) bool {
+func (e *Engine) authorized(r *http.Request) bool {
 	if e.cfg.OrderToken == "" {
 		return true
 	}
@@ -34,7 +34,7 @@
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
-	if !e.allowed(r) {
+	if !e.authorized(r) {
 		writeError(w, http.StatusUnauthorized, "unauthorized")
 		return
 	}
@@ -45,30 +45,31 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if reason := e.refusal(o); reason != "" {
-		writeJSON(w, http.StatusConflict, refusal{reason, e.last.Fence})
+	if reason := e.applyOrder(o); reason != "" {
+		writeJSON(w, http.StatusConflict, refusal{reason, e.lastOrder.Fence})
 		return
 	}
-	e.last = o
+	e.lastOrder = o
 	e.ledger.AddOrder(ledger.Order{
 		Fence: o.Fence, Sequence: o.Sequence, Kind: o.Kind, Argument: o.Argument, Applied: time.Now(),
 	})
-	if e.faults.orderAnswer > 0 {
-		e.faults.orderAnswer--
+	if e.faults.lostOrderAnswers > 0 {
+		e.faults.lostOrderAnswers--
 		panic(http.ErrAbortHandler)
 	}
-	writeJSON(w, http.StatusOK, e.last)
+	writeJSON(w, http.StatusOK, e.lastOrder)
 }
 
 func (e *Engine) serveLastOrder(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	writeJSON(w, http.StatusOK, e.last)
+	writeJSON(w, http.StatusOK, e.lastOrder)
 }
 
-// refusal returns why an order is not carried out, or carries it out as far as
-// it concerns the rank. The rank compares whole numbers, within one fence too.
-func (e *Engine) refusal(o Order) string {
+// applyOrder returns the reason to reject an order, or "". An expert-map order is
+// applied by the rank, which compares the complete order number, so that it also
+// rejects an older order with the same fencing token.
+func (e *Engine) applyOrder(o Order) string {
 	if o.Kind == rank.OrderKind && e.cfg.Rank != nil {
 		var refused *group.RefusedError
 		if errors.As(e.cfg.Rank.Apply(o.Argument), &refused) {
@@ -76,7 +77,7 @@
 		}
 		return ""
 	}
-	if e.cfg.HonourFencing && o.Fence < e.last.Fence {
+	if e.cfg.HonourFencing && o.Fence < e.lastOrder.Fence {
 		return "stale-fence"
 	}
 	return ""
--- a/standin/engine/rank_command.go
+++ b/standin/engine/rank_command.go
@@ -20,27 +20,27 @@
 
 func rankFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.StringFlag{Name: "group", Usage: "expert-parallel group in which the engine is a rank"},
-		&cli.StringSliceFlag{Name: "group-peers", Usage: "name=address of each rank of the group, in the maps' order, for lock-step"},
+		&cli.StringFlag{Name: "group", Usage: "expert-parallel group that the engine is a rank of"},
+		&cli.StringSliceFlag{Name: "group-peers", Usage: "name=address of each rank of the group, in the order of the expert maps, for lockstep"},
 		&cli.StringFlag{Name: "model", Usage: "model whose weights the rank loads"},
 		&cli.StringFlag{Name: "weights", Usage: "address of the weight store"},
-		&cli.IntFlag{Name: "experts", Usage: "experts in a layer"},
-		&cli.IntFlag{Name: "expert-slots", Usage: "experts of a layer that the rank holds"},
-		&cli.DurationFlag{Name: "rank-step", Value: defaultRankStep, Usage: "time of a step of the group with an even load"},
-		&cli.Uint64Flag{Name: "drift-seed", Value: 1, Usage: "seed of the experts' loads, the same for a whole group"},
-		&cli.DurationFlag{Name: "drift-period", Value: defaultPeriod, Usage: "time in which the experts' loads swell and ebb"},
-		&cli.BoolFlag{Name: "ignore-wait", Usage: "make the rank a faulty one, which keeps its map at a switch"},
-		&cli.FloatFlag{Name: "drift-depth", Value: defaultDepth, Usage: "how far the logarithm of an expert's load swings"},
+		&cli.IntFlag{Name: "experts", Usage: "number of experts in a layer"},
+		&cli.IntFlag{Name: "expert-slots", Usage: "number of expert slots of the rank in a layer"},
+		&cli.DurationFlag{Name: "rank-step", Value: defaultRankStep, Usage: "duration of a step of the group when the load is balanced"},
+		&cli.Uint64Flag{Name: "drift-seed", Value: 1, Usage: "seed of the experts' loads; the same for all ranks of a group"},
+		&cli.DurationFlag{Name: "drift-period", Value: defaultPeriod, Usage: "period of the oscillation of the experts' loads"},
+		&cli.BoolFlag{Name: "ignore-wait", Usage: "inject a fault: the rank keeps its map at a switch"},
+		&cli.FloatFlag{Name: "drift-depth", Value: defaultDepth, Usage: "amplitude of the logarithm of an expert's load"},
 	}
 }
 
-// groupRank is a rank with the link to its group.
+// groupRank is a rank with the link to the other ranks of its group.
 type groupRank struct {
 	*rank.Rank
 	link *rank.UDP
 }
 
-// newRank returns the rank that the flags tell of, nil for an engine without a
+// newRank returns the rank that the flags describe, or nil if they name no
 // group.
 func newRank(cmd *cli.Command) (*groupRank, error) {
 	if cmd.String("group") == "" {
@@ -71,7 +71,7 @@
 	return &groupRank{r, link}, nil
 }
 
-// run advances the rank until ctx ends.
+// run receives messages and advances the rank until ctx ends.
 func (g *groupRank) run(ctx context.Context) {
 	go g.link.Run(ctx, g.Receive)
 	g.Rank.Run(ctx)
--- a/standin/engine/stream.go
+++ b/standin/engine/stream.go
@@ -12,7 +12,7 @@
 	textObject      = "text_completion"
 	chatObject      = "chat.completion"
 	chatChunkObject = "chat.completion.chunk"
-	// finishReason is the end of every answer: its length is given.
+	// finishReason is the same for every answer, since its length is fixed.
 	finishReason = "length"
 )
 
@@ -43,17 +43,17 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// answerer writes one generation to one connection.
-type answerer struct {
+// responder writes one generation to one HTTP response.
+type responder struct {
 	sub   *subscription
 	g     *generation
 	chat  bool
 	usage bool
 }
 
-// stream sends the answer as server-sent events, one token an event. If the
-// generation broke, it drops the connection as a dying engine would.
-func (a *answerer) stream(w http.ResponseWriter, r *http.Request) {
+// stream sends the answer as server-sent events, one token per event. If the
+// generation broke, it aborts the connection as a crashing engine would.
+func (a *responder) stream(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("X-Request-Id", a.g.run.RequestID)
 	rc := http.NewResponseController(w)
@@ -66,10 +66,10 @@
 		}
 		buf.Reset()
 		for i := from; i < to; i++ {
-			a.event(&buf, a.chunk(i))
+			a.event(&buf, a.tokenChunk(i))
 		}
 		if st == stateDone {
-			a.last(&buf)
+			a.finish(&buf)
 		}
 		if _, err := w.Write(buf.Bytes()); err != nil {
 			return
@@ -83,8 +83,8 @@
 	}
 }
 
-// whole sends the answer as one JSON document.
-func (a *answerer) whole(w http.ResponseWriter, r *http.Request) {
+// respond sends the complete answer as one JSON document.
+func (a *responder) respond(w http.ResponseWriter, r *http.Request) {
 	for {
 		_, _, st, err := a.sub.wait(r.Context())
 		if err != nil {
@@ -109,12 +109,12 @@
 		c.Text = &text
 	}
 	b.Choices = []choice{c}
-	b.Usage = a.count()
+	b.Usage = a.usageCounts()
 	w.Header().Set("X-Request-Id", a.g.run.RequestID)
 	writeJSON(w, http.StatusOK, b)
 }
 
-func (a *answerer) body() body {
+func (a *responder) body() body {
 	object := textObject
 	if a.chat {
 		object = chatChunkObject
@@ -122,11 +122,11 @@
 	return body{ID: "cmpl-" + a.g.run.RequestID, Object: object, Model: a.g.run.Model}
 }
 
-func (a *answerer) chunk(i int) body {
-	return a.piece(answer.Token(a.g.run.Model, a.g.prompt, i), nil)
+func (a *responder) tokenChunk(i int) body {
+	return a.textChunk(answer.Token(a.g.run.Model, a.g.prompt, i), nil)
 }
 
-func (a *answerer) piece(text string, finish *string) body {
+func (a *responder) textChunk(text string, finish *string) body {
 	c := choice{FinishReason: finish}
 	if a.chat {
 		c.Delta = &delta{text}
@@ -138,28 +138,28 @@
 	return b
 }
 
-// last writes the closing events: the chunk with the finish reason, the usage
-// if asked for, and the end mark.
-func (a *answerer) last(buf *bytes.Buffer) {
+// finish writes the final events: the chunk with the finish reason, the usage
+// if requested, and the [DONE] marker.
+func (a *responder) finish(buf *bytes.Buffer) {
 	reason := finishReason
-	a.event(buf, a.piece("", &reason))
+	a.event(buf, a.textChunk("", &reason))
 	if a.usage {
 		b := a.body()
 		b.Choices = []choice{}
-		b.Usage = a.count()
+		b.Usage = a.usageCounts()
 		a.event(buf, b)
 	}
 	buf.WriteString("data: [DONE]\n\n")
 }
 
-func (a *answerer) event(buf *bytes.Buffer, b body) {
+func (a *responder) event(buf *bytes.Buffer, b body) {
 	buf.WriteString("data: ")
 	data, _ := json.Marshal(b)
 	buf.Write(data)
 	buf.WriteString("\n\n")
 }
 
-func (a *answerer) count() *usage {
+func (a *responder) usageCounts() *usage {
 	prompt := len(bytes.Fields([]byte(a.g.prompt)))
 	return &usage{PromptTokens: prompt, CompletionTokens: a.g.total, TotalTokens: prompt + a.g.total}
 }
