--- a/standin/answer/answer.go
+++ b/standin/answer/answer.go
@@ -1,14 +1,14 @@
-// Package answer computes the answer that the model engine stand-in gives.
+// Package answer computes the answers of the fake model engine.
 //
-// The answer is a pure function of model, prompt and number of tokens, so
-// that any observer can tell a whole answer from a truncated, repeated or
-// foreign one without asking the engine.
+// An answer is a pure function of model, prompt and number of tokens, so
+// an observer can tell a complete answer from a truncated, repeated or
+// mismatched one without querying the engine.
 //
 // # Usage
 //
 //	want := answer.Text("captioner", "a jebena on a tray", 16)
 //	if got != want {
-//		return errForeign
+//		return errMismatch
 //	}
 package answer
 
@@ -21,10 +21,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// DefaultTokens is the length of an answer whose request names none.
+// DefaultTokens is the length of an answer if the request sets no limit.
 const DefaultTokens = 16
 
-// TokenBytes is the length of every token's text.
+// TokenBytes is the length of the text of each token.
 const TokenBytes = 1 + 8 + 1
 
 // Message is one turn of a chat request.
@@ -33,7 +33,7 @@
 	Content string `json:"content"`
 }
 
-// ChatPrompt returns the prompt that stands for the turns of a chat.
+// ChatPrompt returns the messages of a chat as one prompt.
 func ChatPrompt(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,5 @@
-// Standin runs the small fakes that take the platform's and the targets'
-// place in tests, and the calling client that plays a closing.
+// Standin runs fake implementations of the platform and of targets for tests,
+// and the client that replays the requests of a closing.
 package main
 
 import (
--- a/standin/serve/serve.go
+++ b/standin/serve/serve.go
@@ -1,4 +1,5 @@
-// Package serve runs the HTTP server of a stand-in until it is told to stop.
+// Package serve runs the HTTP server of a stand-in until its context ends or the
+// process receives SIGTERM or SIGINT.
 //
 // # Usage
 //
@@ -24,16 +25,16 @@
 	headerTimeout = 10 * time.Second
 )
 
-// Options says what to serve and where.
+// Options configures Run.
 type Options struct {
 	Name    string
 	Listen  string
 	Handler http.Handler
-	// Background, if set, runs beside the server until its context ends.
+	// Background, if set, runs in its own goroutine until its context ends.
 	Background func(ctx context.Context)
 }
 
-// Run serves until ctx ends or the process gets SIGTERM or SIGINT.
+// Run serves until ctx ends or the process receives SIGTERM or SIGINT.
 func Run(ctx context.Context, o Options) error {
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
@@ -42,9 +43,9 @@
 		return errors.Wrapf(err, "start %s", o.Name)
 	}
 	<-ctx.Done()
-	last, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
-	if err := app.Stop(last); err != nil {
+	if err := app.Stop(stopCtx); err != nil {
 		return errors.Wrapf(err, "stop %s", o.Name)
 	}
 	return nil
@@ -53,7 +54,7 @@
 func register(lc fx.Lifecycle, o Options) {
 	log := slog.New(slog.NewJSONHandler(os.Stderr, nil)).With("stand-in", o.Name)
 	server := &http.Server{Handler: o.Handler, ReadHeaderTimeout: headerTimeout}
-	duty, cancel := context.WithCancel(context.Background())
+	background, cancel := context.WithCancel(context.Background())
 	lc.Append(fx.Hook{
 		OnStart: func(ctx context.Context) error {
 			var cfg net.ListenConfig
@@ -62,7 +63,7 @@
 				return err
 			}
 			if o.Background != nil {
-				go o.Background(duty)
+				go o.Background(background)
 			}
 			go func() {
 				if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
