--- a/standin/ledger/ledger.go
+++ b/standin/ledger/ledger.go
@@ -1,12 +1,12 @@
-// Package ledger records what a target stand-in ran.
+// Package ledger records which requests a fake target ran.
 //
-// The ledger is the oracle of every proof: a run is written down before it
-// begins and again when it ends, so that neither a lost answer nor a killed
+// The ledger is the test oracle of every proof: a run is recorded before it
+// begins and again when it ends, so neither a lost response nor a killed
 // process can hide it.
 //
 // # Usage
 //
-//	l, err := ledger.Open(path) // an empty path keeps it in memory only
+//	l, err := ledger.Open(path) // in memory only if path is empty
 //	n, err := l.Start(ledger.Run{RequestID: id})
 //	l.End(n, ledger.Result{Tokens: 16})
 package ledger
@@ -27,7 +27,7 @@
 
 // Run is one execution of a request at one target.
 type Run struct {
-	// Number counts the runs of one ledger from 1.
+	// Number is the run's number in its ledger, starting at 1.
 	Number         int    `json:"number"`
 	Target         string `json:"target,omitempty"`
 	RequestID      string `json:"request-id"`
@@ -41,20 +41,21 @@
 	Digest    string `json:"digest"`
 	CacheSalt string `json:"cache-salt,omitempty"`
 	Priority  int    `json:"priority,omitempty"`
-	// Resumed is the number of tokens that another engine had made before.
+	// Resumed is the number of tokens that another engine had produced before.
 	Resumed int       `json:"resumed,omitempty"`
 	Started time.Time `json:"started"`
 	Ended   time.Time `json:"ended,omitzero"`
 	Result
 }
 
-// Result is how a run ended.
+// Result is the result of a run.
 type Result struct {
 	Tokens    int  `json:"tokens"`
 	Cancelled bool `json:"cancelled,omitempty"`
-	// Broken says that a fault switch ended the run as if the target died.
+	// Broken reports that an injected fault ended the run as if the target had
+	// crashed.
 	Broken bool `json:"broken,omitempty"`
-	// Status is the HTTP status of a plain service's answer.
+	// Status is the HTTP status of a plain service's response.
 	Status int `json:"status,omitempty"`
 }
 
@@ -67,26 +68,26 @@
 	Applied  time.Time       `json:"applied"`
 }
 
-// Report is the ledger as GET /ledger shows it.
+// Report is the content of the ledger as GET /ledger returns it.
 type Report struct {
 	Target string  `json:"target,omitempty"`
 	Runs   []Run   `json:"runs"`
 	Orders []Order `json:"orders,omitempty"`
-	// Refused counts requests refused before they ran.
+	// Refused counts requests that were rejected before they ran.
 	Refused int `json:"refused"`
-	// Conflicts counts runs that found their booking slot taken.
+	// Conflicts counts runs whose booking slot was already taken.
 	Conflicts int `json:"conflicts"`
 }
 
-// Ledger is safe for use by many goroutines.
+// Ledger records runs. It is safe for concurrent use.
 type Ledger struct {
 	mu     sync.Mutex
 	report Report
 	file   *os.File
 }
 
-// Open returns a ledger that appends to the file at path and begins with the
-// runs already in it. With an empty path it lives in memory only.
+// Open returns a ledger that appends to the file at path and starts with the
+// runs already in it. If path is empty, the ledger is kept in memory only.
 func Open(path string) (*Ledger, error) {
 	l := &Ledger{}
 	if path == "" {
@@ -98,7 +99,7 @@
 	}
 	l.file = f
 	if l.report.Runs, err = Read(f); err == nil {
-		// A line that a kill cut short must not swallow the next one.
+		// Terminate a line that a kill truncated, so that the next one is readable.
 		_, err = f.WriteString("\n")
 	}
 	if err != nil {
@@ -108,8 +109,8 @@
 	return l, nil
 }
 
-// Read returns the runs of a ledger file. A run with a start line only has a
-// zero Ended. A last line cut short by a kill is skipped.
+// Read returns the runs of a ledger file. A run that was started but not ended
+// has a zero Ended. A line truncated by a kill is skipped.
 func Read(r io.Reader) ([]Run, error) {
 	var runs []Run
 	byNumber := make(map[int]int)
@@ -130,15 +131,15 @@
 	return runs, lines.Err()
 }
 
-// SetTarget names the target in reports and in runs started from now on.
+// SetTarget sets the name of the target in reports and in runs started later.
 func (l *Ledger) SetTarget(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.Target = name
 }
 
-// Start records that a run begins and returns its number. After an error the
-// run must not begin.
+// Start records the start of a run and returns its number. If it returns an
+// error, the run must not begin.
 func (l *Ledger) Start(run Run) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,21 +170,21 @@
 	l.report.Orders = append(l.report.Orders, o)
 }
 
-// AddRefused counts a request that was refused before it ran.
+// AddRefused counts a request that was rejected before it ran.
 func (l *Ledger) AddRefused() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.Refused++
 }
 
-// AddConflict counts a run that found its booking slot taken.
+// AddConflict counts a run whose booking slot was already taken.
 func (l *Ledger) AddConflict() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.report.Conflicts++
 }
 
-// Report returns a copy of the whole ledger.
+// Report returns a copy of the ledger's content.
 func (l *Ledger) Report() Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +194,7 @@
 	return r
 }
 
-// ServeHTTP answers GET /ledger.
+// ServeHTTP implements http.Handler and serves GET /ledger.
 func (l *Ledger) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(l.Report())
--- a/standin/ledger/ledger_test.go
+++ b/standin/ledger/ledger_test.go
@@ -10,9 +10,9 @@
 	"verbenashift/standin/ledger"
 )
 
-// A target is killed with kill -9 while it runs a booking and while it writes
-// a line. When it starts again its ledger must still show the run that never
-// ended, and must go on behind the half line.
+// A target is killed with SIGKILL during a run and while it writes a line. After
+// a restart the ledger must still show the run that never ended, and must append
+// behind the truncated line without losing the next run.
 func TestLedgerOutlivesKill(t *testing.T) {
 	is := is.New(t)
 	path := filepath.Join(t.TempDir(), "ledger")
--- a/standin/plain/command.go
+++ b/standin/plain/command.go
@@ -16,13 +16,13 @@
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "plain",
-		Usage: "stand in for the booking application or the job desk",
+		Usage: "run a fake of the booking application or the job desk",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:9200", Usage: "IP address and port"},
 			&cli.StringFlag{Name: "name", Usage: "target name in the ledger"},
-			&cli.DurationFlag{Name: "work", Value: defaultWork, Usage: "time of one call"},
-			&cli.IntFlag{Name: "slots", Usage: "calls that run at once; 0 for no limit"},
-			&cli.StringFlag{Name: "ledger", Usage: "file to which runs are appended"},
+			&cli.DurationFlag{Name: "work", Value: defaultWork, Usage: "duration of one call"},
+			&cli.IntFlag{Name: "slots", Usage: "number of calls that run concurrently; 0 for no limit"},
+			&cli.StringFlag{Name: "ledger", Usage: "file to append runs to"},
 		},
 		Action: run,
 	}
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,4 +1,4 @@
-// Package plain is a small fake of the plain services beside the engines: the
+// Package plain is a fake of the plain HTTP services beside the engines: the
 // booking application and the job desk.
 //
 // # Usage
@@ -26,9 +26,9 @@
 
 // Config holds the settings of a service.
 type Config struct {
-	// Work is the time that a call takes.
+	// Work is the duration of a call.
 	Work time.Duration
-	// Slots is how many calls run at once; 0 means no limit.
+	// Slots is the number of calls that run concurrently; 0 means no limit.
 	Slots int
 }
 
@@ -43,26 +43,26 @@
 	faults faults
 }
 
-// Slot is a chapel's hour.
+// Slot is a time slot of a chapel.
 type Slot struct {
 	Chapel string `json:"chapel"`
 	Slot   string `json:"slot"`
 }
 
-// Booking is the answer to a successful booking.
+// Booking is the response to a successful booking.
 type Booking struct {
 	Slot
 	Booking string `json:"booking"`
 }
 
-// Visitation is the answer to a lookup; it depends on the id alone, so that
-// every workspace gets the same bytes.
+// Visitation is the response to a lookup. It depends on the id alone, so every
+// workspace gets the same bytes.
 type Visitation struct {
 	ID    string `json:"id"`
 	Place string `json:"place"`
 }
 
-// Receipt is the job desk's answer.
+// Receipt is the response to a ping or a job.
 type Receipt struct {
 	Kind   string `json:"kind"`
 	Digest string `json:"digest"`
@@ -71,15 +71,16 @@
 type faults struct {
 	refuse bool
 	stall  time.Duration
-	// loseAnswers is how many calls are run without an answer.
+	// loseAnswers is the number of further calls that run without a response.
 	loseAnswers int
 }
 
 type faultRequest struct {
 	Refuse *bool `json:"refuse"`
-	// StallMS makes the next call take that much longer.
+	// StallMS delays the next call.
 	StallMS *int `json:"stall-ms"`
-	// LoseAnswers runs the next calls and drops their connections.
+	// LoseAnswers is the number of further calls that run and whose connections
+	// are then dropped.
 	LoseAnswers *int `json:"lose-answers"`
 }
 
@@ -99,16 +100,17 @@
 	r.Handle("/ledger", s.ledger).Methods(http.MethodGet)
 	r.HandleFunc("/bookings", s.run(s.book)).Methods(http.MethodPost)
 	r.HandleFunc("/visitations/{id}", s.run(visit)).Methods(http.MethodGet)
-	r.HandleFunc("/pings", s.run(receive("ping", http.StatusOK))).Methods(http.MethodPost)
-	r.HandleFunc("/jobs", s.run(receive("job", http.StatusAccepted))).Methods(http.MethodPost)
+	r.HandleFunc("/pings", s.run(acknowledge("ping", http.StatusOK))).Methods(http.MethodPost)
+	r.HandleFunc("/jobs", s.run(acknowledge("job", http.StatusAccepted))).Methods(http.MethodPost)
 	r.PathPrefix("/").HandlerFunc(s.run(echo))
 	return r
 }
 
-// action computes the answer to a call whose body is given.
+// action computes the status and body of a response.
 type action func(r *http.Request, body []byte) (status int, v any)
 
-// run writes a call down, takes its time, acts and answers.
+// run returns a handler that applies the injected faults, records the call in the
+// ledger, takes the configured time and responds with the result of act.
 func (s *Service) run(act action) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
@@ -127,7 +129,7 @@
 			s.slots <- struct{}{}
 			defer func() { <-s.slots }()
 		}
-		n, err := s.ledger.Start(entry(r, body))
+		n, err := s.ledger.Start(newRun(r, body))
 		if err != nil {
 			writeError(w, http.StatusServiceUnavailable, "no-ledger")
 			return
@@ -143,7 +145,7 @@
 	}
 }
 
-func entry(r *http.Request, body []byte) ledger.Run {
+func newRun(r *http.Request, body []byte) ledger.Run {
 	return ledger.Run{
 		RequestID:      r.Header.Get("X-Request-Id"),
 		IdempotencyKey: r.Header.Get("Idempotency-Key"),
@@ -154,7 +156,7 @@
 	}
 }
 
-// Digest returns the SHA-256 of a body in hex.
+// Digest returns the SHA-256 digest of a body in hex.
 func Digest(body []byte) string {
 	d := sha256.Sum256(body)
 	return hex.EncodeToString(d[:])
@@ -175,12 +177,12 @@
 	return http.StatusCreated, NewBooking(slot)
 }
 
-// NewBooking returns the answer to the booking of slot.
+// NewBooking returns the response to a booking of slot.
 func NewBooking(slot Slot) Booking {
 	return Booking{slot, Digest([]byte(slot.Chapel + "\x00" + slot.Slot))[:16]}
 }
 
-// NewVisitation returns the answer to the lookup of id.
+// NewVisitation returns the response to a lookup of id.
 func NewVisitation(id string) Visitation {
 	return Visitation{id, "chapel-" + Digest([]byte(id))[:8]}
 }
@@ -189,13 +191,14 @@
 	return http.StatusOK, NewVisitation(mux.Vars(r)["id"])
 }
 
-func receive(kind string, status int) action {
+func acknowledge(kind string, status int) action {
 	return func(_ *http.Request, body []byte) (int, any) {
 		return status, Receipt{kind, Digest(body)}
 	}
 }
 
-// Echo shows how a call reached the service.
+// Echo is the response to any other path. It shows the request as the service
+// received it.
 type Echo struct {
 	Method  string      `json:"method"`
 	Path    string      `json:"path"`
--- a/standin/plain/plain_test.go
+++ b/standin/plain/plain_test.go
@@ -26,9 +26,9 @@
 	return w.Code, strings.TrimSpace(w.Body.String())
 }
 
-// A chapel slot is booked, the answer is lost, and the family's arranger
-// books again: the second run must show in the ledger and in the answer, or
-// no proof could ever find a double booking.
+// A booking runs, its response is lost and the caller books again. The second run
+// must show in the ledger and in its response; otherwise no proof could detect a
+// double booking.
 func TestPlain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
