--- a/standin/rank/drift.go
+++ b/standin/rank/drift.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// Drift makes the loads of a group's experts, which swell and ebb, each in its
-// own time. All ranks with the same settings see the same loads.
+// Drift generates the loads of a group's experts, which oscillate, each with a
+// phase of its own. Ranks with the same settings compute the same loads.
 type Drift struct {
 	Seed    uint64
 	Experts int
-	// Period is the time of one swell; 0 keeps the loads as they are.
+	// Period is the period of the oscillation; 0 keeps the loads constant.
 	Period time.Duration
-	// Depth is how far the logarithm of a load swings.
+	// Depth is the amplitude of the logarithm of a load.
 	Depth float64
-	// Lag is the age of reports.
+	// Lag is the age of load reports.
 	Lag time.Duration
 }
 
-// At returns the loads of a layer's experts at a wall time.
+// At returns the loads of a layer's experts at a wall-clock time.
 func (d Drift) At(layer int, at time.Time) []float64 {
 	rng := rand.New(rand.NewPCG(d.Seed, uint64(layer)))
 	turn := 0.0
--- a/standin/rank/http.go
+++ b/standin/rank/http.go
@@ -12,23 +12,23 @@
 	"verbenashift/core/experts/rank"
 )
 
-// LedgerPrefix is where the rank's ledger and faults are in the engine.
+// LedgerPrefix is the path prefix of the rank's ledger and faults.
 const LedgerPrefix = "/rank"
 
-// faults are the switches of the rank.
+// faults are the injected faults of the rank.
 type faults struct {
 	ignoreWait bool
 	stallUntil time.Time
 }
 
-// faultRequest is the body of POST /rank/faults; fields left out change nothing.
+// faultRequest is the body of POST /rank/faults. Omitted fields stay unchanged.
 type faultRequest struct {
 	// IgnoreWait makes the rank keep its old map at the step of a switch.
 	IgnoreWait *bool `json:"ignore-wait"`
 	StallMS    *int  `json:"stall-ms"`
 }
 
-// Register adds the rank's paths to its engine's.
+// Register adds the rank's routes to its engine's router.
 func (r *Rank) Register(m *mux.Router) {
 	m.HandleFunc(rank.StatePath, r.serveState).Methods(http.MethodGet)
 	m.HandleFunc(rank.MapsPath+"{version}", r.serveMap).Methods(http.MethodGet)
--- a/standin/rank/load.go
+++ b/standin/rank/load.go
@@ -11,11 +11,11 @@
 	"verbenashift/core/experts/rank"
 )
 
-// retryPause is the pause after a read of weights that failed.
+// retryPause is the delay after a failed read of weights.
 const retryPause = 100 * time.Millisecond
 
-// Apply carries out an order in the form of rank.Order, or returns a
-// *group.RefusedError and changes nothing.
+// Apply applies an order, a rank.Order in JSON. If it rejects the order, it
+// returns a *group.RefusedError and changes nothing.
 func (r *Rank) Apply(argument json.RawMessage) error {
 	var o rank.Order
 	if err := json.Unmarshal(argument, &o); err != nil {
@@ -34,15 +34,16 @@
 		r.maps[o.Version] = o.Placement
 	}
 	if s := r.rank.State; loads && s.Loading == o.Version {
-		r.forget()
+		r.releaseUnused()
 		go r.load(o.Version)
 	}
 	r.wake()
 	return nil
 }
 
-// forget frees the weights and contents of maps that are no longer of use.
-func (r *Rank) forget() {
+// releaseUnused frees the maps that are neither in force, loaded nor loading, and
+// the weights that no remaining map needs.
+func (r *Rank) releaseUnused() {
 	s := r.rank.State
 	keep := make(map[weight]bool)
 	for v, p := range r.maps {
@@ -61,7 +62,7 @@
 	}
 }
 
-// weights lists what this rank holds of a map.
+// weights returns the weights that this rank needs for a map.
 func (r *Rank) weights(p rank.Placement) []weight {
 	var list []weight
 	for l, m := range p {
@@ -80,13 +81,14 @@
 	return m[from:min(from+r.cfg.Slots, len(m))]
 }
 
-// load reads the weights that a map lacks, until it is loaded or overtaken.
+// load reads the missing weights of a map, until the map is loaded or another one
+// supersedes it.
 func (r *Rank) load(v group.Version) {
 	r.mu.Lock()
 	list := r.weights(r.maps[v])
 	r.mu.Unlock()
 	for _, w := range list {
-		for !r.whole(w) {
+		for !r.complete(w) {
 			if !r.loading(v) {
 				return
 			}
@@ -109,15 +111,16 @@
 	return r.rank.State.Loading == v
 }
 
-// whole reports whether all bytes of a weight are in memory.
-func (r *Rank) whole(w weight) bool {
+// complete reports whether all bytes of an expert's weights are in memory.
+func (r *Rank) complete(w weight) bool {
 	size, err := r.cfg.Store.Size(context.Background(), r.cfg.Model, w.layer, w.expert)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return err == nil && r.memory[w] >= size
 }
 
-// read reads the rest of a weight and reports whether bytes have come.
+// read reads the remaining bytes of an expert's weights and reports whether any
+// have arrived.
 func (r *Rank) read(w weight) bool {
 	size, err := r.cfg.Store.Size(context.Background(), r.cfg.Model, w.layer, w.expert)
 	if err != nil {
@@ -130,8 +133,9 @@
 	return err == nil && n > 0
 }
 
-// Fetch reads a part of an expert's weights into memory. It returns how many of
-// the bytes are there afterwards; a part beyond a hole is not kept.
+// Fetch reads a part of an expert's weights into memory. It returns how many bytes
+// of the part are in memory afterwards. A part that would leave a gap before it is
+// not read.
 func (r *Rank) Fetch(ctx context.Context, part rank.WeightsRequest) (int64, error) {
 	w := weight{part.Layer, part.Expert}
 	r.mu.Lock()
@@ -153,7 +157,7 @@
 	return n, nil
 }
 
-// Map returns the content of a map in memory.
+// Map returns the content of a map that is in memory.
 func (r *Rank) Map(v group.Version) (rank.Placement, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -161,8 +165,8 @@
 	return p, ok
 }
 
-// replicas counts the replicas of each expert on the ranks of the epoch: only
-// they share its load.
+// replicas counts the replicas of each expert on the members of the epoch, since
+// only those share its load.
 func (r *Rank) replicas(m expert.Map, experts int) []int {
 	n := make([]int, experts)
 	for i, e := range m {
@@ -173,7 +177,7 @@
 	return n
 }
 
-// Loads returns the loads of this rank's experts as they were a lag ago.
+// Loads returns the loads of this rank's experts as of Drift.Lag ago.
 func (r *Rank) Loads(now time.Time) rank.Loads {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -194,8 +198,8 @@
 	return l
 }
 
-// relativeLoad returns this rank's load over the mean of all ranks, as a mean
-// of the layers.
+// relativeLoad returns this rank's load divided by the mean load of the members,
+// averaged over the layers.
 func (r *Rank) relativeLoad(now time.Time) float64 {
 	p := r.maps[r.rank.State.Version]
 	total := 0.0
--- a/standin/rank/rank.go
+++ b/standin/rank/rank.go
@@ -1,17 +1,18 @@
-// Package rank is a small fake of one rank of an expert-parallel group.
+// Package rank is a fake of one rank of an expert-parallel group.
 //
-// The ranks of a group advance in lock-step: none begins a step before all
-// ranks of its epoch have done the one before. They find each other by a list
-// of addresses and meet at the first rank of the epoch, by datagrams that may be
-// lost. Each rank writes down which map it used in which step, for the judge.
+// The ranks of a group advance in lockstep: none begins a step before all
+// members of its epoch have completed the previous one. They know each other by a
+// list of addresses and synchronize at a barrier, which the first member of the
+// epoch keeps, by datagrams that may be lost. Each rank records for the judge
+// which map it used in which step.
 //
-// A rank keeps what package core/experts/group wants of an engine, by that package's
-// reference. It has a switch, ignore-wait, that makes it a faulty one: it goes
-// on with its old map at the step for which it promised to stop.
+// A rank meets the requirements of package core/experts/group for an engine, by
+// that package's reference implementation. The fault ignore-wait breaks them: the
+// rank continues with its old map at the step at which it promised to stop.
 //
 // # Usage
 //
-//	r := rank.New(rank.Config{Name: "bole-3", Group: "caption", Peers: peers}, link)
+//	r := rank.New(rank.Config{Name: "bole-3", Group: "caption", Index: 3, Order: names}, link)
 //	go r.Run(ctx)
 //	e := engine.New(engine.Config{Rank: r}, l)
 package rank
@@ -29,25 +30,25 @@
 
 // Config holds the settings of a rank.
 type Config struct {
-	// Name is the rank's target; Index its place in the group's maps.
+	// Name is the rank's target; Index is its position in the group's maps.
 	Name  string
 	Group string
 	Index int
-	// Order names the group's ranks in the order of the maps.
+	// Order lists the names of the group's ranks in the order of the maps.
 	Order []string
-	// Step is the time of a step with an even load. The step of a rank takes as
-	// much longer as its load is above the mean.
+	// Step is the duration of a step with a balanced load. It is multiplied by the
+	// rank's load relative to the mean.
 	Step time.Duration
-	// HonourFencing refuses orders with an older number.
+	// HonourFencing rejects orders with an older number.
 	HonourFencing bool
-	// Model names the weights; Store reads them.
+	// Model is the model whose weights Store reads.
 	Model string
 	Store WeightStore
-	// Drift makes the loads of the experts.
+	// Drift generates the loads of the experts.
 	Drift Drift
-	// Slots is how many experts of a layer a rank holds.
+	// Slots is the number of expert slots of a rank in a layer.
 	Slots int
-	// IgnoreWait sets the switch of that name at the start.
+	// IgnoreWait sets the fault ignore-wait at the start.
 	IgnoreWait bool
 }
 
@@ -55,22 +56,22 @@
 type WeightStore interface {
 	// Size returns the size of one expert's weights in bytes.
 	Size(ctx context.Context, model string, layer int, expert int32) (int64, error)
-	// Read reads a part and returns how many bytes have come.
+	// Read reads a part and returns the number of bytes received.
 	Read(ctx context.Context, model string, w rank.WeightsRequest) (int64, error)
 }
 
-// Link carries messages to other ranks of the group. They may be lost.
+// Link sends messages to other ranks of the group. Messages may be lost.
 type Link interface {
 	Send(to string, m StepMessage)
 }
 
-// weight names one expert's weights.
+// weight identifies the weights of one expert.
 type weight struct {
 	layer  int
 	expert int32
 }
 
-// Rank is the fake. Use New.
+// Rank is the fake rank. Use New.
 type Rank struct {
 	cfg  Config
 	link Link
@@ -79,28 +80,27 @@
 	mu     sync.Mutex
 	rank   group.Rank
 	stalls uint64
-	// stalled is the step for which a stall has been counted.
-	stalled uint64
-	maps    map[group.Version]rank.Placement
-	memory  map[weight]int64
-	faults  faults
-
-	// allowed is the last step that all ranks of the epoch have done.
-	allowed uint64
-	meeting lease.Number
-	// offset is the difference between the numbers in the ledger and those of
-	// the epoch: a step's number in the ledger is never used again in a later
-	// epoch.
-	offset int64
-	hub    hub
-	// ends is when the step in progress is done.
-	ends time.Time
-	// told is what this rank has last told the meeting place, and sent when.
-	told StepMessage
-	sent time.Time
-
-	ledger judge.Rank
-	used   uint64
+	// stalledStep is the last step for which a stall was counted.
+	stalledStep uint64
+	maps        map[group.Version]rank.Placement
+	memory      map[weight]int64
+	faults      faults
+
+	// allDone is the last step that all members of barrierEpoch have completed.
+	allDone      uint64
+	barrierEpoch lease.Number
+	// offset is the difference between the step numbers in the ledger and those of
+	// the epoch. It keeps a later epoch from reusing step numbers of the ledger.
+	offset  int64
+	barrier barrier
+	// stepEnds is when the step in progress completes.
+	stepEnds time.Time
+	// lastReport is the last report to the barrier, sent at reportedAt.
+	lastReport StepMessage
+	reportedAt time.Time
+
+	ledger     judge.Rank
+	ledgerStep uint64
 }
 
 // New returns a rank that has just started and belongs to no epoch.
@@ -118,8 +118,8 @@
 	return r
 }
 
-// idlePause bounds the time between two looks at what there is to do.
-const idlePause = 20 * time.Millisecond
+// pollInterval bounds the time between two calls of advance.
+const pollInterval = 20 * time.Millisecond
 
 // Run advances the rank until ctx ends.
 func (r *Rank) Run(ctx context.Context) {
@@ -143,37 +143,39 @@
 	}
 }
 
-// advance ends the step in progress if it is done, begins the next one if all
-// ranks have come to it, and returns when to look again.
+// advance completes the step in progress if its time is over, begins the next one
+// if all members are ready for it, and returns the delay until the next call.
 func (r *Rank) advance(now time.Time) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := &r.rank.State
 	if !s.Ready() || now.Before(r.faults.stallUntil) {
-		return idlePause
+		return pollInterval
 	}
 	if !s.Waiting {
-		if left := r.ends.Sub(now); left > 0 {
+		if left := r.stepEnds.Sub(now); left > 0 {
 			return left
 		}
 		r.rank.Finish()
 	}
-	if !r.met() {
-		r.tellDone(now)
+	if !r.peersDone() {
+		r.reportDone(now)
 	}
-	if !r.met() {
-		return idlePause
+	if !r.peersDone() {
+		return pollInterval
 	}
 	return r.begin(now)
 }
 
-// met reports whether all ranks of the epoch have done the step before Next.
-func (r *Rank) met() bool {
+// peersDone reports whether all members of the epoch have completed the step
+// before Next.
+func (r *Rank) peersDone() bool {
 	s := &r.rank.State
-	return r.meeting == s.Epoch && r.allowed+1 >= s.Next
+	return r.barrierEpoch == s.Epoch && r.allDone+1 >= s.Next
 }
 
-// begin begins the next step, unless the rank has to wait for an outcome.
+// begin begins the next step, unless the rank has to wait for the outcome of a
+// switch.
 func (r *Rank) begin(now time.Time) time.Duration {
 	s := &r.rank.State
 	if r.faults.ignoreWait && !s.Armed.Number.IsZero() && s.Next >= s.Armed.Step {
@@ -181,29 +183,29 @@
 	}
 	step, version, ok := r.rank.Begin()
 	if !ok {
-		if r.stalled != s.Next {
-			r.stalled, r.stalls = s.Next, r.stalls+1
+		if r.stalledStep != s.Next {
+			r.stalledStep, r.stalls = s.Next, r.stalls+1
 		}
-		return idlePause
+		return pollInterval
 	}
 	r.record(step, version)
 	d := time.Duration(float64(r.cfg.Step) * r.relativeLoad(now))
-	r.ends = now.Add(d)
+	r.stepEnds = now.Add(d)
 	return d
 }
 
-// record writes a step down.
+// record adds a step to the ledger.
 func (r *Rank) record(step uint64, version group.Version) {
-	r.used = uint64(int64(step) + r.offset)
+	r.ledgerStep = uint64(int64(step) + r.offset)
 	spans := r.ledger.Spans
-	if n := len(spans); n > 0 && spans[n-1].Map == uint64(version) && spans[n-1].To+1 == r.used {
-		spans[n-1].To = r.used
+	if n := len(spans); n > 0 && spans[n-1].Map == uint64(version) && spans[n-1].To+1 == r.ledgerStep {
+		spans[n-1].To = r.ledgerStep
 		return
 	}
-	r.ledger.Spans = append(spans, judge.Span{From: r.used, To: r.used, Map: uint64(version)})
+	r.ledger.Spans = append(spans, judge.Span{From: r.ledgerStep, To: r.ledgerStep, Map: uint64(version)})
 }
 
-// Ledger returns a copy of what the rank has written down.
+// Ledger returns a copy of the rank's ledger.
 func (r *Rank) Ledger() judge.Rank {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -212,7 +214,7 @@
 	return l
 }
 
-// State returns what the rank tells of itself.
+// State returns the rank's state as it reports it.
 func (r *Rank) State() rank.State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/rank/rank_test.go
+++ b/standin/rank/rank_test.go
@@ -21,7 +21,7 @@
 
 const weightSize = 1024
 
-// readyStore has all weights at once.
+// readyStore returns all weights without a delay.
 type readyStore struct{}
 
 func (readyStore) Size(context.Context, string, int, int32) (int64, error) { return weightSize, nil }
@@ -30,7 +30,7 @@
 	return w.Length, nil
 }
 
-// ranks is a group whose ranks reach each other in no time.
+// ranks is a group, by name, and a link without delay between its ranks.
 type ranks map[string]*standin.Rank
 
 func (r ranks) Send(to string, m standin.StepMessage) { go r[to].Receive(m) }
@@ -40,8 +40,9 @@
 	maps  = []rank.Placement{{{0, 1, 2}}, {{1, 2, 0}}}
 )
 
-// formed returns ranks that step on the first map and have the second loaded.
-func formed(t *testing.T) ranks {
+// newGroup returns ranks that run steps on the first map and have loaded the
+// second.
+func newGroup(t *testing.T) ranks {
 	t.Helper()
 	r := make(ranks)
 	for i, n := range names {
@@ -78,7 +79,7 @@
 	}
 }
 
-// arm arms all ranks for a step a little ahead.
+// arm arms all ranks to switch to the second map 10 steps ahead.
 func (r ranks) arm(t *testing.T) (step uint64) {
 	t.Helper()
 	step = r["a"].State().Next + 10
@@ -95,8 +96,9 @@
 	}})
 }
 
-// judged returns how many steps the ranks made on different maps.
-func (r ranks) judged() int {
+// mismatchedSteps returns the number of steps in which the ranks used different
+// maps.
+func (r ranks) mismatchedSteps() int {
 	var evidence judge.Evidence
 	for _, n := range names {
 		evidence.Ranks = append(evidence.Ranks, r[n].Ledger())
@@ -115,11 +117,11 @@
 	for _, commit := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			r := formed(t)
+			r := newGroup(t)
 			step := r.arm(t)
 			time.Sleep(time.Second)
 			for _, n := range names {
-				is.Equal(r[n].State().Next, step) // all wait for the outcome
+				is.Equal(r[n].State().Next, step) // waiting for the outcome
 				is.Equal(r[n].State().Stalls, uint64(1))
 			}
 			r.resolve(t, commit)
@@ -128,34 +130,34 @@
 				is.True(r[n].State().Next > step+100)
 				is.Equal(r[n].State().Version == maps[1].Version(), commit)
 			}
-			is.Equal(r.judged(), 0)
+			is.Equal(r.mismatchedSteps(), 0)
 		})
 	}
 }
 
 // One rank does not wait for the outcome of a switch: it computes with other
-// experts than the rest, and callers get garbage. The judge has to see that, or
-// a closing without mixed steps would prove nothing.
+// experts than the rest and produces wrong answers. The judge must detect this;
+// otherwise a closing without mismatched steps would prove nothing.
 func TestJudgeSeesRankThatIgnoresWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := formed(t)
+		r := newGroup(t)
 		r.fault(t, "b", `{"ignore-wait":true}`)
 		r.arm(t)
 		time.Sleep(time.Second)
-		is.Equal(r.judged(), 0)
+		is.Equal(r.mismatchedSteps(), 0)
 		r.resolve(t, true)
 		time.Sleep(time.Second)
-		is.True(r.judged() > 100)
+		is.True(r.mismatchedSteps() > 100)
 	})
 }
 
-// A rank is stalled, as by a slow device. The others must not get ahead of it
-// by more than the step they are in.
+// A rank stalls, as on a slow device. The others must not get ahead of it by more
+// than the current step.
 func TestRanksStayInStep(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := formed(t)
+		r := newGroup(t)
 		r.fault(t, "c", `{"stall-ms":1000}`)
 		time.Sleep(500 * time.Millisecond)
 		slow := r["c"].State().Next
@@ -170,7 +172,7 @@
 func TestLoadsAreOfHeldExperts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := formed(t)
+		r := newGroup(t)
 		l := r["b"].Loads(time.Now())
 		is.Equal(l.Version, maps[0].Version())
 		// Rank b holds expert 1 alone.
--- a/standin/rank/udp.go
+++ b/standin/rank/udp.go
@@ -15,13 +15,13 @@
 	"verbenashift/core/experts/rank"
 )
 
-// UDP is a Link by datagrams.
+// UDP is a Link that sends UDP datagrams.
 type UDP struct {
 	conn  *net.UDPConn
 	peers map[string]*net.UDPAddr
 }
 
-// NewUDP listens at the address of self among the peers.
+// NewUDP listens on the address that peers has for self.
 func NewUDP(self string, peers map[string]string) (*UDP, error) {
 	u := &UDP{peers: make(map[string]*net.UDPAddr)}
 	for name, address := range peers {
@@ -37,7 +37,7 @@
 	}
 	var err error
 	if u.conn, err = net.ListenUDP("udp", own); err != nil {
-		return nil, errors.Wrap(err, "listen for ranks")
+		return nil, errors.Wrap(err, "listen for step messages")
 	}
 	return u, nil
 }
@@ -53,11 +53,11 @@
 	}
 }
 
-// Run hands what comes to receive until ctx ends.
+// Run calls receive with each message that arrives, until ctx ends.
 func (u *UDP) Run(ctx context.Context, receive func(StepMessage)) {
 	context.AfterFunc(ctx, func() { _ = u.conn.Close() })
-	const largest = 2048
-	buf := make([]byte, largest)
+	const maxMessage = 2048
+	buf := make([]byte, maxMessage)
 	for {
 		n, _, err := u.conn.ReadFromUDP(buf)
 		if err != nil {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Store is a WeightStore at an address.
+// Store is a client of the weight store at Address.
 type Store struct {
 	Address string
 
@@ -80,8 +80,8 @@
 
 const storeTimeout = 30 * time.Second
 
-// Size implements WeightStore. All weights of the stand-in have one size, which
-// is asked for once.
+// Size implements WeightStore. All weights of the fake weight store have the same
+// size, so it is requested only once.
 func (s *Store) Size(ctx context.Context, model string, layer int, expert int32) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,11 +120,11 @@
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask weight store")
+		return nil, errors.Wrap(err, "query weight store")
 	}
 	if resp.StatusCode/100 != 2 {
 		_ = resp.Body.Close()
-		return nil, errors.Errorf("weight store answered with status %d", resp.StatusCode)
+		return nil, errors.Errorf("weight store returned status %d", resp.StatusCode)
 	}
 	return resp, nil
 }
