--- a/standin/platform/command.go
+++ b/standin/platform/command.go
@@ -19,13 +19,13 @@
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "platform",
-		Usage: "stand in for the platform's key-value service, instance list and weight store",
+		Usage: "run a fake of the platform's key-value store, instance list and weight store",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "listen", Value: "127.0.0.1:9000", Usage: "IP address and port"},
-			&cli.DurationFlag{Name: "latency", Value: defaultLatency, Usage: "time of a call to the store"},
+			&cli.DurationFlag{Name: "latency", Value: defaultLatency, Usage: "duration of a call to the key-value store"},
 			&cli.DurationFlag{Name: "instance-lag", Value: defaultInstanceLag, Usage: "age of the instance list"},
-			&cli.IntFlag{Name: "weight-rate", Value: defaultWeightRate, Usage: "bytes a second of the weight store; 0 for no bound"},
-			&cli.Int64Flag{Name: "weight-size", Value: DefaultWeightSize, Usage: "bytes of one expert's weights"},
+			&cli.IntFlag{Name: "weight-rate", Value: defaultWeightRate, Usage: "bytes per second of the weight store; 0 for no limit"},
+			&cli.Int64Flag{Name: "weight-size", Value: DefaultWeightSize, Usage: "size of one expert's weights in bytes"},
 		},
 		Action: run,
 	}
--- a/standin/platform/faults.go
+++ b/standin/platform/faults.go
@@ -14,7 +14,7 @@
 	"verbenashift/core/configuration/store/wire"
 )
 
-// The kinds of calls of the store, as the ledger counts them.
+// The kinds of store calls that the ledger counts.
 const (
 	kindRange     = "range"
 	kindPut       = "put"
@@ -25,22 +25,22 @@
 	kindWatch     = "watch"
 )
 
-// effect names the keys that a call changed; nil for a call that changed none.
-type effect []string
+// changedKeys lists the keys that a call changed; it is empty if it changed none.
+type changedKeys []string
 
-// gate stands before the store. It counts calls and carries out the faults.
-type gate struct {
+// faultInjector counts the calls of the store and injects the faults into them.
+type faultInjector struct {
 	mu      sync.Mutex
 	faults  Faults
 	limiter *rate.Limiter
 	down    chan struct{} // closed while the store is down
 	counts  Counts
-	second  int64 // the second of which reads and writes are the counts
+	second  int64 // the Unix second that reads and writes count
 	reads   int64
 	writes  int64
 }
 
-// Faults are the switches of the store, as POST /faults takes them.
+// Faults are the injected faults of the store, the body of POST /faults.
 type Faults struct {
 	Down        bool    `json:"down"`
 	LatencyMS   float64 `json:"latency-ms"`
@@ -49,36 +49,36 @@
 	RateLimit   int     `json:"rate-limit"`
 }
 
-// Counts say what the store was asked.
+// Counts are the numbers of calls of the store.
 type Counts struct {
-	// Calls counts by kind, dropped and refused calls too. A watch counts once
-	// when it is opened.
+	// Calls counts the calls by kind, including dropped and refused ones. A watch
+	// counts once, when it is opened.
 	Calls map[string]int64 `json:"calls"`
 	Total int64            `json:"total"`
 	// Dropped counts calls whose connection was dropped while the store was
-	// down, Refused those over the rate limit, LostAnswers dropped answers.
+	// down, Refused those over the rate limit, and LostAnswers dropped responses.
 	Dropped     int64 `json:"dropped"`
 	Refused     int64 `json:"refused"`
 	LostAnswers int64 `json:"lost-answers"`
 	OpenWatches int64 `json:"open-watches"`
-	// PeakReads and PeakWrites are the most in any one second of the clock;
-	// watches are reads, lease calls are writes.
+	// PeakReads and PeakWrites are the highest counts in any one second of the
+	// clock. Watches count as reads, lease calls as writes.
 	PeakReads  int64 `json:"peak-reads"`
 	PeakWrites int64 `json:"peak-writes"`
 }
 
-func newGate(latency time.Duration) *gate {
-	return &gate{
+func newFaultInjector(latency time.Duration) *faultInjector {
+	return &faultInjector{
 		faults: Faults{LatencyMS: latency.Seconds() * 1000},
 		down:   make(chan struct{}),
 		counts: Counts{Calls: make(map[string]int64)},
 	}
 }
 
-// enter counts a call. It returns the channel that tells of an outage, or nil
-// if the call was refused and answered. It drops the connection of a call that
-// comes during an outage.
-func (g *gate) enter(w http.ResponseWriter, kind string) <-chan struct{} {
+// enter counts a call. It returns the channel that is closed at the next outage,
+// or nil if it refused the call and sent the response. During an outage it drops
+// the connection.
+func (g *faultInjector) enter(w http.ResponseWriter, kind string) <-chan struct{} {
 	g.mu.Lock()
 	g.count(kind)
 	refused := !g.faults.Down && g.limiter != nil && !g.limiter.Allow()
@@ -98,7 +98,7 @@
 	return down
 }
 
-func (g *gate) count(kind string) {
+func (g *faultInjector) count(kind string) {
 	g.counts.Calls[kind]++
 	g.counts.Total++
 	if now := time.Now().Unix(); now != g.second {
@@ -113,16 +113,16 @@
 	g.counts.PeakWrites = max(g.counts.PeakWrites, g.writes)
 }
 
-// drop ends the handler and closes its connection without an answer.
-func (g *gate) drop() {
+// drop aborts the handler and closes its connection without a response.
+func (g *faultInjector) drop() {
 	g.mu.Lock()
 	g.counts.Dropped++
 	g.mu.Unlock()
 	panic(http.ErrAbortHandler)
 }
 
-// wait lets half of a call's time pass, or drops the call if an outage begins.
-func (g *gate) wait(down <-chan struct{}) {
+// wait waits for half of the call latency, or drops the call if an outage begins.
+func (g *faultInjector) wait(down <-chan struct{}) {
 	g.mu.Lock()
 	half := time.Duration(g.faults.LatencyMS * float64(time.Millisecond) / 2)
 	g.mu.Unlock()
@@ -135,10 +135,11 @@
 	}
 }
 
-// loseAnswer drops the answer to a write that took effect, if one is to be lost.
-func (g *gate) loseAnswer(done effect) {
+// loseAnswer drops the response to a call that changed keys, if LoseAnswers and
+// LosePrefix ask for it.
+func (g *faultInjector) loseAnswer(done changedKeys) {
 	g.mu.Lock()
-	lose := g.faults.LoseAnswers > 0 && done.touches(g.faults.LosePrefix)
+	lose := g.faults.LoseAnswers > 0 && done.hasPrefix(g.faults.LosePrefix)
 	if lose {
 		g.faults.LoseAnswers--
 		g.counts.LostAnswers++
@@ -149,7 +150,7 @@
 	}
 }
 
-func (e effect) touches(prefix string) bool {
+func (e changedKeys) hasPrefix(prefix string) bool {
 	for _, key := range e {
 		if strings.HasPrefix(key, prefix) {
 			return true
@@ -158,8 +159,8 @@
 	return false
 }
 
-// set puts new switches in force.
-func (g *gate) set(f Faults) {
+// set replaces the faults. The caller holds g.mu.
+func (g *faultInjector) set(f Faults) {
 	switch {
 	case f.Down && !g.faults.Down:
 		close(g.down)
@@ -175,14 +176,14 @@
 	g.faults = f
 }
 
-// watching counts open watches up and down.
-func (g *gate) watching(n int64) {
+// addOpenWatches adds n to the count of open watches.
+func (g *faultInjector) addOpenWatches(n int64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.counts.OpenWatches += n
 }
 
-func (g *gate) snapshot() Counts {
+func (g *faultInjector) snapshot() Counts {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.counts
@@ -190,7 +191,7 @@
 	return c
 }
 
-// serveFaults decodes over the switches in force, so that a field left out
+// serveFaults decodes the body over the current faults, so that an omitted field
 // keeps its value.
 func (p *Platform) serveFaults(w http.ResponseWriter, r *http.Request) {
 	var body json.RawMessage
@@ -198,15 +199,15 @@
 		writeError(w, badRequest(err.Error()))
 		return
 	}
-	p.gate.mu.Lock()
-	defer p.gate.mu.Unlock()
-	f := p.gate.faults
+	p.injector.mu.Lock()
+	defer p.injector.mu.Unlock()
+	f := p.injector.faults
 	dec := json.NewDecoder(bytes.NewReader(body))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
 		writeError(w, badRequest(err.Error()))
 		return
 	}
-	p.gate.set(f)
+	p.injector.set(f)
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/standin/platform/instances.go
+++ b/standin/platform/instances.go
@@ -9,10 +9,10 @@
 	"verbenashift/core/membership/instances"
 )
 
-// stateGone in a posted instance takes it off the list.
+// stateGone is the state of a posted instance that removes it from the list.
 const stateGone = "gone"
 
-// instanceList tells the list as it was some time ago.
+// instanceList is a list of instances that becomes visible after a lag.
 type instanceList struct {
 	lag time.Duration
 
@@ -20,13 +20,13 @@
 	versions []listVersion // oldest first
 }
 
-// listVersion is the list from a time on.
+// listVersion is the list as of a point in time.
 type listVersion struct {
 	from time.Time
 	list []instances.Instance
 }
 
-// change applies posted instances by name, at now.
+// change adds, replaces or removes the posted instances, as of now.
 func (l *instanceList) change(posted []instances.Instance, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,8 +43,7 @@
 	l.versions = append(l.versions, listVersion{now, list})
 }
 
-// visible returns the list as it was a lag before now, and forgets what is
-// older.
+// visible returns the list as it was one lag before now, and drops older versions.
 func (l *instanceList) visible(now time.Time) []instances.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,8 +64,8 @@
 	writeJSON(w, http.StatusOK, l.visible(time.Now()))
 }
 
-// servePost takes a list of instances: each replaces the one of its name, or
-// takes it off the list with state "gone".
+// servePost accepts a list of instances. Each replaces the one with the same name,
+// or removes it if its state is "gone".
 func (l *instanceList) servePost(w http.ResponseWriter, r *http.Request) {
 	var posted []instances.Instance
 	if err := decode(w, r, &posted); err != nil {
--- a/standin/platform/keyspace.go
+++ b/standin/platform/keyspace.go
@@ -11,10 +11,10 @@
 	"verbenashift/core/configuration/store/wire"
 )
 
-// keptEvents is how many changes of a key can be watched afterwards.
-const keptEvents = 256
+// maxEvents is the number of past changes of a key that a watch can still read.
+const maxEvents = 256
 
-// keyspace is the state of the store. One lock makes each call atomic.
+// keyspace is the state of the store. Its mutex makes each call atomic.
 type keyspace struct {
 	mu        sync.Mutex
 	revision  int64
@@ -23,7 +23,7 @@
 	lastLease int64
 }
 
-// key is a key that has ever been written, with its history.
+// key is the state and history of one key, present or not.
 type key struct {
 	present bool
 	now     wire.KeyValue
@@ -33,11 +33,11 @@
 	history []Change
 }
 
-// Change is one change of a key, as the ledger tells it.
+// Change is one change of a key, as the ledger reports it.
 type Change struct {
 	Version    int64 `json:"version"`
 	UnixMillis int64 `json:"unix-millis"`
-	// SHA256 is the digest of the value in hex; empty for a removal.
+	// SHA256 is the digest of the value in hex; empty for a deletion.
 	SHA256  string `json:"sha256,omitempty"`
 	Lease   int64  `json:"lease,omitempty"`
 	Deleted bool   `json:"deleted,omitempty"`
@@ -47,8 +47,8 @@
 	return &keyspace{revision: 1, keys: make(map[string]*key), leases: make(map[int64]*lease)}
 }
 
-// key returns the key of that name, and makes room for it if it is new. The
-// caller holds the lock.
+// key returns the key with that name and creates it if it is new. The caller holds
+// s.mu.
 func (s *keyspace) key(name string) *key {
 	k := s.keys[name]
 	if k == nil {
@@ -58,7 +58,8 @@
 	return k
 }
 
-// modRevision returns 0 for a key that is absent, as a Compare has it.
+// modRevision returns the revision of a key's last change, or 0 if the key is
+// absent, as a Compare expects it.
 func (s *keyspace) modRevision(name []byte) wire.Int64 {
 	if k := s.keys[string(name)]; k != nil && k.present {
 		return k.now.ModRevision
@@ -68,7 +69,7 @@
 
 func (s *keyspace) header() wire.Header { return wire.Header{Revision: wire.Int64(s.revision)} }
 
-// record makes a change of k at revision known to its history and to watches.
+// record adds a change of k to its history and notifies watches.
 func (k *key) record(ev wire.Event, lease wire.Int64) {
 	change := Change{
 		Version:    int64(ev.KV.ModRevision),
@@ -82,7 +83,7 @@
 	}
 	k.history = append(k.history, change)
 	k.events = append(k.events, ev)
-	if len(k.events) > keptEvents {
+	if len(k.events) > maxEvents {
 		k.dropped = int64(k.events[0].KV.ModRevision)
 		k.events = slices.Delete(k.events, 0, 1)
 	}
@@ -90,7 +91,7 @@
 	k.changed = make(chan struct{})
 }
 
-// put sets a key at revision.
+// put sets a key at the given revision.
 func (s *keyspace) put(req *wire.PutRequest, revision int64) {
 	name := string(req.Key)
 	k := s.key(name)
@@ -103,7 +104,7 @@
 	k.record(wire.Event{KV: k.now}, req.Lease)
 }
 
-// remove removes a key at revision and reports whether it was there.
+// remove removes a key at the given revision and reports whether it was present.
 func (s *keyspace) remove(name string, revision int64) bool {
 	k := s.keys[name]
 	if k == nil || !k.present {
@@ -112,8 +113,8 @@
 	s.detach(name, k.now.Lease)
 	last := k.now
 	k.present, k.now = false, wire.KeyValue{}
-	gone := wire.KeyValue{Key: last.Key, ModRevision: wire.Int64(revision)}
-	k.record(wire.Event{Type: wire.TypeDelete, KV: gone}, last.Lease)
+	deleted := wire.KeyValue{Key: last.Key, ModRevision: wire.Int64(revision)}
+	k.record(wire.Event{Type: wire.TypeDelete, KV: deleted}, last.Lease)
 	return true
 }
 
@@ -123,7 +124,7 @@
 	}
 }
 
-func (s *keyspace) rangeKeys(req wire.RangeRequest) (wire.RangeResponse, effect, *callError) {
+func (s *keyspace) rangeKeys(req wire.RangeRequest) (wire.RangeResponse, changedKeys, *callError) {
 	if len(req.Key) == 0 {
 		return wire.RangeResponse{}, nil, badRequest("key is not provided")
 	}
@@ -144,7 +145,7 @@
 	return resp
 }
 
-func (s *keyspace) putKey(req wire.PutRequest) (wire.PutResponse, effect, *callError) {
+func (s *keyspace) putKey(req wire.PutRequest) (wire.PutResponse, changedKeys, *callError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.checkPut(&req); err != nil {
@@ -152,10 +153,10 @@
 	}
 	s.revision++
 	s.put(&req, s.revision)
-	return wire.PutResponse{Header: s.header()}, effect{string(req.Key)}, nil
+	return wire.PutResponse{Header: s.header()}, changedKeys{string(req.Key)}, nil
 }
 
-// checkPut refuses what the store would not take.
+// checkPut returns an error for a put that the store does not accept.
 func (s *keyspace) checkPut(req *wire.PutRequest) *callError {
 	if len(req.Key) == 0 {
 		return badRequest("key is not provided")
@@ -169,7 +170,7 @@
 	return nil
 }
 
-func (s *keyspace) txn(req wire.TxnRequest) (wire.TxnResponse, effect, *callError) {
+func (s *keyspace) txn(req wire.TxnRequest) (wire.TxnResponse, changedKeys, *callError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	resp := wire.TxnResponse{Succeeded: true}
@@ -191,15 +192,15 @@
 			return resp, nil, err
 		}
 	}
-	var done effect
+	var done changedKeys
 	resp.Responses, done = s.run(ops)
 	resp.Header = s.header()
 	return resp, done, nil
 }
 
-// run makes the operations of a transaction, whose changes all bear the next
+// run executes the operations of a transaction. All its changes get the next
 // revision.
-func (s *keyspace) run(ops []wire.RequestOp) (resps []wire.ResponseOp, done effect) {
+func (s *keyspace) run(ops []wire.RequestOp) (resps []wire.ResponseOp, done changedKeys) {
 	next := s.revision + 1
 	for _, op := range ops {
 		var resp wire.ResponseOp
--- a/standin/platform/lease.go
+++ b/standin/platform/lease.go
@@ -7,8 +7,8 @@
 	"verbenashift/core/configuration/store/wire"
 )
 
-// lease keeps its keys until its deadline, which renewals push back. It goes
-// on during an outage, in which nobody can renew it.
+// lease holds its keys until its deadline, which renewals extend. Its time also
+// runs during an outage, when nobody can renew it.
 type lease struct {
 	ttl      time.Duration
 	deadline time.Time
@@ -16,7 +16,7 @@
 	keys     map[string]bool
 }
 
-func (s *keyspace) grant(req wire.Lease) (wire.Lease, effect, *callError) {
+func (s *keyspace) grant(req wire.Lease) (wire.Lease, changedKeys, *callError) {
 	if req.TTL <= 0 {
 		return wire.Lease{}, nil, badRequest("lease TTL must be positive")
 	}
@@ -38,8 +38,9 @@
 	return wire.Lease{ID: wire.Int64(id), TTL: req.TTL}, nil, nil
 }
 
-// expire ends a lease whose time is over. A renewal may have come between the
-// timer and the lock: then the deadline lies ahead and the lease goes on.
+// expire ends a lease whose deadline has passed. A renewal may have come after the
+// timer fired and before the lock was taken: then the deadline is in the future
+// and the lease stays.
 func (s *keyspace) expire(id int64, l *lease) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,11 +50,11 @@
 	s.end(id, l)
 }
 
-// end removes a lease and its keys, all at one revision.
-func (s *keyspace) end(id int64, l *lease) effect {
+// end removes a lease and all its keys, at one revision.
+func (s *keyspace) end(id int64, l *lease) changedKeys {
 	l.timer.Stop()
 	delete(s.leases, id)
-	names := make(effect, 0, len(l.keys))
+	names := make(changedKeys, 0, len(l.keys))
 	for name := range l.keys {
 		names = append(names, name)
 	}
@@ -67,8 +68,8 @@
 	return names
 }
 
-// keepAlive answers with TTL 0 for a lease that is gone, as the protocol has it.
-func (s *keyspace) keepAlive(req wire.Lease) (wire.KeepAliveLine, effect, *callError) {
+// keepAlive returns TTL 0 for a lease that does not exist, as the protocol says.
+func (s *keyspace) keepAlive(req wire.Lease) (wire.KeepAliveLine, changedKeys, *callError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	resp := wire.KeepAliveLine{Result: wire.Lease{ID: req.ID}}
@@ -82,7 +83,7 @@
 	return resp, nil, nil
 }
 
-func (s *keyspace) revoke(req wire.Lease) (struct{}, effect, *callError) {
+func (s *keyspace) revoke(req wire.Lease) (struct{}, changedKeys, *callError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	l := s.leases[int64(req.ID)]
--- a/standin/platform/ledger.go
+++ b/standin/platform/ledger.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// Ledger is what GET /ledger tells.
+// Ledger is the content of GET /ledger.
 type Ledger struct {
 	Counts
-	// WeightBytes counts the bytes that the weight store gave out.
+	// WeightBytes counts the bytes that the weight store has served.
 	WeightBytes int64 `json:"weight-bytes"`
 	// Keys holds each key's changes, oldest first.
 	Keys map[string][]Change `json:"keys"`
@@ -14,8 +14,8 @@
 // Ledger returns the counts and the history of each key.
 func (p *Platform) Ledger() Ledger {
 	return Ledger{
-		Counts:      p.gate.snapshot(),
-		WeightBytes: p.weights.given.Load(),
+		Counts:      p.injector.snapshot(),
+		WeightBytes: p.weights.served.Load(),
 		Keys:        p.keys.histories(),
 	}
 }
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,18 +1,19 @@
-// Package platform is a small fake of the platform's services: the key-value
-// store, the list of instances and the weight store, in one process.
+// Package platform is a fake of the platform's services: the key-value store, the
+// list of instances and the weight store, in one process.
 //
-// The store speaks the messages of verbenashift/core/configuration/store/wire. It counts each
-// call, answers after a delay that can be set, and keeps the history of each
-// key. POST /faults sets its switches and GET /ledger tells what it did:
+// The store uses the messages of verbenashift/core/configuration/store/wire. It
+// counts the calls, responds after a configurable latency and keeps the history
+// of each key. GET /ledger returns the counts and histories, and POST /faults
+// injects faults:
 //
 //	{"down":true}        drop each connection to the store, open watches too
-//	{"latency-ms":250}   time of a call, half of it before the effect
-//	{"lose-answers":2}   drop the answers to the next writes that took effect
-//	{"lose-prefix":"k/"} lose only answers to writes of keys that begin so
-//	{"rate-limit":300}   calls to the store in a second; 0 for no limit
+//	{"latency-ms":250}   latency of a call, half of it before the effect
+//	{"lose-answers":2}   drop the responses to the next writes that took effect
+//	{"lose-prefix":"k/"} drop only responses to writes of keys with this prefix
+//	{"rate-limit":300}   calls of the store per second; 0 for no limit
 //
-// A field that is left out keeps its value. The instance list and the weight
-// store have no part in these faults.
+// An omitted field keeps its value. The faults don't affect the instance list and
+// the weight store.
 //
 // # Usage
 //
@@ -32,29 +33,29 @@
 	"verbenashift/core/configuration/store/wire"
 )
 
-// maxBody bounds the body of a request: two values of the largest size in
-// base64 with room for their keys.
+// maxBody is the largest body of a request: two values of the maximum size in
+// base64, plus their keys.
 const maxBody = 3 << 20
 
-// Config holds the settings of the fake. The zero value answers at once,
-// without a lag and without limits.
+// Config holds the settings of the fake. The zero value has no latency, lag or
+// limits.
 type Config struct {
-	// Latency is the time that a call of the store takes.
+	// Latency is the duration of a call of the store.
 	Latency time.Duration
 	// InstanceLag is the age of the instance list.
 	InstanceLag time.Duration
-	// WeightRate bounds the weight store, in bytes a second over all readers;
-	// 0 means no bound.
+	// WeightRate limits the weight store, in bytes per second over all readers;
+	// 0 means no limit.
 	WeightRate int
 	// WeightSize is the size of one expert's weights in bytes; 0 means
 	// DefaultWeightSize.
 	WeightSize int64
 }
 
-// Platform is the fake. Use New.
+// Platform is the fake platform. Use New.
 type Platform struct {
 	keys      *keyspace
-	gate      *gate
+	injector  *faultInjector
 	instances *instanceList
 	weights   *weightStore
 }
@@ -63,16 +64,16 @@
 func New(cfg Config) *Platform {
 	return &Platform{
 		keys:      newKeyspace(),
-		gate:      newGate(cfg.Latency),
+		injector:  newFaultInjector(cfg.Latency),
 		instances: &instanceList{lag: cfg.InstanceLag},
 		weights:   newWeightStore(cfg.WeightRate, cfg.WeightSize),
 	}
 }
 
-// Close stops the timers of the leases, whose keys then stay.
+// Close stops the timers of the leases. Their keys remain.
 func (p *Platform) Close() { p.keys.close() }
 
-// Handler returns the handler of all of the platform's paths.
+// Handler returns the handler of all paths of the platform.
 func (p *Platform) Handler() http.Handler {
 	r := mux.NewRouter()
 	post := func(path string, h http.HandlerFunc) { r.HandleFunc(path, h).Methods(http.MethodPost) }
@@ -91,11 +92,11 @@
 	return r
 }
 
-// serveCall returns the handler of one kind of call. The effect doesn't depend
-// on the caller's patience: a caller that has gone away is not noticed.
-func serveCall[Req, Resp any](p *Platform, kind string, f func(Req) (Resp, effect, *callError)) http.HandlerFunc {
+// serveCall returns the handler of one kind of call. The call takes effect even if
+// the caller has disconnected.
+func serveCall[Req, Resp any](p *Platform, kind string, f func(Req) (Resp, changedKeys, *callError)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		down := p.gate.enter(w, kind)
+		down := p.injector.enter(w, kind)
 		if down == nil {
 			return
 		}
@@ -104,10 +105,10 @@
 			writeError(w, badRequest(err.Error()))
 			return
 		}
-		p.gate.wait(down)
+		p.injector.wait(down)
 		resp, done, err := f(req)
-		p.gate.loseAnswer(done)
-		p.gate.wait(down)
+		p.injector.loseAnswer(done)
+		p.injector.wait(down)
 		if err != nil {
 			writeError(w, err)
 			return
@@ -116,8 +117,8 @@
 	}
 }
 
-// decode reads one JSON message. A field that the fake doesn't know is an
-// error, since to ignore it would hide a fault of the caller.
+// decode reads one JSON message. An unknown field is an error, since ignoring it
+// would hide a bug of the caller.
 func decode(w http.ResponseWriter, r *http.Request, v any) error {
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody))
 	dec.DisallowUnknownFields()
@@ -127,16 +128,16 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a caller that has gone away has no use for it
+	_ = json.NewEncoder(w).Encode(v) // an error means that the caller has disconnected
 }
 
-// callError is the store's refusal of a call, which then had no effect.
+// callError is the error response to a call that had no effect.
 type callError struct {
 	status int
 	body   wire.Error
 }
 
-// gRPC status codes of refusals.
+// gRPC status codes of error responses.
 const (
 	codeInvalidArgument   = 3
 	codeNotFound          = 5
--- a/standin/platform/platform_test.go
+++ b/standin/platform/platform_test.go
@@ -23,7 +23,7 @@
 	"verbenashift/standin/platform"
 )
 
-// pipe is a network inside a bubble: each dial is a net.Pipe to the server.
+// pipe is a net.Listener inside a synctest bubble; each dial is a net.Pipe to it.
 type pipe struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -52,8 +52,8 @@
 	}
 }
 
-// rig is a platform with a client of its store, in a bubble.
-type rig struct {
+// fixture is a platform and a client of its store in a synctest bubble.
+type fixture struct {
 	*is.I
 	t      *testing.T
 	p      *platform.Platform
@@ -61,8 +61,9 @@
 	client *http.Client
 }
 
-// inBubble runs f with a platform and ends all goroutines after it.
-func inBubble(t *testing.T, cfg platform.Config, f func(r rig)) {
+// inBubble runs f with a platform in a synctest bubble, and then ends all
+// goroutines.
+func inBubble(t *testing.T, cfg platform.Config, f func(r fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		p := platform.New(cfg)
 		defer p.Close()
@@ -72,7 +73,7 @@
 		defer server.Close()
 		transport := &http.Transport{DialContext: network.dial}
 		defer transport.CloseIdleConnections()
-		f(rig{
+		f(fixture{
 			is.New(t), t, p,
 			store.New(store.Config{Addresses: []string{"platform"}, Transport: transport}),
 			&http.Client{Transport: transport},
@@ -80,7 +81,7 @@
 	})
 }
 
-func (r rig) post(path, body string, status int) {
+func (r fixture) post(path, body string, status int) {
 	r.t.Helper()
 	res, err := r.client.Post("http://platform"+path, "application/json", strings.NewReader(body))
 	r.NoErr(err)
@@ -89,9 +90,9 @@
 	r.Equal(res.StatusCode, status)
 }
 
-func (r rig) faults(body string) { r.t.Helper(); r.post("/faults", body, http.StatusNoContent) }
+func (r fixture) faults(body string) { r.t.Helper(); r.post("/faults", body, http.StatusNoContent) }
 
-func (r rig) get(path string, header http.Header) (int, []byte) {
+func (r fixture) get(path string, header http.Header) (int, []byte) {
 	req, err := http.NewRequestWithContext(r.t.Context(), http.MethodGet, "http://platform"+path, nil)
 	r.NoErr(err)
 	req.Header = header
@@ -103,7 +104,7 @@
 	return res.StatusCode, body
 }
 
-func (r rig) swap(key string, version int64, value string) int64 {
+func (r fixture) swap(key string, version int64, value string) int64 {
 	r.t.Helper()
 	next, err := r.store.CompareAndSwap(r.t.Context(), key, version, []byte(value), 0)
 	r.NoErr(err)
@@ -111,7 +112,7 @@
 }
 
 func TestSwapListDelete(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		ctx := r.t.Context()
 		absent, err := r.store.Get(ctx, "a/2")
 		r.NoErr(err)
@@ -140,10 +141,10 @@
 	})
 }
 
-// Two operators read one configuration and both confirm a change. If both
-// swaps went through, one operator's accepted change would be gone.
+// Operators read the same configuration and confirm a change concurrently. If two
+// swaps succeeded, an accepted change would be overwritten.
 func TestOneOfRacingSwapsWins(t *testing.T) {
-	inBubble(t, platform.Config{Latency: 2 * time.Millisecond}, func(r rig) {
+	inBubble(t, platform.Config{Latency: 2 * time.Millisecond}, func(r fixture) {
 		const operators = 8
 		first := r.swap("head", 0, "start")
 		var wins, conflicts int
@@ -169,15 +170,15 @@
 	})
 }
 
-// The store takes a write in and its connection breaks before the answer. The
-// caller must not be told that nothing happened: reading back shows the value.
-// A compare that fails changes nothing, so it doesn't use a loss up.
+// A write takes effect and the connection breaks before the response. The client
+// must report an unknown outcome, and a read must return the value. A failed
+// compare changes nothing, so its response is not the one that is lost.
 func TestLostAnswerIsUnknownAndReadsBack(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		ctx := r.t.Context()
 		other := r.swap("duty", 0, "x")
 		r.faults(`{"lose-answers":1,"lose-prefix":"head"}`)
-		r.swap("duty", other, "y") // another key's answer is not lost
+		r.swap("duty", other, "y") // the prefix does not match: the response is not lost
 		_, err := r.store.CompareAndSwap(ctx, "head", 5, []byte("mine"), 0)
 		var conflict *store.ConflictError
 		r.True(errors.As(err, &conflict))
@@ -189,17 +190,17 @@
 		r.NoErr(err)
 		r.Equal(string(back.Value), "mine")
 		r.Equal(r.p.Ledger().LostAnswers, int64(1))
-		r.Equal(len(r.p.Ledger().Keys["head"]), 1) // the client made no second try
+		r.Equal(len(r.p.Ledger().Keys["head"]), 1) // the client did not retry
 		r.swap("head", back.Version, "next")
 	})
 }
 
-// A node opens a watch while the configuration changes, and the last change
-// falls at any point of the watch's beginning or between two of its lines. A
-// change lost there would leave the node on an old revision for ever.
+// A node opens a watch while the configuration changes. The last change falls at
+// any point of the start of the watch or between two of its lines. If it were lost,
+// the node would stay on an old revision forever.
 func TestWatchHasNoGap(t *testing.T) {
 	const step, steps = 50 * time.Microsecond, 40
-	inBubble(t, platform.Config{Latency: time.Millisecond}, func(r rig) {
+	inBubble(t, platform.Config{Latency: time.Millisecond}, func(r fixture) {
 		ctx, cancel := context.WithCancel(r.t.Context())
 		defer cancel()
 		var want [steps][]int64
@@ -226,7 +227,7 @@
 }
 
 func TestWatchOfForgottenChangesIsCompacted(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		var version, second int64
 		for i := range 258 {
 			version = r.swap("head", version, "v")
@@ -241,11 +242,11 @@
 	})
 }
 
-// A duty holder is paused past its lease. Its key must go, the watchers must
-// hear of it, and a renewal that comes too late must say that the lease is
-// gone, or two holders would act at once.
+// The holder of a role is paused until its lease has expired. Its key must be
+// deleted, watches must report it, and a late renewal must fail with "lease not
+// found"; otherwise two holders would act at the same time.
 func TestLeaseLapses(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		ctx, cancel := context.WithCancel(r.t.Context())
 		defer cancel()
 		lease, err := r.store.Grant(ctx, 1500*time.Millisecond)
@@ -262,17 +263,17 @@
 			r.NoErr(err)
 		}
 		synctest.Wait()
-		r.Equal(len(seen), 0) // renewals kept it
+		r.Equal(len(seen), 0) // the renewals kept the key
 		time.Sleep(lease.TTL)
 		synctest.Wait()
 		r.Equal(len(seen), 1)
 		r.True((<-seen).Deleted)
 		_, err = r.store.KeepAlive(ctx, lease.ID)
-		var gone *store.LeaseNotFoundError
-		r.True(errors.As(err, &gone))
+		var notFound *store.LeaseNotFoundError
+		r.True(errors.As(err, &notFound))
 		_, err = r.store.CompareAndSwap(ctx, "duty", 0, []byte("a"), lease.ID)
-		r.True(errors.As(err, &gone))
-		r.True(errors.As(r.store.Revoke(ctx, lease.ID), &gone))
+		r.True(errors.As(err, &notFound))
+		r.True(errors.As(r.store.Revoke(ctx, lease.ID), &notFound))
 		history := r.p.Ledger().Keys["duty"]
 		r.Equal(len(history), 2)
 		r.Equal(history[1].Lease, lease.ID)
@@ -282,11 +283,11 @@
 	})
 }
 
-// A renewal and the end of the lease fall on one instant, in either order. If
-// the store said that the lease goes on and ended it all the same, the holder
-// would act without a lease for its whole time.
+// A renewal and the expiry of the lease coincide, in either order. If the store
+// confirmed the renewal and still expired the lease, the holder would act without
+// a lease for a complete TTL.
 func TestRenewalAtTheDeadline(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		ctx := r.t.Context()
 		var ids [200]int64
 		for i := range ids {
@@ -294,7 +295,7 @@
 			r.NoErr(err)
 			ids[i] = lease.ID
 		}
-		r.faults(`{"latency-ms":1000}`) // the effect comes after half of it
+		r.faults(`{"latency-ms":1000}`) // a call takes effect after half of it
 		time.Sleep(2500 * time.Millisecond)
 		var renewals [len(ids)]error
 		var renewing sync.WaitGroup
@@ -303,18 +304,18 @@
 		}
 		renewing.Wait()
 		r.faults(`{"latency-ms":0}`)
-		var gone *store.LeaseNotFoundError
+		var notFound *store.LeaseNotFoundError
 		for i, id := range ids {
 			revoked := r.store.Revoke(ctx, id)
-			r.Equal(errors.As(renewals[i], &gone), errors.As(revoked, &gone))
+			r.Equal(errors.As(renewals[i], &notFound), errors.As(revoked, &notFound))
 		}
 	})
 }
 
-// The next holder takes a key over with its own lease. The end of the first
-// lease must not remove the second holder's key.
+// The next holder takes over a key with its own lease. The expiry of the first
+// lease must not delete the key.
 func TestKeyTakenOverOutlivesTheFirstLease(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		ctx := r.t.Context()
 		first, err := r.store.Grant(ctx, time.Second)
 		r.NoErr(err)
@@ -335,11 +336,11 @@
 	})
 }
 
-// The store goes down while a watch waits and a slow write is on its way: both
-// connections break, the write has no effect yet, and what was kept is there
-// when the store is back.
+// The store goes down while a watch is open and a slow write is in progress. Both
+// connections break before the write takes effect, and the stored data is still
+// there after the outage.
 func TestOutage(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		ctx := r.t.Context()
 		version := r.swap("head", 0, "v")
 		r.faults(`{"latency-ms":1000}`)
@@ -365,13 +366,13 @@
 		kv, err := r.store.Get(ctx, "head")
 		r.NoErr(err)
 		r.Equal(kv.Version, version)
-		r.Equal(time.Since(start), time.Second) // the other switch kept its value
+		r.Equal(time.Since(start), time.Second) // latency-ms kept its value
 		r.True(r.p.Ledger().Dropped >= 3)
 	})
 }
 
 func TestRateLimitRefusesWithoutEffect(t *testing.T) {
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		r.faults(`{"rate-limit":2}`)
 		version := r.swap("k", 0, "v")
 		version = r.swap("k", version, "w")
@@ -389,7 +390,7 @@
 	})
 }
 
-// Raw calls pin the protocol: quoted 64-bit numbers, base64, what is left out.
+// Raw calls check the encoding: quoted 64-bit integers, base64, omitted fields.
 func TestProtocol(t *testing.T) {
 	tests := []struct {
 		path, body string
@@ -413,7 +414,7 @@
 		},
 		{"/v3/kv/txn", `{"compare":[{"target":"VALUE"}]}`, 400, `{"code":3,"message":"compare VALUE  is not supported"}`},
 	}
-	inBubble(t, platform.Config{}, func(r rig) {
+	inBubble(t, platform.Config{}, func(r fixture) {
 		for _, tt := range tests {
 			res, err := r.client.Post("http://platform"+tt.path, "application/json", strings.NewReader(tt.body))
 			r.NoErr(err)
@@ -428,7 +429,7 @@
 }
 
 func TestInstanceListLags(t *testing.T) {
-	inBubble(t, platform.Config{InstanceLag: 3 * time.Second}, func(r rig) {
+	inBubble(t, platform.Config{InstanceLag: 3 * time.Second}, func(r fixture) {
 		list := func() string {
 			_, body := r.get("/instances", nil)
 			var list []instances.Instance
@@ -455,12 +456,12 @@
 }
 
 func TestWeightsInParts(t *testing.T) {
-	inBubble(t, platform.Config{WeightSize: 1000}, func(r rig) {
+	inBubble(t, platform.Config{WeightSize: 1000}, func(r fixture) {
 		want := make([]byte, 1000)
 		platform.FillWeights(platform.WeightSeed("m", "3", "7"), 0, want)
-		status, whole := r.get("/weights/m/3/7", nil)
+		status, full := r.get("/weights/m/3/7", nil)
 		r.Equal(status, http.StatusOK)
-		r.True(bytes.Equal(whole, want))
+		r.True(bytes.Equal(full, want))
 		status, part := r.get("/weights/m/3/7", http.Header{"Range": {"bytes=13-700"}})
 		r.Equal(status, http.StatusPartialContent)
 		r.True(bytes.Equal(part, want[13:701]))
@@ -470,17 +471,17 @@
 	})
 }
 
-// The rate holds over all readers together: four readers of a megabyte each
-// take as long as one reader of four.
+// The rate limit is shared by all readers: four readers of 1 MiB each take as long
+// as one reader of 4 MiB.
 func TestWeightRateIsShared(t *testing.T) {
-	inBubble(t, platform.Config{WeightRate: 1 << 20}, func(r rig) {
+	inBubble(t, platform.Config{WeightRate: 1 << 20}, func(r fixture) {
 		start := time.Now()
 		var reading sync.WaitGroup
 		for i := range 4 {
 			reading.Go(func() { r.get(fmt.Sprintf("/weights/m/0/%d", i), nil) })
 		}
 		reading.Wait()
-		took := time.Since(start) // of the bubble's clock; the first burst is free
+		took := time.Since(start) // on the bubble's clock; the first burst is not limited
 		r.True(took > 3900*time.Millisecond && took <= 4*time.Second)
 	})
 }
--- a/standin/platform/watch.go
+++ b/standin/platform/watch.go
@@ -9,12 +9,12 @@
 
 // serveWatch streams the changes of one key, one JSON line for each batch.
 //
-// The guard against a lost event: each look takes, under one lock, all events
-// from the next revision on and the channel that the following change closes.
-// So a change falls either into the look or after it, and a change that comes
-// while a batch is being written is found by the next look.
+// No event is lost: eventsFrom returns, under one lock, all events from the next
+// revision on and the channel that the following change closes. So a change is
+// either among these events or closes the channel, and a change during the write of
+// a batch is found by the next call.
 func (p *Platform) serveWatch(w http.ResponseWriter, r *http.Request) {
-	down := p.gate.enter(w, kindWatch)
+	down := p.injector.enter(w, kindWatch)
 	if down == nil {
 		return
 	}
@@ -23,16 +23,16 @@
 		writeError(w, badRequest(err.Error()))
 		return
 	}
-	p.gate.watching(1)
-	defer p.gate.watching(-1)
-	p.gate.wait(down)
+	p.injector.addOpenWatches(1)
+	defer p.injector.addOpenWatches(-1)
+	p.injector.wait(down)
 	out := lineWriter{w: w}
-	next := p.keys.startOf(req.Create)
+	next := p.keys.firstRevision(req.Create)
 	out.write(wire.WatchResponse{Header: wire.Header{Revision: wire.Int64(max(next-1, 1))}, Created: true})
 	for {
-		resp, changed := p.keys.look(string(req.Create.Key), next)
+		resp, changed := p.keys.eventsFrom(string(req.Create.Key), next)
 		if resp.CompactRevision > 0 || len(resp.Events) > 0 {
-			p.gate.wait(down)
+			p.injector.wait(down)
 			out.write(resp)
 		}
 		if resp.Canceled {
@@ -46,14 +46,14 @@
 		case <-r.Context().Done():
 			return
 		case <-down:
-			p.gate.drop()
+			p.injector.drop()
 		}
 	}
 }
 
-// startOf returns the first revision that a watch wants; 0 asks for changes
-// from now on.
-func (s *keyspace) startOf(req wire.WatchCreate) int64 {
+// firstRevision returns the first revision that a watch requests. Start revision 0
+// requests changes from now on.
+func (s *keyspace) firstRevision(req wire.WatchCreate) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if req.StartRevision > 0 {
@@ -62,10 +62,10 @@
 	return s.revision + 1
 }
 
-// look returns the events of a key from revision next on, and the channel that
-// is closed at the change after them. A watch that wants events no longer kept
-// is cancelled.
-func (s *keyspace) look(name string, next int64) (wire.WatchResponse, <-chan struct{}) {
+// eventsFrom returns the events of a key from revision next on, and the channel
+// that is closed at the change after them. It cancels a watch whose events are no
+// longer retained.
+func (s *keyspace) eventsFrom(name string, next int64) (wire.WatchResponse, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k := s.key(name)
@@ -82,8 +82,8 @@
 	return resp, k.changed
 }
 
-// lineWriter writes the lines of a watch and sends each at once. It ignores
-// errors: the request's context ends when the connection does.
+// lineWriter writes the lines of a watch and flushes each one. It ignores errors,
+// since the request's context ends with the connection.
 type lineWriter struct {
 	w http.ResponseWriter
 }
--- a/standin/platform/weights.go
+++ b/standin/platform/weights.go
@@ -18,16 +18,16 @@
 const (
 	// DefaultWeightSize is the size of one expert's weights, in bytes.
 	DefaultWeightSize = 1 << 20
-	// minBurst is the least that a reader can be given at once, in bytes.
+	// minBurst is the lower bound of the rate limiter's burst, in bytes.
 	minBurst = 16 << 10
 	wordSize = 8
 )
 
-// weightStore gives out made-up weights at a bounded rate over all readers.
+// weightStore serves generated weights at a limited rate over all readers.
 type weightStore struct {
 	size    int64
-	limiter *rate.Limiter // nil for no bound
-	given   atomic.Int64
+	limiter *rate.Limiter // nil for no limit
+	served  atomic.Int64
 }
 
 func newWeightStore(bytesPerSecond int, size int64) *weightStore {
@@ -53,14 +53,14 @@
 	http.ServeContent(w, r, "", time.Time{}, content)
 }
 
-// WeightSeed returns the seed of one expert's weights, from which FillWeights
-// makes their bytes.
+// WeightSeed returns the seed from which FillWeights generates one expert's
+// weights.
 func WeightSeed(model, layer, expert string) uint64 {
 	return xxhash.Sum64String(model + "\x00" + layer + "\x00" + expert)
 }
 
-// FillWeights sets p to the bytes at offset of the weights with that seed, so
-// that a reader can check what it was given.
+// FillWeights fills p with the bytes at offset of the weights with that seed. A
+// reader can use it to check the weights that it received.
 func FillWeights(seed uint64, offset int64, p []byte) {
 	var word [wordSize]byte
 	for n := 0; n < len(p); {
@@ -70,7 +70,7 @@
 	}
 }
 
-// mix is the finaliser of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
+// mix is the SplitMix64 finalizer (Steele, Lea and Flood, OOPSLA 2014).
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
@@ -117,6 +117,6 @@
 	}
 	FillWeights(r.seed, r.offset, p)
 	r.offset += int64(len(p))
-	r.store.given.Add(int64(len(p)))
+	r.store.served.Add(int64(len(p)))
 	return len(p), nil
 }
