--- a/standin/scripted/call.go
+++ b/standin/scripted/call.go
@@ -9,45 +9,45 @@
 	"time"
 )
 
-// Call is one attempt of a caller.
+// Call is one HTTP request of a caller.
 type Call struct {
-	// Front is the address of the gateway.
-	Front                  string
+	// Gateway is the address of the gateway.
+	Gateway                string
 	Method, Path, Host, ID string
 	Body                   string
 	// Key is the caller's secret; empty for none.
 	Key string
-	// Patience is how long the caller says it waits; 0 for not saying.
-	Patience time.Duration
-	// Keep says that the caller would use the connection again.
-	Keep bool
-	// Over is where the caller keeps its connections; nil for a connection of the
-	// call's own.
-	Over *http.Transport
-	// Header is sent beside what a Call sets itself.
+	// Timeout is the time that the caller announces to wait; 0 announces none.
+	Timeout time.Duration
+	// KeepAlive asks to keep the call's own connection open.
+	KeepAlive bool
+	// Transport holds the caller's connections; if nil, the call uses a new
+	// connection.
+	Transport *http.Transport
+	// Header is sent in addition to the headers that the call sets itself.
 	Header http.Header
 }
 
-// Answer is what a caller saw.
+// Answer is the response that a caller received.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   string
-	// Whole says that the answer has ended as complete.
-	Whole bool
-	// Closes says that the connection ends with the answer.
+	// Complete reports that the body was received to its end.
+	Complete bool
+	// Closes reports that the connection closes after the response.
 	Closes bool
-	// Err is why there is no answer, or no whole one.
+	// Err is the reason why there is no response or only an incomplete one.
 	Err error
 }
 
-// Signature returns that of the answer, or "".
+// Signature returns the server's signature of the response, or "".
 func (a Answer) Signature() string { return a.Header.Get("X-Response-Seal") }
 
-// Sealed reports whether the answer bears the signature for a request.
+// Sealed reports whether the response has the signature for request id.
 func (a Answer) Sealed(id string) bool { return a.Signature() == Seal(id) }
 
-// PromptHeader returns what a caller says of its prompt.
+// PromptHeader returns the headers by which a caller describes its prompt.
 func PromptHeader(model, tokens, parts string) http.Header {
 	h := http.Header{}
 	h.Set("X-Model", model)
@@ -56,11 +56,11 @@
 	return h
 }
 
-// ClaimWorkspace adds a claim that a caller has no right to make.
-func ClaimWorkspace(h http.Header, name string) { h.Set("X-Tenant", name) }
+// ForgeWorkspace adds the header for a workspace, which callers may not set.
+func ForgeWorkspace(h http.Header, name string) { h.Set("X-Tenant", name) }
 
-// Comeback returns when the caller may come back; 0 if it was not told.
-func (a Answer) Comeback() time.Duration {
+// RetryAfter returns the delay in the Retry-After header, or 0 if there is none.
+func (a Answer) RetryAfter() time.Duration {
 	s, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 	if err != nil {
 		return 0
@@ -68,7 +68,7 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-// Do sends the call and reads the answer to its end.
+// Do sends the call and reads the response to its end.
 func (c Call) Do(ctx context.Context) Answer {
 	resp, err := c.open(ctx)
 	if err != nil {
@@ -76,11 +76,11 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Whole: err == nil, Closes: resp.Close, Err: err}
+	return Answer{Status: resp.StatusCode, Header: resp.Header, Body: string(body), Complete: err == nil, Closes: resp.Close, Err: err}
 }
 
 func (c Call) open(ctx context.Context) (*http.Response, error) {
-	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Front+c.Path, strings.NewReader(c.Body))
+	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Gateway+c.Path, strings.NewReader(c.Body))
 	if err != nil {
 		return nil, err
 	}
@@ -88,29 +88,30 @@
 		req.Header[name] = values
 	}
 	req.Host = c.Host
-	req.GetBody = nil // The transport must not send it again by itself.
+	req.GetBody = nil // The transport must not retry on its own.
 	req.Header.Set("X-Request-Id", c.ID)
 	if c.Key != "" {
 		req.Header.Set("Authorization", "Token "+c.Key)
 	}
-	if c.Patience > 0 {
-		req.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.Patience.Milliseconds(), 10))
+	if c.Timeout > 0 {
+		req.Header.Set("X-Deadline-Ms", strconv.FormatInt(c.Timeout.Milliseconds(), 10))
 	}
-	t := c.Over
+	t := c.Transport
 	if t == nil {
-		t = &http.Transport{DisableKeepAlives: !c.Keep, DisableCompression: true}
+		t = &http.Transport{DisableKeepAlives: !c.KeepAlive, DisableCompression: true}
 	}
 	return t.RoundTrip(req)
 }
 
-// OneConnection returns a place for connections that holds one, which is used
-// again as long as the gateway lets it.
-func OneConnection() *http.Transport {
+// SingleConnection returns a transport with a single connection, which is reused
+// as long as the gateway keeps it open.
+func SingleConnection() *http.Transport {
 	return &http.Transport{MaxConnsPerHost: 1, DisableCompression: true}
 }
 
-// Left returns how long a server was told that its caller still waits.
-func (r Request) Left() time.Duration {
+// RemainingTime returns how long the caller still waits, as reported to the
+// server.
+func (r Request) RemainingTime() time.Duration {
 	ms, err := strconv.ParseFloat(r.Header.Get("X-Deadline-Ms"), 64)
 	if err != nil {
 		return 0
@@ -118,14 +119,14 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Workspace returns the workspace that a server was told.
+// Workspace returns the workspace that was reported to the server.
 func (r Request) Workspace() string { return r.Header.Get("X-Tenant") }
 
-// Meant returns the server that the request was meant for.
-func (r Request) Meant() string { return r.Header.Get("X-Expect-Instance") }
+// ExpectedInstance returns the server that the request is intended for.
+func (r Request) ExpectedInstance() string { return r.Header.Get("X-Expect-Instance") }
 
-// DoParts is like Do, and tells of each part of the body as it arrives.
-func (c Call) DoParts(ctx context.Context, part func(string)) Answer {
+// DoStreaming is like Do, and calls part for each part of the body as it arrives.
+func (c Call) DoStreaming(ctx context.Context, part func(string)) Answer {
 	resp, err := c.open(ctx)
 	if err != nil {
 		return Answer{Err: err}
@@ -140,7 +141,7 @@
 			part(string(buf[:n]))
 		}
 		if err != nil {
-			got.Whole = err == io.EOF
+			got.Complete = err == io.EOF
 			return got
 		}
 	}
