--- a/proof/asks_test.go
+++ b/proof/asks_test.go
@@ -29,11 +29,11 @@
 		a.note("limit %.1f, model %v", rate, model)
 		if model {
 			a.LimitRank(rank, rate)
-			a.later(2*longest, func() { a.LiftRank(rank) })
+			a.later(2*longest, func() { a.ClearRankLimit(rank) })
 			return
 		}
 		a.Limit(plain, rate)
-		a.later(2*longest, func() { a.LiftLimit(plain) })
+		a.later(2*longest, func() { a.ClearLimit(plain) })
 	case 1:
 		a.note("pause of %v, model %v", span, model)
 		if model {
@@ -46,24 +46,24 @@
 	case 2:
 		a.note("leaves and starts again, model %v", model)
 		if model {
-			a.LeaveRank(rank)
-			a.later(longest, func() { a.Stay(); a.Crash(rank, span) })
+			a.AnnounceRankLeaving(rank)
+			a.later(longest, func() { a.CancelLeaving(); a.Crash(rank, span) })
 			return
 		}
-		a.Leave(plain)
-		a.later(longest, func() { a.Stay(); a.Restart(plain) })
+		a.AnnounceLeaving(plain)
+		a.later(longest, func() { a.CancelLeaving(); a.Restart(plain) })
 	}
 }
 
 // calm has all servers take what comes again.
 func (a *asking) calm() {
-	a.Stay()
+	a.CancelLeaving()
 	for plain := range a.Plains() {
-		a.LiftLimit(plain)
+		a.ClearLimit(plain)
 		a.Pause(plain, false, 0)
 	}
 	for rank := range a.ranks() {
-		a.LiftRank(rank)
+		a.ClearRankLimit(rank)
 		a.PauseRank(rank, false, 0)
 	}
 }
--- a/proof/crash_test.go
+++ b/proof/crash_test.go
@@ -51,7 +51,7 @@
 				s.NoErr(s.WaitReady(s.ctx, time.Minute))
 				s.crashing(shape.kind, restartFor)
 			})
-			s.True(v.Kept())
+			s.True(v.Passed())
 			s.onlyCulpritHeld()
 		})
 	}
@@ -62,19 +62,19 @@
 func (s *fleetScene) crashing(kind string, d time.Duration) {
 	ctx, stop := context.WithTimeout(s.ctx, d)
 	defer stop()
-	calls := fleet.Crashing(ctx, s.Fleet, kind, repeatPause)
+	calls := fleet.PlayCrashing(ctx, s.Fleet, kind, repeatPause)
 	ended, later := s.Ledger.Crashes(contact)
 	s.t.Logf("%d calls, %d servers ended, %d arrivals later than %v after the third", len(calls), ended, later, contact)
 	s.True(ended >= 3)
 	s.True(later <= laterMost)
 	for _, c := range calls {
-		s.Equal(c.Wrong, "")
-		s.True(!c.Whole)
+		s.Equal(c.Mismatch, "")
+		s.True(!c.OK)
 		s.True(c.Status != http.StatusServiceUnavailable || s.Ledger.Runs(c.ID) == 0)
 	}
 	last := calls[len(calls)-1]
 	s.Equal(last.Status, http.StatusServiceUnavailable)
-	s.True(last.Comeback > time.Minute) // not before the next trial
+	s.True(last.RetryAfter > time.Minute) // not before the next trial
 }
 
 // onlyCulpritHeld checks that one request alone was refused because it crashes servers.
--- a/proof/fleet_test.go
+++ b/proof/fleet_test.go
@@ -188,10 +188,10 @@
 
 // changesOf is the same for one group.
 func (s *fleetScene) changesOf(group int) {
-	before := fleet.Judge(s.Fleet, nil).ChangesOf[group]
-	for i := 0; fleet.Judge(s.Fleet, nil).ChangesOf[group] == before; i++ {
+	before := fleet.Judge(s.Fleet, nil).MapChangesByGroup[group]
+	for i := 0; fleet.Judge(s.Fleet, nil).MapChangesByGroup[group] == before; i++ {
 		if i%20 == 0 {
-			s.Groups[group].Shift()
+			s.Groups[group].ShiftLoad()
 		}
 		select {
 		case <-s.ctx.Done():
@@ -206,9 +206,9 @@
 func TestFleetQuiet(t *testing.T) {
 	s := startFleet(t, fleet.Shape{Block: "127.0.61"})
 	v := s.during(600, func() {})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
-	s.True(v.Changes > 0)
+	s.True(v.MapChanges > 0)
 }
 
 // The steward's process is killed while maps change, again and again, and the
@@ -225,7 +225,7 @@
 			s.run(s.boot(name))
 		}
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 }
 
@@ -242,7 +242,7 @@
 			s.signal(name, syscall.SIGCONT)
 		}
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 }
 
@@ -261,7 +261,7 @@
 		s.run(s.boot(name))
 		s.changes()
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 }
 
@@ -274,7 +274,7 @@
 		set   func(*fleet.Store, bool)
 	}{
 		"refuses":   {"127.0.70", (*fleet.Store).SetDown},
-		"is silent": {"127.0.71", (*fleet.Store).SetSilent},
+		"is silent": {"127.0.71", (*fleet.Store).SetUnresponsive},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := startFleet(t, fleet.Shape{Block: away.block})
@@ -287,7 +287,7 @@
 				}
 				away.set(s.Store, false)
 			})
-			s.True(v.Kept())
+			s.True(v.Passed())
 			s.Equal(v.Complete, v.Requests)
 		})
 	}
@@ -303,7 +303,7 @@
 		time.Sleep(500 * time.Millisecond)
 		s.Refuse(false)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.True(v.Complete >= v.Requests*95/100)
 }
 
@@ -319,7 +319,7 @@
 		time.Sleep(3 * time.Second)
 		s.Freeze(2, false)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 }
 
@@ -331,7 +331,7 @@
 		time.Sleep(500 * time.Millisecond)
 		s.signal("front-0", syscall.SIGTERM)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 	s.mu.Lock()
 	cmd := s.cmds["front-0"]
@@ -355,7 +355,7 @@
 			s.signal(fmt.Sprintf("front-%d", i), syscall.SIGTERM)
 		}
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	for range s.Ready {
 		seen := <-stopped
 		s.True(len(seen) > 0)
@@ -393,6 +393,6 @@
 			time.Sleep(150 * time.Millisecond)
 		}
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 }
--- a/proof/group_test.go
+++ b/proof/group_test.go
@@ -27,7 +27,7 @@
 	blowsNow := []func() func(){
 		func() func() { return s.dies("agent-1") },
 		func() func() { s.must(s.Stop("agent-2")); return func() { s.must(s.Cont("agent-2")) } },
-		func() func() { s.Link("agent-3").Silence(); return s.Link("agent-3").Heal },
+		func() func() { s.Link("agent-3").Blackhole(); return s.Link("agent-3").Heal },
 		func() func() {
 			s.must(s.Fault(s.ctx, "platform", fault{"down": true}))
 			return func() { s.must(s.Fault(s.ctx, "platform", fault{"down": false})) }
@@ -64,7 +64,7 @@
 	stop := time.After(lateTime)
 	for late := true; late; {
 		agent := []string{"agent-1", "agent-2", "agent-3", "agent-4"}[rng.IntN(4)]
-		s.Link(agent).Silence()
+		s.Link(agent).Blackhole()
 		time.Sleep(time.Duration(rng.IntN(int(lateMost))))
 		s.Link(agent).Heal()
 		select {
--- a/proof/groups_test.go
+++ b/proof/groups_test.go
@@ -32,7 +32,7 @@
 func TestFleetGroupsHaveAStewardEach(t *testing.T) {
 	for name, shape := range map[string]fleet.Shape{
 		"by the store":     {Block: "127.0.72", Groups: 2},
-		"by their word":    {Block: "127.0.73", Groups: 2, Quiet: true},
+		"by their word":    {Block: "127.0.73", Groups: 2, OmitGroup: true},
 		"with late orders": {Block: "127.0.74", Groups: 2, LateOrders: 0.2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -42,10 +42,10 @@
 					s.changes()
 				}
 			})
-			s.True(v.Kept())
+			s.True(v.Passed())
 			s.Equal(v.Complete, v.Requests)
 			for group := range s.Groups {
-				s.True(v.ChangesOf[group] >= 2)
+				s.True(v.MapChangesByGroup[group] >= 2)
 				s.Equal(s.beginnings(group), 1)
 			}
 		})
@@ -68,7 +68,7 @@
 		s.changes()
 		s.signal(frozen, syscall.SIGCONT)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 	s.Equal(s.beginnings(0), 1)
 	s.True(s.beginnings(1) >= 3)
@@ -88,7 +88,7 @@
 			s.changes()
 		}
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	// Those that were asked just as the server died may have run.
 	s.True(v.Complete >= v.Requests*99/100)
 	s.Equal(v.Refused, 0)
@@ -108,7 +108,7 @@
 		time.Sleep(900 * time.Millisecond)
 		began = strings.Count(s.log("front-0")+s.log("front-1"), `"reason":"refused by i-g0`) - began
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Refused, 0)
 	s.True(v.Complete >= v.Requests*99/100)
 	// Nothing is tried there while its steward says that it lacks a rank.
--- a/proof/large_test.go
+++ b/proof/large_test.go
@@ -56,7 +56,7 @@
 		s.run(s.boot(killed))
 		s.changes()
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
-	s.True(v.Changes >= 5)
+	s.True(v.MapChanges >= 5)
 }
--- a/proof/leaving_test.go
+++ b/proof/leaving_test.go
@@ -17,15 +17,15 @@
 	s := startFleet(t, fleet.Shape{Block: "127.0.97"})
 	v := s.during(600, func() {
 		time.Sleep(500 * time.Millisecond)
-		s.Leave(0)
-		s.LeaveRank(1)
+		s.AnnounceLeaving(0)
+		s.AnnounceRankLeaving(1)
 		time.Sleep(2 * leaveGrace)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 	for name, left := range map[string]func(time.Duration) (int, int){
-		"plain server": func(grace time.Duration) (int, int) { return s.Left(0, grace) },
-		"model server": func(grace time.Duration) (int, int) { return s.LeftRank(1, grace) },
+		"plain server": func(grace time.Duration) (int, int) { return s.LateArrivals(0, grace) },
+		"model server": func(grace time.Duration) (int, int) { return s.LateRankArrivals(1, grace) },
 	} {
 		late, told := left(leaveGrace)
 		t.Logf("%s: %d gateways told, %d requests later than %v after that", name, told, late, leaveGrace)
--- a/proof/limit_test.go
+++ b/proof/limit_test.go
@@ -30,7 +30,7 @@
 		s.LimitRank(1, rate)
 		time.Sleep(limitFor)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.Equal(v.Complete, v.Requests)
 	s.keptTo(rate)
 }
@@ -39,8 +39,8 @@
 // requests a second, got some and not too many, but for those of excused gateways.
 func (s *fleetScene) keptTo(rate float64, excused ...string) {
 	for name, limited := range map[string]func() (int, int){
-		"plain server": func() (int, int) { return s.Limited(0, limitGrace, limitSpan, excused...) },
-		"model server": func() (int, int) { return s.LimitedRank(1, limitGrace, limitSpan, excused...) },
+		"plain server": func() (int, int) { return s.PeakArrivals(0, limitGrace, limitSpan, excused...) },
+		"model server": func() (int, int) { return s.PeakRankArrivals(1, limitGrace, limitSpan, excused...) },
 	} {
 		most, all := limited()
 		s.t.Logf("%s: %d requests in %v at most, %d in all", name, most, limitSpan, all)
@@ -69,16 +69,16 @@
 		s.Store.Compact()
 		time.Sleep(limitGrace)
 		s.kill("front-5")
-		s.Store.SetSilent(true)
+		s.Store.SetUnresponsive(true)
 		time.Sleep(2 * time.Second)
-		s.Store.SetSilent(false)
+		s.Store.SetUnresponsive(false)
 		s.run(s.boot("front-5"))
 		time.Sleep(limitFor)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.keptTo(rate, s.Fronts[4], s.Fronts[5])
-	s.LiftLimit(0)
-	s.LiftRank(1)
+	s.ClearLimit(0)
+	s.ClearRankLimit(1)
 	s.during(100, func() { time.Sleep(limitFor) })
 	before := s.Served(0)
 	s.during(200, func() {})
@@ -100,22 +100,22 @@
 	calls := fleet.PlayUntil(ctx, s.Fleet)
 	v := fleet.Judge(s.Fleet, calls)
 	t.Logf("%+v", v)
-	s.True(v.Kept())
+	s.True(v.Passed())
 	refused, waited := 0, time.Duration(0)
 	for _, c := range calls {
 		if c.Kind == fleet.Stream {
-			s.True(c.Whole)
+			s.True(c.OK)
 			continue
 		}
 		if c.Status != http.StatusServiceUnavailable {
 			continue
 		}
 		refused++
-		waited = max(waited, c.Took)
-		s.True(c.Comeback > 0)
+		waited = max(waited, c.Duration)
+		s.True(c.RetryAfter > 0)
 	}
 	for plain := range s.Plains() {
-		most, all := s.Limited(plain, limitGrace, limitSpan)
+		most, all := s.PeakArrivals(plain, limitGrace, limitSpan)
 		t.Logf("server %d: %d requests in %v at most, %d in all", plain, most, limitSpan, all)
 		s.True(most <= mostOf(rate))
 		s.True(all >= int(rate*(limitFor-limitGrace).Seconds()*6/10))
--- a/proof/link_test.go
+++ b/proof/link_test.go
@@ -37,7 +37,7 @@
 	s := start(t, deployment.Shape{Block: "127.0.18", LinkAgents: true})
 	warm := s.Play(s.ctx, s.Jobs("warm", 8)) // connections are open
 	for _, agent := range []string{"agent-1", "agent-5"} {
-		s.Link(agent).Silence()
+		s.Link(agent).Blackhole()
 	}
 	lines := append(s.Jobs("silent", 12), s.Drafts("silent", 12, 20)...)
 	records := s.Begin(s.ctx, lines).Wait()
--- a/proof/pause_test.go
+++ b/proof/pause_test.go
@@ -38,7 +38,7 @@
 		set(false)
 		time.Sleep(askedPause)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	check := func(name string, most, refused int) {
 		t.Logf("%s: %d refusals, %d requests of one gateway within a pause", name, refused, most)
 		if most > pauseMost {
@@ -46,10 +46,10 @@
 		}
 		s.True(refused > 0)
 	}
-	most, refused := s.Paused(0, pauseGrace)
+	most, refused := s.PeakDuringPause(0, pauseGrace)
 	check("plain server", most, refused)
 	for _, rank := range refusing {
-		most, refused := s.PausedRank(rank, pauseGrace)
+		most, refused := s.PeakDuringRankPause(rank, pauseGrace)
 		check("model server", most, refused)
 	}
 }
@@ -69,7 +69,7 @@
 		time.Sleep(pauseFor)
 		set(false)
 	})
-	s.True(v.Kept())
+	s.True(v.Passed())
 	if v.Complete < v.Requests {
 		t.Errorf("%d of %d callers were not served, though others have room", v.Requests-v.Complete, v.Requests)
 	}
--- a/proof/shutdown_test.go
+++ b/proof/shutdown_test.go
@@ -90,7 +90,7 @@
 func TestAgentHandsOver(t *testing.T) {
 	s := start(t, deployment.Shape{Block: "127.0.32", PlainFlags: []string{"-work", "1500ms"}, AgentSettings: deployment.Settings{"drain.bound": "100ms"}})
 	streams, once := s.Streams("long", 12, 200), append(s.Drafts("long", 12, 200), s.Jobs("long", 12)...)
-	plays := []*deployment.Playing{s.Begin(s.ctx, streams), s.Begin(s.ctx, once)}
+	plays := []*deployment.Playback{s.Begin(s.ctx, streams), s.Begin(s.ctx, once)}
 	for _, at := range []string{agentOf(s.running(36, "")[0].Target), "agent-5"} {
 		s.must(s.Term(at))
 		code, err := s.Wait(at, stopBound)
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -59,7 +59,7 @@
 func soak(t *testing.T, seed uint64, block int) {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	s := startFleet(t, fleet.Shape{
-		Block: fmt.Sprintf("127.1.%d", block), LateOrders: rng.Float64() * 0.3, Links: true, Quiet: rng.IntN(3) == 0,
+		Block: fmt.Sprintf("127.1.%d", block), LateOrders: rng.Float64() * 0.3, Links: true, OmitGroup: rng.IntN(3) == 0,
 		Groups: *soakGroups, Gateways: *soakGateways,
 	})
 	faults := &faulty{fleetScene: s, rng: rng, down: map[string]bool{}, paused: map[string]bool{}}
@@ -80,14 +80,14 @@
 	servers.calm()
 	v := fleet.Judge(s.Fleet, <-stop)
 	t.Logf("seed %d: %s\n%+v", seed, strings.Join(faults.done, ", "), v)
-	s.True(v.Kept())
+	s.True(v.Passed())
 	s.True(v.Complete > 0)
 	s.NoErr(s.WaitReady(s.ctx, time.Minute))
 	s.settle()
 	calm := fleet.Play(s.ctx, s.Fleet, 120)
 	after := fleet.Judge(s.Fleet, calm)
 	t.Logf("after the faults: %+v", after)
-	s.True(after.Kept())
+	s.True(after.Passed())
 	s.True(after.Complete >= 114)
 }
 
@@ -145,7 +145,7 @@
 		f.note("history dropped")
 	case 8:
 		f.Configure(1500 + f.rng.IntN(1000))
-		f.Shift()
+		f.ShiftLoad()
 		f.note("configuration and shift")
 	case 9:
 		f.note("servers refuse")
@@ -156,12 +156,12 @@
 		f.note("links reset")
 	case 11:
 		f.note("links silent")
-		f.Links.Silence(true)
-		f.later(longest, func() { f.Links.Silence(false) })
+		f.Links.Blackhole(true)
+		f.later(longest, func() { f.Links.Blackhole(false) })
 	case 12:
 		f.note("store silent")
-		f.Store.SetSilent(true)
-		f.later(longest, func() { f.Store.SetSilent(false) })
+		f.Store.SetUnresponsive(true)
+		f.later(longest, func() { f.Store.SetUnresponsive(false) })
 	case 13:
 		rank := f.rng.IntN(f.ranks())
 		f.note("rank %d stands still", rank)
@@ -170,8 +170,8 @@
 	case 14:
 		d := fleet.Direction(f.rng.IntN(2))
 		f.note("links cut in direction %d", d)
-		f.Links.Cut(d, true)
-		f.later(longest, func() { f.Links.Cut(d, false) })
+		f.Links.Block(d, true)
+		f.later(longest, func() { f.Links.Block(d, false) })
 	case 15:
 		d, by := fleet.Direction(f.rng.IntN(2)), time.Duration(1+f.rng.IntN(60))*time.Millisecond
 		f.note("links delayed in direction %d by %v", d, by)
@@ -189,13 +189,13 @@
 		f.crashing.Go(func() {
 			ctx, stop := context.WithTimeout(f.ctx, longest)
 			defer stop()
-			fleet.Crashing(ctx, f.Fleet, kind, repeatPause)
+			fleet.PlayCrashing(ctx, f.Fleet, kind, repeatPause)
 		})
 	case 19:
 		plain, fault := f.rng.IntN(f.Plains()), fleet.Fault(1+f.rng.IntN(2))
 		f.note("plain server %d has fault %d", plain, fault)
-		f.Spoil(plain, fault)
-		f.later(2*longest, func() { f.Spoil(plain, fleet.Sound) })
+		f.SetFault(plain, fault)
+		f.later(2*longest, func() { f.SetFault(plain, fleet.NoFault) })
 	}
 }
 
@@ -207,7 +207,7 @@
 func (f *faulty) roll() {
 	for range 1 + f.rng.IntN(mostDown) {
 		b := f.boot(f.victim())
-		f.NoErr(f.Resettle(b, 500+f.rng.IntN(2000)))
+		f.NoErr(f.RewriteSettings(b, 500+f.rng.IntN(2000)))
 		if f.rng.IntN(2) == 0 {
 			f.signal(b.Name, syscall.SIGHUP)
 		}
@@ -252,18 +252,18 @@
 		f.raise()
 	}
 	f.Store.SetDown(false)
-	f.Store.SetSilent(false)
+	f.Store.SetUnresponsive(false)
 	f.Refuse(false)
 	f.crashing.Wait()
-	time.Sleep(fleet.CrashAway) // Servers that were crashed are back.
-	f.Links.Silence(false)
-	f.Links.Delay(fleet.Towards, 0)
-	f.Links.Delay(fleet.Back, 0)
+	time.Sleep(fleet.CrashDowntime) // Servers that were crashed are back.
+	f.Links.Blackhole(false)
+	f.Links.Delay(fleet.ToServer, 0)
+	f.Links.Delay(fleet.ToClient, 0)
 	for rank := range f.ranks() {
 		f.Freeze(rank, false)
 	}
 	for plain := range f.Plains() {
-		f.Spoil(plain, fleet.Sound)
+		f.SetFault(plain, fleet.NoFault)
 	}
 }
 
--- a/proof/store_test.go
+++ b/proof/store_test.go
@@ -89,7 +89,7 @@
 		s.must(s.Kill9(node))
 	}
 	for _, agent := range []string{"agent-4", "agent-5", "agent-6"} {
-		s.Link(agent).Silence()
+		s.Link(agent).Blackhole()
 	}
 	s.must(s.Restart(s.ctx, "entry-1"))
 	s.must(s.Cont("agent-1"))
@@ -99,7 +99,7 @@
 		history, err := s.History(s.ctx, "entry-1")
 		s.must(err)
 		s.Equal(len(history), 0) // acts on nothing
-		status, why := s.ask("GET", s.Observe("entry-1")+"/readyz", "")
+		status, why := s.ask("GET", s.ObserveAddress("entry-1")+"/readyz", "")
 		s.Equal(status, http.StatusServiceUnavailable)
 		said = said || strings.Contains(why, "peers")
 		conn, err := net.Dial("tcp", s.Entries()[0])
--- a/proof/together_test.go
+++ b/proof/together_test.go
@@ -65,7 +65,7 @@
 		s.Link(agent).Cut()
 		return s.Link(agent).Heal
 	case 5:
-		s.Link(agent).Silence()
+		s.Link(agent).Blackhole()
 		return s.Link(agent).Heal
 	case 6:
 		s.must(s.Fault(s.ctx, "platform", fault{"down": true}))
--- a/sidecar/claim_test.go
+++ b/sidecar/claim_test.go
@@ -60,7 +60,7 @@
 	is := is.New(t)
 	a, store := testAgent(t)
 	joinAndAccept(a, 24)
-	store.SetSilent(true)
+	store.SetUnresponsive(true)
 	d, ok := a.takeOver(t.Context(), groupG)
 	is.True(ok)
 	is.True(d.provisional)
@@ -70,7 +70,7 @@
 	for range 40 { // the store has been written to before
 		store.Put("servers/x", nil)
 	}
-	store.SetSilent(false)
+	store.SetUnresponsive(false)
 	is.True(outcome(t, s))
 	is.True(!s.provisional)
 	is.True(s.term > 25)
@@ -82,7 +82,7 @@
 	is := is.New(t)
 	a, store := testAgent(t)
 	joinAndAccept(a, 0)
-	store.SetSilent(true)
+	store.SetUnresponsive(true)
 	heard := make(chan struct{})
 	go func() {
 		defer close(heard)
--- a/standin/client/client_test.go
+++ b/standin/client/client_test.go
@@ -36,7 +36,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			lines, err := ReadClosing(strings.NewReader(c.file))
+			lines, err := ReadWorkload(strings.NewReader(c.file))
 			var bad *LineError
 			is.Equal(errors.As(err, &bad), c.bad > 0)
 			if c.bad > 0 {
@@ -145,18 +145,18 @@
 		answer  judge.Answer
 		asked   string
 	}{
-		{"whole", once, steps{stream(0, 4, done)}, outcome.Complete, judge.Whole, "POST /v1/completions "},
+		{"whole", once, steps{stream(0, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions "},
 		{"ended early", once, steps{stream(0, 3, done)}, outcome.Complete, judge.Truncated, "POST /v1/completions "},
 		{"error after the head", once, steps{stream(0, 3, failed)}, outcome.Failed, judge.Truncated, "POST /v1/completions "},
-		{"cut and re-attached", once, steps{stream(0, 2, ""), stream(2, 4, done)}, outcome.Complete, judge.Whole, "POST /v1/completions , GET /v1/requests/r1?after=2 "},
+		{"cut and re-attached", once, steps{stream(0, 2, ""), stream(2, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions , GET /v1/requests/r1?after=2 "},
 		{"re-attached with a repeat", once, steps{stream(0, 2, ""), stream(1, 4, done)}, outcome.Complete, judge.Foreign, "POST /v1/completions , GET /v1/requests/r1?after=2 "},
 		{"re-attached with a gap", once, steps{stream(0, 2, ""), stream(3, 4, done)}, outcome.Complete, judge.Foreign, "POST /v1/completions , GET /v1/requests/r1?after=2 "},
-		{"handed over", once, steps{stream(0, 1, handover), stream(1, 4, done)}, outcome.Complete, judge.Whole, "POST /v1/completions , GET /v1/requests/r2?after=1 "},
-		{"refused, then run", once, steps{refuse(429, notRun), stream(0, 4, done)}, outcome.Complete, judge.Whole, "POST /v1/completions , POST /v1/completions "},
+		{"handed over", once, steps{stream(0, 1, handover), stream(1, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions , GET /v1/requests/r2?after=1 "},
+		{"refused, then run", once, steps{refuse(429, notRun), stream(0, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions , POST /v1/completions "},
 		{"refused to the last", once, steps{refuse(429, notRun), refuse(429, notRun), refuse(503, notRun)}, outcome.NotRun, judge.Missing, "POST /v1/completions , POST /v1/completions , POST /v1/completions "},
 		{"lost without a key", once, steps{drop}, outcome.None, judge.Missing, "POST /v1/completions "},
-		{"lost with a key", keyed, steps{drop, stream(0, 4, done)}, outcome.Complete, judge.Whole, "POST /v1/completions k, POST /v1/completions k"},
-		{"service", job, steps{refuse(202, `{"kind":"job","digest":"bc703b01b9ac715e3534e76148da67561e3c57e28a12552676de7f3eb0b10db5"}`+"\n")}, outcome.Complete, judge.Whole, "POST /services/s/jobs "},
+		{"lost with a key", keyed, steps{drop, stream(0, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions k, POST /v1/completions k"},
+		{"service", job, steps{refuse(202, `{"kind":"job","digest":"bc703b01b9ac715e3534e76148da67561e3c57e28a12552676de7f3eb0b10db5"}`+"\n")}, outcome.Complete, judge.Exact, "POST /services/s/jobs "},
 		{"service's own error", job, steps{refuse(500, `{"error":"x"}`)}, outcome.Failed, judge.Missing, "POST /services/s/jobs "},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/standin/client/closing.go
+++ b/standin/client/closing.go
@@ -57,9 +57,9 @@
 	errPath        = errors.New("path does not begin with a slash")
 )
 
-// ReadClosing reads a closing. Blank lines are passed over and unknown members
+// ReadWorkload reads a closing. Blank lines are passed over and unknown members
 // ignored; the first line that can't be used gives a *LineError.
-func ReadClosing(r io.Reader) ([]Line, error) {
+func ReadWorkload(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
--- a/standin/client/command.go
+++ b/standin/client/command.go
@@ -126,7 +126,7 @@
 		return nil, errors.Wrap(err, "open closing")
 	}
 	defer func() { _ = f.Close() }()
-	lines, err := ReadClosing(f)
+	lines, err := ReadWorkload(f)
 	if err != nil {
 		return nil, errors.Wrapf(err, "read %s", name)
 	}
@@ -185,7 +185,7 @@
 	if err := out.Encode(v); err != nil {
 		return errors.Wrap(err, "print verdict")
 	}
-	if !v.Kept() {
+	if !v.Passed() {
 		return errBroken
 	}
 	return nil
--- a/standin/client/names.go
+++ b/standin/client/names.go
@@ -10,9 +10,9 @@
 	"github.com/urfave/cli/v3"
 )
 
-// ClosingCommand returns the command line that checks a closing and prints the
+// WorkloadCommand returns the command line that checks a closing and prints the
 // names it uses, so that a deployment can be configured for it.
-func ClosingCommand() *cli.Command {
+func WorkloadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "closing",
 		Usage: "check a closing's file and print its workspaces, models and services, one a line",
--- a/standin/client/player.go
+++ b/standin/client/player.go
@@ -98,7 +98,7 @@
 	if !got.first.IsZero() {
 		r.First = got.first.Sub(began)
 	}
-	r.Answer = judge.Whole
+	r.Answer = judge.Exact
 	if c.checked {
 		r.Answer = judge.Compare(got.text.String(), c.want)
 	}
--- a/standin/deployment/control.go
+++ b/standin/deployment/control.go
@@ -138,8 +138,8 @@
 	}
 }
 
-// Observe returns where a node tells its health and revisions.
-func (d *Deployment) Observe(process string) string {
+// ObserveAddress returns where a node tells its health and revisions.
+func (d *Deployment) ObserveAddress(process string) string {
 	if n, ok := strings.CutPrefix(process, entryName+"-"); ok {
 		i, _ := strconv.Atoi(n)
 		return d.Shape.address(entryHost+i, portEntry)
@@ -150,7 +150,7 @@
 func (d *Deployment) observed() map[string]string {
 	list := make(map[string]string)
 	for _, n := range d.nodes() {
-		list[n] = d.Observe(n)
+		list[n] = d.ObserveAddress(n)
 	}
 	return list
 }
@@ -181,7 +181,7 @@
 		if !strings.HasPrefix(n, targetName) && n != platformName {
 			path = "/healthz"
 		}
-		err := Until(ctx, func() error { return reachable(ctx, d.Observe(n), path) })
+		err := Until(ctx, func() error { return reachable(ctx, d.ObserveAddress(n), path) })
 		if err != nil {
 			return errors.Wrapf(err, "%s does not answer", n)
 		}
@@ -236,7 +236,7 @@
 // History returns the revisions that a node has had in force since it started,
 // oldest first.
 func (d *Deployment) History(ctx context.Context, node string) ([]uint64, error) {
-	return revisions(ctx, d.Observe(node))
+	return revisions(ctx, d.ObserveAddress(node))
 }
 
 // Until calls f again and again until it returns nil or ctx ends, and then
--- a/standin/deployment/link.go
+++ b/standin/deployment/link.go
@@ -44,9 +44,9 @@
 	l.drop()
 }
 
-// Silence holds all bytes back, in both ways, as a network does that drops
+// Blackhole holds all bytes back, in both ways, as a network does that drops
 // packets: nobody is told. New connections are taken and hear nothing.
-func (l *Link) Silence() {
+func (l *Link) Blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent = true
--- a/standin/deployment/scene.go
+++ b/standin/deployment/scene.go
@@ -52,15 +52,15 @@
 	return d.Shape.Workspaces[i%len(d.Shape.Workspaces)]
 }
 
-// Playing is a closing that is being played.
-type Playing struct {
+// Playback is a closing that is being played.
+type Playback struct {
 	done    chan struct{}
 	records []judge.Record
 }
 
 // Begin plays lines in the background, beginning at the entries in the order
 // given; none means all.
-func (d *Deployment) Begin(ctx context.Context, lines []client.Line, entries ...string) *Playing {
+func (d *Deployment) Begin(ctx context.Context, lines []client.Line, entries ...string) *Playback {
 	p := d.Player()
 	if len(entries) > 0 {
 		p.Entries = nil
@@ -71,7 +71,7 @@
 	for i := range lines {
 		lines[i].Number = i + 1
 	}
-	g := &Playing{done: make(chan struct{})}
+	g := &Playback{done: make(chan struct{})}
 	go func() {
 		defer close(g.done)
 		g.records = p.Play(ctx, lines)
@@ -80,7 +80,7 @@
 }
 
 // Wait returns the client's record when the closing has ended.
-func (g *Playing) Wait() []judge.Record {
+func (g *Playback) Wait() []judge.Record {
 	<-g.done
 	return g.records
 }
--- a/standin/fleet/command.go
+++ b/standin/fleet/command.go
@@ -51,13 +51,13 @@
 		return err
 	}
 	calls := Play(ctx, f, requests/2)
-	f.Shift()
+	f.ShiftLoad()
 	calls = append(calls, Play(ctx, f, requests-requests/2)...)
 	v := Judge(f, calls)
 	if err := json.NewEncoder(os.Stdout).Encode(v); err != nil {
 		return err
 	}
-	if !v.Kept() || v.Complete < v.Requests*9/10 {
+	if !v.Passed() || v.Complete < v.Requests*9/10 {
 		return errBroken
 	}
 	return nil
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -21,8 +21,8 @@
 	// Groups is how many expert groups serve side by side, each of so many ranks; 0
 	// means one.
 	Groups int
-	// Quiet says that servers do not tell the store which group is theirs.
-	Quiet bool
+	// OmitGroup says that servers do not tell the store which group is theirs.
+	OmitGroup bool
 	// LateOrders is the share of orders that are carried out late.
 	LateOrders float64
 	// Links puts Fleet.Links between the processes and the store and servers.
@@ -124,10 +124,10 @@
 // Refuse makes all model servers refuse requests, or serve them.
 func (f *Fleet) Refuse(refuse bool) { f.refuse.Store(refuse) }
 
-// Shift changes which experts are liked, in all groups.
-func (f *Fleet) Shift() {
+// ShiftLoad changes which experts are liked, in all groups.
+func (f *Fleet) ShiftLoad() {
 	for _, g := range f.Groups {
-		g.Shift()
+		g.ShiftLoad()
 	}
 }
 
@@ -141,17 +141,17 @@
 // Plains returns how many plain servers there are.
 func (f *Fleet) Plains() int { return len(f.plains) }
 
-// Spoil gives a plain server a fault, or makes it sound.
-func (f *Fleet) Spoil(plain int, fault Fault) { f.plains[plain].fault.Store(int32(fault)) }
+// SetFault gives a plain server a fault, or makes it sound.
+func (f *Fleet) SetFault(plain int, fault Fault) { f.plains[plain].fault.Store(int32(fault)) }
 
-// CrashAway is how long a server is away that a request has crashed.
-const CrashAway = 1500 * time.Millisecond
+// CrashDowntime is how long a server is away that a request has crashed.
+const CrashDowntime = 1500 * time.Millisecond
 
 // end ends the process of a rank, and starts it again after CrashAway.
 func (f *Fleet) end(rank int, p *process) {
-	f.Crash(rank, CrashAway)
+	f.Crash(rank, CrashDowntime)
 	p.stop()
-	time.AfterFunc(CrashAway, func() { f.restart(p) })
+	time.AfterFunc(CrashDowntime, func() { f.restart(p) })
 }
 
 // restart starts a process that has ended, unless the fleet has been stopped.
@@ -229,7 +229,7 @@
 	entry := f.entry("pool", r.ip, slots)
 	r.group.mu.Lock()
 	entry["born"] = r.born
-	if !f.Quiet {
+	if !f.OmitGroup {
 		entry["group"], entry["size"] = r.seat(), len(r.group.ranks)
 	}
 	r.group.mu.Unlock()
@@ -246,7 +246,7 @@
 	}
 	s.crash = func() {
 		p.stop()
-		time.AfterFunc(CrashAway, func() {
+		time.AfterFunc(CrashDowntime, func() {
 			f.restart(p)
 			f.put("servers/"+id, f.entry("desk", ip, 6))
 		})
--- a/standin/fleet/group.go
+++ b/standin/fleet/group.go
@@ -66,7 +66,7 @@
 	for _, r := range g.ranks {
 		r.start()
 	}
-	g.Shift()
+	g.ShiftLoad()
 	return g
 }
 
@@ -117,8 +117,8 @@
 	return len(g.lost) > 0 && !time.Now().Before(g.cutAt)
 }
 
-// Shift changes which experts are liked.
-func (g *Group) Shift() {
+// ShiftLoad changes which experts are liked.
+func (g *Group) ShiftLoad() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for l := range g.popular {
--- a/standin/fleet/leaving.go
+++ b/standin/fleet/leaving.go
@@ -59,11 +59,11 @@
 	l.on = false
 }
 
-// Leave has a plain server say from now on that it leaves.
-func (f *Fleet) Leave(plain int) { f.plains[plain].leaving.set() }
+// AnnounceLeaving has a plain server say from now on that it leaves.
+func (f *Fleet) AnnounceLeaving(plain int) { f.plains[plain].leaving.set() }
 
-// Stay has no server say any more that it leaves.
-func (f *Fleet) Stay() {
+// CancelLeaving has no server say any more that it leaves.
+func (f *Fleet) CancelLeaving() {
 	for _, p := range f.plains {
 		p.leaving.unset()
 	}
@@ -75,16 +75,16 @@
 // Restart ends a plain server and starts it again under its ID.
 func (f *Fleet) Restart(plain int) { f.plains[plain].crash() }
 
-// LeaveRank has a model server say so.
-func (f *Fleet) LeaveRank(rank int) { f.models[rank].leaving.set() }
+// AnnounceRankLeaving has a model server say so.
+func (f *Fleet) AnnounceRankLeaving(rank int) { f.models[rank].leaving.set() }
 
-// Left returns how many requests reached a plain server later than a grace after it had told
+// LateArrivals returns how many requests reached a plain server later than a grace after it had told
 // their gateway that it leaves, and how many gateways it has told.
-func (f *Fleet) Left(plain int, grace time.Duration) (late, told int) {
+func (f *Fleet) LateArrivals(plain int, grace time.Duration) (late, told int) {
 	return f.plains[plain].leaving.late(grace)
 }
 
-// LeftRank is the same for a model server.
-func (f *Fleet) LeftRank(rank int, grace time.Duration) (late, told int) {
+// LateRankArrivals is the same for a model server.
+func (f *Fleet) LateRankArrivals(rank int, grace time.Duration) (late, told int) {
 	return f.models[rank].leaving.late(grace)
 }
--- a/standin/fleet/limit.go
+++ b/standin/fleet/limit.go
@@ -75,23 +75,23 @@
 // Limit has a plain server name how many requests a second it takes from all gateways.
 func (f *Fleet) Limit(plain int, rate float64) { f.plains[plain].limit.name(rate) }
 
-// LiftLimit has a plain server name no limit any more.
-func (f *Fleet) LiftLimit(plain int) { f.plains[plain].limit.lift() }
+// ClearLimit has a plain server name no limit any more.
+func (f *Fleet) ClearLimit(plain int) { f.plains[plain].limit.lift() }
 
 // LimitRank has a model server name how many requests a second it takes from all gateways.
 func (f *Fleet) LimitRank(rank int, rate float64) { f.models[rank].limit.name(rate) }
 
-// LiftRank has a model server name no limit any more.
-func (f *Fleet) LiftRank(rank int) { f.models[rank].limit.lift() }
+// ClearRankLimit has a model server name no limit any more.
+func (f *Fleet) ClearRankLimit(rank int) { f.models[rank].limit.lift() }
 
-// Limited returns the most requests that reached a plain server within a span, later than a
+// PeakArrivals returns the most requests that reached a plain server within a span, later than a
 // grace after it named its limit, and how many in all since then, but for those of excused
 // gateways.
-func (f *Fleet) Limited(plain int, grace, span time.Duration, excused ...string) (most, all int) {
+func (f *Fleet) PeakArrivals(plain int, grace, span time.Duration, excused ...string) (most, all int) {
 	return f.plains[plain].limit.most(grace, span, excused)
 }
 
-// LimitedRank is the same for a model server.
-func (f *Fleet) LimitedRank(rank int, grace, span time.Duration, excused ...string) (most, all int) {
+// PeakRankArrivals is the same for a model server.
+func (f *Fleet) PeakRankArrivals(rank int, grace, span time.Duration, excused ...string) (most, all int) {
 	return f.models[rank].limit.most(grace, span, excused)
 }
--- a/standin/fleet/links.go
+++ b/standin/fleet/links.go
@@ -11,8 +11,8 @@
 
 // The directions of a connection from a gateway or sidecar.
 const (
-	Towards Direction = iota // to the store or the server
-	Back
+	ToServer Direction = iota // to the store or the server
+	ToClient
 	directions
 )
 
@@ -48,16 +48,16 @@
 	clear(l.open)
 }
 
-// Silence holds back all bytes of connections that are open, or lets them go.
+// Blackhole holds back all bytes of connections that are open, or lets them go.
 // New connections stay silent too.
-func (l *Links) Silence(silent bool) {
+func (l *Links) Blackhole(silent bool) {
 	for d := range directions {
-		l.Cut(d, silent)
+		l.Block(d, silent)
 	}
 }
 
-// Cut holds back all bytes in one direction, or lets them go.
-func (l *Links) Cut(d Direction, cut bool) {
+// Block holds back all bytes in one direction, or lets them go.
+func (l *Links) Block(d Direction, cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.silent[d] = cut
@@ -86,8 +86,8 @@
 		l.mu.Lock()
 		l.open[a] = b
 		l.mu.Unlock()
-		go l.pass(a, b, a, Back)
-		go l.pass(b, a, a, Towards)
+		go l.pass(a, b, a, ToClient)
+		go l.pass(b, a, a, ToServer)
 	}
 }
 
--- a/standin/fleet/pause.go
+++ b/standin/fleet/pause.go
@@ -73,13 +73,13 @@
 // PauseRank is the same for a model server.
 func (f *Fleet) PauseRank(rank int, on bool, span time.Duration) { f.models[rank].pause.set(on, span) }
 
-// Paused returns the most requests that a plain server got from one gateway within a pause
+// PeakDuringPause returns the most requests that a plain server got from one gateway within a pause
 // that it had asked for, later than a grace, and how many it has refused.
-func (f *Fleet) Paused(plain int, grace time.Duration) (most, refused int) {
+func (f *Fleet) PeakDuringPause(plain int, grace time.Duration) (most, refused int) {
 	return f.plains[plain].pause.most(grace)
 }
 
-// PausedRank is the same for a model server.
-func (f *Fleet) PausedRank(rank int, grace time.Duration) (most, refused int) {
+// PeakDuringRankPause is the same for a model server.
+func (f *Fleet) PeakDuringRankPause(rank int, grace time.Duration) (most, refused int) {
 	return f.models[rank].pause.most(grace)
 }
--- a/standin/fleet/play.go
+++ b/standin/fleet/play.go
@@ -21,15 +21,15 @@
 	Kind string
 	// Status is 0 if the connection broke before an answer.
 	Status int
-	// Whole says that the answer was complete and the request's own.
-	Whole bool
-	// Wrong says that the answer was another's, or out of order, or looked
+	// OK says that the answer was complete and the request's own.
+	OK bool
+	// Mismatch says that the answer was another's, or out of order, or looked
 	// whole and was not.
-	Wrong string
-	// Took is the time to the end.
-	Took time.Duration
-	// Comeback is when the caller was told to come back; 0 if it was not.
-	Comeback time.Duration
+	Mismatch string
+	// Duration is the time to the end.
+	Duration time.Duration
+	// RetryAfter is when the caller was told to come back; 0 if it was not.
+	RetryAfter time.Duration
 
 	// path follows the prefix of the route; body is empty for the usual one.
 	path, body string
@@ -61,9 +61,9 @@
 	})
 }
 
-// Crashing sends a request that crashes each server that runs it, again and again under
+// PlayCrashing sends a request that crashes each server that runs it, again and again under
 // new identifiers to the gateways in turn, until the context ends.
-func Crashing(ctx context.Context, f *Fleet, kind string, pause time.Duration) []Call {
+func PlayCrashing(ctx context.Context, f *Fleet, kind string, pause time.Duration) []Call {
 	return send(context.WithoutCancel(ctx), f, pause, func(int) bool { return ctx.Err() == nil }, func(int) *Call {
 		return &Call{ID: newID(), Kind: kind, path: "1", body: crashText}
 	})
@@ -104,7 +104,7 @@
 
 func (c *Call) send(ctx context.Context, client *http.Client, front string) {
 	began := time.Now()
-	defer func() { c.Took = time.Since(began) }()
+	defer func() { c.Duration = time.Since(began) }()
 	method, body := http.MethodPost, bytes.NewReader(bytes.Repeat([]byte("x"), 600))
 	switch {
 	case c.body != "":
@@ -135,14 +135,14 @@
 	defer resp.Body.Close()
 	c.Status = resp.StatusCode
 	if s, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
-		c.Comeback = time.Duration(s * float64(time.Second))
+		c.RetryAfter = time.Duration(s * float64(time.Second))
 	}
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		return
 	}
 	if resp.Header.Get("X-Response-Seal") != "seal-"+c.ID {
-		c.Wrong = "seal of another request"
+		c.Mismatch = "seal of another request"
 		return
 	}
 	if c.Kind == streamPrefix {
@@ -150,9 +150,9 @@
 		return
 	}
 	data, err := io.ReadAll(resp.Body)
-	c.Whole = err == nil && string(data) == plainText(c.ID)
-	if err == nil && !c.Whole {
-		c.Wrong = "body that looks whole and is not"
+	c.OK = err == nil && string(data) == plainText(c.ID)
+	if err == nil && !c.OK {
+		c.Mismatch = "body that looks whole and is not"
 	}
 }
 
@@ -166,15 +166,15 @@
 			continue
 		}
 		if text != eventText(c.ID, next) {
-			c.Wrong = fmt.Sprintf("part %q where %d was due", text, next)
+			c.Mismatch = fmt.Sprintf("part %q where %d was due", text, next)
 			return
 		}
 		part()
 		next++
 	}
-	c.Whole = lines.Err() == nil && next == streamEvents+1
-	if lines.Err() == nil && !c.Whole {
-		c.Wrong = fmt.Sprintf("stream ended after %d parts as if it were whole", next-1)
+	c.OK = lines.Err() == nil && next == streamEvents+1
+	if lines.Err() == nil && !c.OK {
+		c.Mismatch = fmt.Sprintf("stream ended after %d parts as if it were whole", next-1)
 	}
 }
 
@@ -186,21 +186,21 @@
 	Refused int `json:"refused"`
 	Unknown int `json:"unknown"`
 	// The promises that broke.
-	Foreign    int `json:"foreign"`
-	Doubled    int `json:"doubled"`
-	FalseWord  int `json:"refused-but-ran"`
-	Wrong      int `json:"wrong-at-servers"`
-	Mixed      int `json:"map-mismatch-steps"`
-	Changes    int `json:"map-changes"`
-	SkewTenths int `json:"skew-tenths"`
-	// ChangesOf are the changes of map by group; the others count all groups together,
+	Foreign          int `json:"foreign"`
+	Doubled          int `json:"doubled"`
+	RanAfterRefusal  int `json:"refused-but-ran"`
+	WrongAtServers   int `json:"wrong-at-servers"`
+	MapMismatchSteps int `json:"map-mismatch-steps"`
+	MapChanges       int `json:"map-changes"`
+	SkewTenths       int `json:"skew-tenths"`
+	// MapChangesByGroup are the changes of map by group; the others count all groups together,
 	// but for the skew, which is the worst of them.
-	ChangesOf []int `json:"map-changes-of-groups"`
+	MapChangesByGroup []int `json:"map-changes-of-groups"`
 }
 
-// Kept reports whether all promises were kept.
-func (v Verdict) Kept() bool {
-	return v.Foreign == 0 && v.Doubled == 0 && v.FalseWord == 0 && v.Wrong == 0 && v.Mixed == 0
+// Passed reports whether all promises were kept.
+func (v Verdict) Passed() bool {
+	return v.Foreign == 0 && v.Doubled == 0 && v.RanAfterRefusal == 0 && v.WrongAtServers == 0 && v.MapMismatchSteps == 0
 }
 
 // Judge compares the callers' record with the ledger.
@@ -209,14 +209,14 @@
 	for _, c := range calls {
 		runs := f.Ledger.Runs(c.ID)
 		switch {
-		case c.Wrong != "":
+		case c.Mismatch != "":
 			v.Foreign++
-		case c.Whole:
+		case c.OK:
 			v.Complete++
 		case c.Status == http.StatusServiceUnavailable || c.Status == http.StatusTooManyRequests:
 			v.Refused++
 			if runs > 0 {
-				v.FalseWord++
+				v.RanAfterRefusal++
 			}
 		default:
 			v.Unknown++
@@ -226,13 +226,13 @@
 		}
 	}
 	f.Ledger.mu.Lock()
-	v.Wrong = f.Ledger.wrong
+	v.WrongAtServers = f.Ledger.wrong
 	f.Ledger.mu.Unlock()
 	for _, g := range f.Groups {
 		g.mu.Lock()
-		v.Mixed += g.mixed
-		v.Changes += g.changes
-		v.ChangesOf = append(v.ChangesOf, g.changes)
+		v.MapMismatchSteps += g.mixed
+		v.MapChanges += g.changes
+		v.MapChangesByGroup = append(v.MapChangesByGroup, g.changes)
 		v.SkewTenths = max(v.SkewTenths, int(g.skew*10))
 		g.mu.Unlock()
 	}
--- a/standin/fleet/server.go
+++ b/standin/fleet/server.go
@@ -218,10 +218,10 @@
 
 // The faults of plain servers.
 const (
-	// Sound servers answer.
-	Sound Fault = iota
-	// Mute servers run requests and answer nothing.
-	Mute
+	// NoFault servers answer.
+	NoFault Fault = iota
+	// Unresponsive servers run requests and answer nothing.
+	Unresponsive
 	// Failing servers run requests and answer with failures.
 	Failing
 )
@@ -238,7 +238,7 @@
 		return
 	}
 	time.Sleep(2 * time.Millisecond)
-	for Fault(p.fault.Load()) == Mute && r.Context().Err() == nil {
+	for Fault(p.fault.Load()) == Unresponsive && r.Context().Err() == nil {
 		time.Sleep(freezePoll)
 	}
 	if Fault(p.fault.Load()) == Failing {
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -40,9 +40,9 @@
 	})
 }
 
-// Resettle writes the settings file of a process anew, with another interval of the
+// RewriteSettings writes the settings file of a process anew, with another interval of the
 // servers' heartbeats and a field that nobody knows.
-func (f *Fleet) Resettle(b Boot, heartbeatMs int) error {
+func (f *Fleet) RewriteSettings(b Boot, heartbeatMs int) error {
 	data, err := os.ReadFile(b.File)
 	if err != nil {
 		return err
--- a/standin/fleet/store.go
+++ b/standin/fleet/store.go
@@ -75,8 +75,8 @@
 	s.wake()
 }
 
-// SetSilent makes the store answer no call, or serve again.
-func (s *Store) SetSilent(silent bool) {
+// SetUnresponsive makes the store answer no call, or serve again.
+func (s *Store) SetUnresponsive(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -34,8 +34,8 @@
 	Missing Answer = iota
 	// Truncated is a true beginning of the answer.
 	Truncated
-	// Whole is the answer, and nothing more.
-	Whole
+	// Exact is the answer, and nothing more.
+	Exact
 	// Foreign is an answer with bytes that do not belong where they stand:
 	// another's, or repeated, or after a gap.
 	Foreign
@@ -45,7 +45,7 @@
 func Compare(got, want string) Answer {
 	switch {
 	case got == want:
-		return Whole
+		return Exact
 	case got == "":
 		return Missing
 	case strings.HasPrefix(want, got):
@@ -147,8 +147,8 @@
 	Breaches  []Breach `json:"-"`
 }
 
-// Kept reports whether every promise was kept.
-func (v *Verdict) Kept() bool {
+// Passed reports whether every promise was kept.
+func (v *Verdict) Passed() bool {
 	return v.Lost+v.Doubled+v.Foreign+v.MapMismatchSteps+v.Reverts+v.Unmatched == 0
 }
 
--- a/standin/judge/judge_test.go
+++ b/standin/judge/judge_test.go
@@ -29,7 +29,7 @@
 	r := judge.Record{Line: 1, Workspace: "w", IdempotencyKey: key, MayNotRepeat: once, Attempts: attempts}
 	r.Outcome = attempts[len(attempts)-1].Outcome
 	if r.Outcome == outcome.Complete {
-		r.Answer = judge.Whole
+		r.Answer = judge.Exact
 	}
 	return r
 }
@@ -61,7 +61,7 @@
 	// broken lists the promises that are broken.
 	broken string
 }{
-	{"whole answer", answered(judge.Whole, complete), ""},
+	{"whole answer", answered(judge.Exact, complete), ""},
 	{"complete without an answer", answered(judge.Missing, complete), "lost"},
 	{"complete with half an answer", answered(judge.Truncated, complete), "lost"},
 	{"no final answer", answered(judge.Truncated, outcome.None), "lost"},
@@ -154,7 +154,7 @@
 			is := is.New(t)
 			v := judge.Judge(c.given)
 			is.Equal(counts(v), c.broken)
-			is.Equal(v.Kept(), c.broken == "")
+			is.Equal(v.Passed(), c.broken == "")
 			is.Equal(len(v.Breaches) > 0, c.broken != "")
 		})
 	}
@@ -162,7 +162,7 @@
 
 func TestCompare(t *testing.T) {
 	is := is.New(t)
-	is.Equal(judge.Compare("abc", "abc"), judge.Whole)
+	is.Equal(judge.Compare("abc", "abc"), judge.Exact)
 	is.Equal(judge.Compare("ab", "abc"), judge.Truncated)
 	is.Equal(judge.Compare("", "abc"), judge.Missing)
 	is.Equal(judge.Compare("abcd", "abc"), judge.Foreign)
--- a/standin/main.go
+++ b/standin/main.go
@@ -25,7 +25,7 @@
 			plain.Command(),
 			platform.Command(),
 			client.Command(),
-			client.ClosingCommand(),
+			client.WorkloadCommand(),
 			fleet.Command(),
 		},
 	}
