--- a/standin/judge/fleet.go
+++ b/standin/judge/fleet.go
@@ -2,40 +2,40 @@
 
 import "slices"
 
-// maps counts the steps that two ranks of a group, or one rank twice, made on
-// different maps.
-func (v *Verdict) maps(ranks []Rank) {
+// countMapMismatches counts the steps that two ranks of a group, or one rank
+// twice, made on different expert maps.
+func (v *Verdict) countMapMismatches(ranks []Rank) {
 	groups := make(map[string][]Span)
 	for _, r := range ranks {
 		groups[r.Group] = append(groups[r.Group], r.Spans...)
 	}
 	for name, spans := range groups {
-		if n := mismatches(spans); n > 0 {
+		if n := mismatchedSteps(spans); n > 0 {
 			v.MapMismatchSteps += n
 			v.Breaches = append(v.Breaches, Breach{"map-mismatch-steps", "group " + name})
 		}
 	}
 }
 
-// mismatches cuts the steps at the ends of all spans: between two cuts every
-// rank stays on its map, so that one step stands for all.
-func mismatches(spans []Span) int {
-	var cuts []uint64
+// mismatchedSteps splits the steps at the boundaries of all spans. Between two
+// boundaries no rank changes its map, so checking one step covers all of them.
+func mismatchedSteps(spans []Span) int {
+	var boundaries []uint64
 	for _, s := range spans {
-		cuts = append(cuts, s.From, s.To+1)
+		boundaries = append(boundaries, s.From, s.To+1)
 	}
-	slices.Sort(cuts)
-	cuts = slices.Compact(cuts)
+	slices.Sort(boundaries)
+	boundaries = slices.Compact(boundaries)
 	total := 0
-	for i := 0; i+1 < len(cuts); i++ {
-		if differs(spans, cuts[i]) {
-			total += int(cuts[i+1] - cuts[i])
+	for i := 0; i+1 < len(boundaries); i++ {
+		if mapsDiffer(spans, boundaries[i]) {
+			total += int(boundaries[i+1] - boundaries[i])
 		}
 	}
 	return total
 }
 
-func differs(spans []Span, step uint64) bool {
+func mapsDiffer(spans []Span, step uint64) bool {
 	first, seen := uint64(0), false
 	for _, s := range spans {
 		if step < s.From || step > s.To {
@@ -49,9 +49,9 @@
 	return false
 }
 
-// reverts counts the times that a node's revision went back, within one
-// sample or from one to the next, as after a restart.
-func (v *Verdict) reverts(nodes []Node) {
+// countReverts counts the times that a node went back to an older revision,
+// within one sample or between two, such as after a restart.
+func (v *Verdict) countReverts(nodes []Node) {
 	for _, n := range nodes {
 		var earlier []uint64
 		for _, sample := range n.Samples {
@@ -74,8 +74,8 @@
 	}
 }
 
-// overlap returns the length of the longest end of earlier that later begins
-// with.
+// overlap returns the length of the longest suffix of earlier that is a prefix
+// of later.
 func overlap(earlier, later []uint64) int {
 	for n := min(len(earlier), len(later)); n > 0; n-- {
 		if slices.Equal(earlier[len(earlier)-n:], later[:n]) {
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -1,9 +1,9 @@
-// Package judge decides from records alone whether a closing kept the
-// promises.
+// Package judge decides from recorded evidence whether the system under test
+// kept its promises while it served a workload.
 //
-// It sets what callers saw against what the stand-ins' ledgers say was run,
-// and asks nothing of the system under test. It is a pure function of its
-// evidence.
+// It compares the callers' records with the runs in the stand-ins' ledgers and
+// makes no calls to the system under test. The verdict is a pure function of
+// the evidence.
 //
 // # Usage
 //
@@ -24,24 +24,24 @@
 	"verbenashift/standin/ledger"
 )
 
-// Answer says how the bytes that a caller got compare with the whole answer
-// that it should get.
+// Answer classifies the bytes that a caller received against the expected
+// answer.
 type Answer int
 
-// The ways in which an answer may compare.
+// The classes of answers.
 const (
-	// Missing is an answer of which nothing came; it is the zero value.
+	// Missing means that no bytes were received; it is the zero value.
 	Missing Answer = iota
-	// Truncated is a true beginning of the answer.
+	// Truncated means a proper prefix of the expected answer.
 	Truncated
-	// Exact is the answer, and nothing more.
+	// Exact means the complete expected answer and nothing else.
 	Exact
-	// Foreign is an answer with bytes that do not belong where they stand:
-	// another's, or repeated, or after a gap.
+	// Foreign means bytes that do not belong at their position: those of
+	// another answer, repeated ones, or ones after a gap.
 	Foreign
 )
 
-// Compare compares the answer that came with the one wanted.
+// Compare classifies the received answer got against the expected answer want.
 func Compare(got, want string) Answer {
 	switch {
 	case got == want:
@@ -64,20 +64,20 @@
 	Reason    string          `json:"reason,omitempty"`
 }
 
-// Record is one request as its caller saw it.
+// Record is the history of one request as its caller observed it.
 type Record struct {
-	// Line is the request's line in the closing, from 1.
+	// Line is the line number of the request in the workload, from 1.
 	Line           int       `json:"line"`
 	Workspace      string    `json:"workspace"`
 	Class          string    `json:"class,omitempty"`
 	IdempotencyKey string    `json:"idempotency-key,omitempty"`
 	MayNotRepeat   bool      `json:"may-not-repeat,omitempty"`
 	Attempts       []Attempt `json:"attempts"`
-	// Outcome is the final one; None says that no final answer came.
+	// Outcome is the final one; None means that no final answer was received.
 	Outcome outcome.Outcome `json:"outcome"`
 	Answer  Answer          `json:"answer"`
-	// First and Total are the times to the first byte of the answer and to
-	// the final word.
+	// First and Total are the times from the start of the request to the first
+	// byte of the answer and to the end of the last attempt.
 	First time.Duration `json:"first-ns"`
 	Total time.Duration `json:"total-ns"`
 }
@@ -97,15 +97,15 @@
 	Spans []Span `json:"spans"`
 }
 
-// Node holds what one node said it had in force, as it was asked again and
-// again; each sample is the node's whole history since it started, of which
-// it may have dropped the oldest part.
+// Node holds the configuration revisions that one node reported as in force,
+// polled at intervals. Each sample is the node's history since it started,
+// except that the node may have dropped the oldest part.
 type Node struct {
 	Name    string     `json:"name"`
 	Samples [][]uint64 `json:"samples"`
 }
 
-// Evidence is all that is judged.
+// Evidence is the input of Judge.
 type Evidence struct {
 	Records []Record
 	Ledgers []ledger.Report
@@ -123,26 +123,26 @@
 // String returns the breach as one line.
 func (b Breach) String() string { return b.Promise + ": " + b.Detail }
 
-// Verdict is the outcome of a closing.
+// Verdict is the result of judging one workload.
 type Verdict struct {
 	Requests int `json:"requests"`
 	Complete int `json:"complete"`
 	NotRun   int `json:"not-run"`
 	Unknown  int `json:"unknown"`
 	Failed   int `json:"failed"`
-	// Lost counts requests without a final answer, and those called complete
-	// whose answer was not whole.
+	// Lost counts requests without a final answer, and those reported as
+	// complete whose answer was missing or truncated.
 	Lost int `json:"lost"`
-	// Doubled counts runs beyond the first, and runs that a caller was told
-	// had not taken place.
+	// Doubled counts runs beyond the first, and runs of requests that the
+	// caller was told had not run.
 	Doubled int `json:"doubled"`
-	// Foreign counts requests that got bytes that were not theirs.
+	// Foreign counts requests that received bytes of another answer.
 	Foreign          int `json:"foreign"`
 	MapMismatchSteps int `json:"map-mismatch-steps"`
 	Reverts          int `json:"reverts"`
-	// Unmatched counts complete requests that no ledger shows. The ledgers
-	// are then not those of the targets that ran, and the other counts say
-	// nothing.
+	// Unmatched counts complete requests that are in no ledger. If it is not
+	// 0, the ledgers are not those of the targets that ran the requests, and
+	// the other counts are meaningless.
 	Unmatched int      `json:"unmatched"`
 	Breaches  []Breach `json:"-"`
 }
@@ -157,29 +157,29 @@
 	v.Breaches = append(v.Breaches, Breach{promise, fmt.Sprintf(format, args...)})
 }
 
-// Judge weighs the evidence.
+// Judge checks the evidence against every promise.
 func Judge(e Evidence) *Verdict {
 	v := &Verdict{Requests: len(e.Records)}
 	for i := range e.Records {
-		v.record(&e.Records[i])
+		v.countRecord(&e.Records[i])
 	}
-	runs := index(e.Ledgers)
-	v.doubles(e.Records, runs)
-	v.refusals(e.Records, runs)
+	runs := indexRuns(e.Ledgers)
+	v.countDoubled(e.Records, runs)
+	v.checkRefusals(e.Records, runs)
 	if len(e.Ledgers) > 0 {
-		v.unmatched(e.Records, runs)
+		v.countUnmatched(e.Records, runs)
 	}
-	v.maps(e.Ranks)
-	v.reverts(e.Nodes)
+	v.countMapMismatches(e.Ranks)
+	v.countReverts(e.Nodes)
 	return v
 }
 
-func (v *Verdict) record(r *Record) {
+func (v *Verdict) countRecord(r *Record) {
 	switch r.Outcome {
 	case outcome.Complete:
 		v.Complete++
 		if r.Answer == Missing || r.Answer == Truncated {
-			v.breach(&v.Lost, "lost", "line %d: called complete but not whole", r.Line)
+			v.breach(&v.Lost, "lost", "line %d: reported as complete, but the answer is incomplete", r.Line)
 		}
 	case outcome.NotRun:
 		v.NotRun++
@@ -191,6 +191,6 @@
 		v.breach(&v.Lost, "lost", "line %d: no final answer", r.Line)
 	}
 	if r.Answer == Foreign {
-		v.breach(&v.Foreign, "foreign", "line %d: answer is not the one wanted", r.Line)
+		v.breach(&v.Foreign, "foreign", "line %d: answer differs from the expected one", r.Line)
 	}
 }
--- a/standin/judge/judge_test.go
+++ b/standin/judge/judge_test.go
@@ -24,7 +24,8 @@
 	return judge.Attempt{RequestID: id, Outcome: o, Began: at(began), Ended: at(ended)}
 }
 
-// record ends as its last attempt does, with a whole answer if complete.
+// record returns a record with the outcome of its last attempt, and with the
+// exact answer if that is complete.
 func record(key string, once bool, attempts ...judge.Attempt) judge.Record {
 	r := judge.Record{Line: 1, Workspace: "w", IdempotencyKey: key, MayNotRepeat: once, Attempts: attempts}
 	r.Outcome = attempts[len(attempts)-1].Outcome
@@ -58,16 +59,16 @@
 var cases = []struct {
 	name  string
 	given judge.Evidence
-	// broken lists the promises that are broken.
+	// broken lists the promises that are violated.
 	broken string
 }{
-	{"whole answer", answered(judge.Exact, complete), ""},
+	{"complete answer", answered(judge.Exact, complete), ""},
 	{"complete without an answer", answered(judge.Missing, complete), "lost"},
 	{"complete with half an answer", answered(judge.Truncated, complete), "lost"},
 	{"no final answer", answered(judge.Truncated, outcome.None), "lost"},
 	{"half an answer that says so", answered(judge.Truncated, outcome.Failed), ""},
-	{"another's bytes", answered(judge.Foreign, complete), "foreign"},
-	{"another's bytes before a failure", answered(judge.Foreign, outcome.Unknown), "foreign"},
+	{"bytes of another answer", answered(judge.Foreign, complete), "foreign"},
+	{"bytes of another answer before a failure", answered(judge.Foreign, outcome.Unknown), "foreign"},
 	{"key ran twice at two targets", judge.Evidence{
 		Records: []judge.Record{record("k", true, attempt("a", complete, 0, 9))},
 		Ledgers: append(runs(run("a", "k", 1)), runs(run("a", "k", 2))...),
@@ -76,7 +77,7 @@
 		Records: []judge.Record{record("k", false, attempt("a", complete, 0, 9)), record("k", false, attempt("b", complete, 0, 9))},
 		Ledgers: runs(run("a", "k", 1), run("b", "k", 2)),
 	}, "doubled"},
-	{"repeatable request went on elsewhere", judge.Evidence{
+	{"repeatable request continued at another target", judge.Evidence{
 		Records: []judge.Record{record("k", false, attempt("a", complete, 0, 9))},
 		Ledgers: runs(run("a", "k", 1), run("a", "k", 2)),
 	}, ""},
@@ -88,11 +89,11 @@
 		Records: []judge.Record{record("k", true, attempt("a", complete, 0, 9))},
 		Ledgers: runs(run("a", "k", 1), ledger.Run{RequestID: "b", IdempotencyKey: "k", Workspace: "other"}),
 	}, ""},
-	{"not-run that ran before", judge.Evidence{
+	{"not-run that had already run", judge.Evidence{
 		Records: []judge.Record{record("", false, attempt("a", notRun, 2, 3))},
 		Ledgers: runs(run("a", "", 1)),
 	}, "doubled"},
-	{"not-run that ran late", judge.Evidence{
+	{"not-run that ran after the refusal", judge.Evidence{
 		Records: []judge.Record{record("", false, attempt("a", notRun, 0, 1), attempt("b", complete, 2, 3))},
 		Ledgers: runs(run("a", "", 5), run("b", "", 2)),
 	}, "doubled"},
@@ -116,14 +117,14 @@
 		rank(0, judge.Span{From: 1, To: 5, Map: 1}, judge.Span{From: 6, To: 9, Map: 2}),
 		rank(1, judge.Span{From: 1, To: 5, Map: 1}, judge.Span{From: 6, To: 8, Map: 2}),
 	}}, ""},
-	{"one rank switched two steps late", judge.Evidence{Ranks: []judge.Rank{
+	{"one rank changed its map two steps late", judge.Evidence{Ranks: []judge.Rank{
 		rank(0, judge.Span{From: 1, To: 5, Map: 1}, judge.Span{From: 6, To: 9, Map: 2}),
 		rank(1, judge.Span{From: 1, To: 7, Map: 1}, judge.Span{From: 8, To: 9, Map: 2}),
 	}}, "map-mismatch-steps map-mismatch-steps"},
-	{"revisions go on", node([]uint64{1, 2}, []uint64{1, 2, 5}, []uint64{2, 5, 6}), ""},
-	{"restart at the newest", node([]uint64{1, 2}, nil, []uint64{2, 3}), ""},
-	{"went back", node([]uint64{1, 3, 2}), "reverts"},
-	{"restart on an older one", node([]uint64{1, 2, 3}, []uint64{2, 3, 4}, []uint64{3}), "reverts"},
+	{"revisions increase", node([]uint64{1, 2}, []uint64{1, 2, 5}, []uint64{2, 5, 6}), ""},
+	{"restart at the newest revision", node([]uint64{1, 2}, nil, []uint64{2, 3}), ""},
+	{"went back to an older revision", node([]uint64{1, 3, 2}), "reverts"},
+	{"restart at an older revision", node([]uint64{1, 2, 3}, []uint64{2, 3, 4}, []uint64{3}), "reverts"},
 }
 
 func counts(v *judge.Verdict) string {
@@ -146,8 +147,8 @@
 	return strings.Join(broken, " ")
 }
 
-// Each kind of breach is put before the judge once: a judge that calls a
-// broken closing kept would make every later proof worthless.
+// Checks each kind of breach once: a judge that passes a workload with a breach
+// would make every proof that relies on it meaningless.
 func TestJudge(t *testing.T) {
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/standin/judge/runs.go
+++ b/standin/judge/runs.go
@@ -5,16 +5,16 @@
 	"verbenashift/standin/ledger"
 )
 
-// key identifies work that runs once.
+// key identifies work that must run once.
 type key struct{ workspace, key string }
 
-// runs finds the runs of the ledgers.
+// runs indexes the runs of all ledgers by request ID and by idempotency key.
 type runs struct {
 	byID  map[string][]ledger.Run
 	byKey map[key][]ledger.Run
 }
 
-func index(reports []ledger.Report) runs {
+func indexRuns(reports []ledger.Report) runs {
 	found := runs{make(map[string][]ledger.Run), make(map[key][]ledger.Run)}
 	for _, report := range reports {
 		for _, run := range report.Runs {
@@ -30,10 +30,11 @@
 	return found
 }
 
-// doubles counts the runs beyond the first. Work that may not be repeated has
-// one run. Other work with a key may go on at another target, but only within
-// the request that first ran it; a second request with the key runs nothing.
-func (v *Verdict) doubles(records []Record, found runs) {
+// countDoubled counts the runs beyond the first. Work that may not be repeated
+// has one run. Other work with a key may continue at another target, but only
+// within the request that first ran it; a second request with the key must not
+// run.
+func (v *Verdict) countDoubled(records []Record, found runs) {
 	once := make(map[key]bool)
 	for i := range records {
 		r := &records[i]
@@ -43,7 +44,7 @@
 			continue
 		}
 		if r.MayNotRepeat {
-			v.doubledIDs(r, found)
+			v.countDoubledIDs(r, found)
 		}
 	}
 	for k, mayNotRepeat := range once {
@@ -57,7 +58,7 @@
 	}
 }
 
-func (v *Verdict) doubledIDs(r *Record, found runs) {
+func (v *Verdict) countDoubledIDs(r *Record, found runs) {
 	seen := make(map[string]bool)
 	for _, a := range r.Attempts {
 		if seen[a.RequestID] {
@@ -78,34 +79,35 @@
 	return len(ids)
 }
 
-// refusals finds runs of what a caller was told had not run: by the request
-// id that it was told, and by the key where nobody was told otherwise.
-func (v *Verdict) refusals(records []Record, found runs) {
+// checkRefusals finds runs of requests whose callers were told not-run. It looks
+// them up by the request ID in the refusal, and by the key if every request with
+// that key ended as not-run.
+func (v *Verdict) checkRefusals(records []Record, found runs) {
 	others := attemptsByID(records)
-	told := make(map[key]bool)
+	excused := make(map[key]bool)
 	for i := range records {
 		if r := &records[i]; r.Outcome != outcome.NotRun {
-			told[key{r.Workspace, r.IdempotencyKey}] = true
+			excused[key{r.Workspace, r.IdempotencyKey}] = true
 		}
 	}
 	for i := range records {
 		r := &records[i]
 		k := key{r.Workspace, r.IdempotencyKey}
 		switch {
-		case untrueAttempt(r, found, others):
-			v.breach(&v.Doubled, "doubled", "line %d: a request ran, caller was told not-run", r.Line)
-		case r.Outcome == outcome.NotRun && r.IdempotencyKey != "" && !told[k] && len(found.byKey[k]) > 0:
-			v.breach(&v.Doubled, "doubled", "line %d: key %s ran, caller was told not-run", r.Line, k.key)
+		case hasFalseRefusal(r, found, others):
+			v.breach(&v.Doubled, "doubled", "line %d: request ran although its caller was told not-run", r.Line)
+		case r.Outcome == outcome.NotRun && r.IdempotencyKey != "" && !excused[k] && len(found.byKey[k]) > 0:
+			v.breach(&v.Doubled, "doubled", "line %d: key %s ran although its caller was told not-run", r.Line, k.key)
 		}
 	}
 }
 
-func untrueAttempt(r *Record, found runs, others map[string][]Attempt) bool {
+func hasFalseRefusal(r *Record, found runs, others map[string][]Attempt) bool {
 	for _, a := range r.Attempts {
 		if a.Outcome != outcome.NotRun || a.RequestID == "" {
 			continue
 		}
-		if untrue(a, found.byID[a.RequestID], others) {
+		if contradicted(a, found.byID[a.RequestID], others) {
 			return true
 		}
 	}
@@ -122,29 +124,29 @@
 	return byID
 }
 
-// untrue reports whether a run belies the refusal a, which named the run's
-// request id. A run is excused only if an attempt that began after the refusal
-// had the same id and asked for it.
-func untrue(a Attempt, runs []ledger.Run, byID map[string][]Attempt) bool {
+// contradicted reports whether a run contradicts the refusal a, which named the
+// run's request ID. A run is legitimate only if it started after the start of an
+// attempt with the same ID that itself began after the refusal.
+func contradicted(a Attempt, runs []ledger.Run, byID map[string][]Attempt) bool {
 	for _, run := range runs {
-		asked := false
+		requested := false
 		for _, later := range byID[a.RequestID] {
 			if !later.Began.Before(a.Ended) && !run.Started.Before(later.Began) {
-				asked = true
+				requested = true
 			}
 		}
-		if !asked {
+		if !requested {
 			return true
 		}
 	}
 	return false
 }
 
-func (v *Verdict) unmatched(records []Record, found runs) {
+func (v *Verdict) countUnmatched(records []Record, found runs) {
 	for i := range records {
 		r := &records[i]
 		if r.Outcome == outcome.Complete && !found.has(r) {
-			v.breach(&v.Unmatched, "unmatched", "line %d: complete, but no ledger shows a run", r.Line)
+			v.breach(&v.Unmatched, "unmatched", "line %d: reported as complete, but no ledger has a run of it", r.Line)
 		}
 	}
 }
