--- a/standin/client/builtin.go
+++ b/standin/client/builtin.go
@@ -7,65 +7,67 @@
 	"github.com/go-faster/errors"
 )
 
-// The built-in closings.
+// The built-in workloads, named after the deployments that they model.
 const (
 	Lightbox  = "lightbox"
 	Lakeshore = "lakeshore"
 )
 
 const (
-	closingSeed = 7
-	// repeatEvery is how many keyed requests lie between two that are sent
-	// again, and repeatAfter how many requests lie between the two sends.
+	workloadSeed = 7
+	// Every repeatEvery-th keyed request is sent again, repeatAfter requests
+	// after the first time.
 	repeatEvery = 6
 	repeatAfter = 3
-	// largeShare of the requests, in percent, are the first workspace's.
-	largeShare = 40
+	// firstWorkspacePercent of the requests belong to the first workspace; the
+	// others are spread evenly over all workspaces, including the first.
+	firstWorkspacePercent = 40
 )
 
-// Names are the names in a deployment that a built-in closing uses.
+// Names holds the deployment-specific names that a built-in workload uses.
 type Names struct {
 	Workspaces []string
 	Model      string
 	Service    string
-	// Nonce sets the keys and chapel slots of one closing apart from those of
-	// another on the same deployment.
+	// Nonce makes the keys and chapel slots of a workload differ from those of
+	// other workloads on the same deployment.
 	Nonce string
 }
 
 type kind struct {
-	class     string
-	count     int
-	service   bool
-	once      bool
-	maxTokens int
-	prompt    string
+	class        string
+	count        int
+	service      bool
+	mayNotRepeat bool
+	maxTokens    int
+	prompt       string
 }
 
-var closings = map[string]struct {
+var builtInWorkloads = map[string]struct {
 	model, service string
 	kinds          []kind
 }{
 	Lightbox: {"caption", "job-desk", []kind{
-		{class: "caption", count: 80, once: true, maxTokens: 24, prompt: "caption for lot %d of washed coffee, natural light"},
+		{class: "caption", count: 80, mayNotRepeat: true, maxTokens: 24, prompt: "caption for lot %d of washed coffee, natural light"},
 		{class: "scene-brief", count: 40, maxTokens: 64, prompt: "studio style notes v3\nscene brief %d: leather satchel on teff straw"},
 		{class: "alt-text", count: 20, maxTokens: 12, prompt: "alt-text %d for a cotton gabi"},
-		{class: "job", count: 20, service: true, once: true, prompt: "render job %d"},
+		{class: "job", count: 20, service: true, mayNotRepeat: true, prompt: "render job %d"},
 		{class: "ping", count: 30, service: true, prompt: "status ping %d"},
 	}},
 	Lakeshore: {"shared", "booking", []kind{
 		{class: "obituary", count: 50, maxTokens: 96, prompt: "obituary note %d for a lake pilot"},
 		{class: "service-plan", count: 40, maxTokens: 48, prompt: "service plan %d, two readings"},
 		{class: "chapel-schedule", count: 20, maxTokens: 24, prompt: "chapel schedule, day %d"},
-		{class: "booking", count: 50, service: true, once: true, prompt: "hour %d"},
+		{class: "booking", count: 50, service: true, mayNotRepeat: true, prompt: "hour %d"},
 		{class: "visitation", count: 30, service: true, prompt: "family-%d"},
 	}},
 }
 
-// BuiltIn returns the built-in closing of a deployment, about 200 requests in
-// a fixed order. Some keyed requests come twice. Empty names get defaults.
+// BuiltIn returns the built-in workload of a deployment: about 200 requests in
+// a fixed order, with some of the keyed requests sent twice. Empty names get
+// defaults.
 func BuiltIn(deployment string, names Names) ([]Line, error) {
-	c, ok := closings[deployment]
+	c, ok := builtInWorkloads[deployment]
 	if !ok {
 		return nil, errors.Errorf("deployment %q: want %s or %s", deployment, Lightbox, Lakeshore)
 	}
@@ -79,7 +81,7 @@
 		names.Service = c.service
 	}
 	var lines []Line
-	rng := rand.New(rand.NewPCG(closingSeed, closingSeed))
+	rng := rand.New(rand.NewPCG(workloadSeed, workloadSeed))
 	for _, k := range c.kinds {
 		for i := range k.count {
 			lines = append(lines, k.line(i, names, rng))
@@ -98,10 +100,10 @@
 		Workspace:    names.Workspaces[0],
 		Class:        k.class,
 		Prompt:       fmt.Sprintf(k.prompt, i),
-		MayNotRepeat: k.once,
+		MayNotRepeat: k.mayNotRepeat,
 		MaxTokens:    k.maxTokens,
 	}
-	if rng.IntN(100) >= largeShare {
+	if rng.IntN(100) >= firstWorkspacePercent {
 		l.Workspace = names.Workspaces[rng.IntN(len(names.Workspaces))]
 	}
 	if k.service {
@@ -109,7 +111,7 @@
 	} else {
 		l.Model = names.Model
 	}
-	if k.once {
+	if k.mayNotRepeat {
 		l.IdempotencyKey = fmt.Sprintf("%s-%s-%d", names.Nonce, k.class, i)
 	}
 	if k.class == "booking" {
@@ -118,7 +120,8 @@
 	return l
 }
 
-// repeatKeys sends some of the keyed requests once more a little later.
+// repeatKeys returns lines with some of the keyed requests repeated a few
+// requests later.
 func repeatKeys(lines []Line) []Line {
 	var out []Line
 	due := make(map[int]Line)
--- a/standin/client/call.go
+++ b/standin/client/call.go
@@ -17,7 +17,7 @@
 	servicesPath    = "/services/"
 )
 
-// call is a line as it goes to an entry, with the answer that must come back.
+// call is a line as it is sent to an entry, with the expected answer.
 type call struct {
 	line   *Line
 	method string
@@ -26,8 +26,8 @@
 	priority string
 	body     []byte
 	stream   bool
-	// want is the whole text of a model's answer or the body of a service's.
-	// Where checked is false, nobody knows it beforehand.
+	// want is the complete text of a model's answer or the body of a service's.
+	// If checked is false, the answer cannot be predicted.
 	want    string
 	checked bool
 }
@@ -106,8 +106,8 @@
 	c.expect(path)
 }
 
-// bodyBytes returns the line's body: the text of a JSON string, or other JSON
-// as it stands.
+// bodyBytes returns the line's body: the text of a JSON string, or any other
+// JSON value unchanged.
 func (l *Line) bodyBytes() []byte {
 	var text string
 	if json.Unmarshal(l.Body, &text) == nil {
@@ -116,7 +116,7 @@
 	return l.Body
 }
 
-// defaultCall makes the call that goes with the class and returns its path.
+// defaultCall fills in the call for the class and returns its path.
 func (c *call) defaultCall() string {
 	class, prompt := c.line.Class, c.line.Prompt
 	switch {
@@ -136,7 +136,8 @@
 	return "/jobs"
 }
 
-// expect works out the answer of the calls that the plain stand-in knows.
+// expect computes the expected answer of the calls that the plain stand-in
+// implements.
 func (c *call) expect(path string) {
 	var v any
 	id, isVisit := strings.CutPrefix(path, "/visitations/")
--- a/standin/client/client_test.go
+++ b/standin/client/client_test.go
@@ -17,13 +17,13 @@
 	"verbenashift/standin/judge"
 )
 
-func TestReadClosing(t *testing.T) {
+func TestReadWorkload(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
-		// bad is the number of the line at fault; 0 means none.
+		// bad is the number of the invalid line; 0 means none.
 		bad int
 	}{
-		{"good", `{"workspace":"w","model":"m","prompt":"p","more":1}` + "\n\n" + `{"workspace":"w","service":"s","body":{"a":1}}`, 0},
+		{"valid", `{"workspace":"w","model":"m","prompt":"p","more":1}` + "\n\n" + `{"workspace":"w","service":"s","body":{"a":1}}`, 0},
 		{"not JSON", "\n" + `{"workspace":"w","model":"m"}` + "\nhello", 3},
 		{"cut", `{"workspace":"w","model":"m"`, 1},
 		{"wrong type", `{"workspace":"w","model":"m","may-not-repeat":"yes"}`, 1},
@@ -57,7 +57,7 @@
 		keys, repeated := make(map[string]bool), 0
 		for _, l := range lines {
 			is.NoErr(l.check())
-			is.True(newCall(&l).checked) // every answer is known beforehand
+			is.True(newCall(&l).checked) // every answer can be predicted
 			is.Equal(l.MayNotRepeat, l.IdempotencyKey != "")
 			if keys[l.IdempotencyKey] {
 				repeated++
@@ -68,30 +68,31 @@
 	}
 }
 
-// script answers requests in their order, one step each, at any entry.
+// script answers requests in order, one step per request, at any entry.
 type script struct {
-	mu    sync.Mutex
-	steps []func(w http.ResponseWriter)
-	asked []string
+	mu       sync.Mutex
+	steps    []func(w http.ResponseWriter)
+	received []string
 }
 
 // ServeHTTP implements http.Handler.
 func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked = append(s.asked, r.Method+" "+r.URL.RequestURI()+" "+r.Header.Get("Idempotency-Key"))
+	s.received = append(s.received, r.Method+" "+r.URL.RequestURI()+" "+r.Header.Get("Idempotency-Key"))
 	step := s.steps[0]
 	s.steps = s.steps[1:]
 	step(w)
 }
 
-func (s *script) heard() string {
+func (s *script) requests() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return strings.Join(s.asked, ", ")
+	return strings.Join(s.received, ", ")
 }
 
-// stream sends tokens [from, to) as events, then the end.
+// stream sends tokens [from, to) as events, followed by end, and aborts the
+// connection if end is empty.
 func stream(from, to int, end string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
 		w.Header().Set("Content-Type", eventStream)
@@ -128,9 +129,10 @@
 	notRun   = `{"error":{"outcome":"not-run","reason":"queue-full","request-id":"r0"}}`
 )
 
-// A caller's record is the ground of every later verdict. Entries die, hand
-// streams over and refuse; the record must tell a whole answer from one with
-// a gap or a repeat, and the client must not repeat what it may not.
+// Every verdict relies on the client's record. When entries die, hand streams
+// over or refuse, the record must distinguish a complete answer from one with a
+// gap or a repeated part, and the client must not repeat a request that may not
+// be repeated.
 func TestPlayer(t *testing.T) {
 	type steps = []func(http.ResponseWriter)
 	model := Line{Workspace: "w", Model: "m", Prompt: "p", MaxTokens: 4}
@@ -138,12 +140,12 @@
 	once.MayNotRepeat = true
 	keyed.MayNotRepeat, keyed.IdempotencyKey = true, "k"
 	for _, c := range []struct {
-		name    string
-		line    Line
-		steps   steps
-		outcome outcome.Outcome
-		answer  judge.Answer
-		asked   string
+		name     string
+		line     Line
+		steps    steps
+		outcome  outcome.Outcome
+		answer   judge.Answer
+		received string
 	}{
 		{"whole", once, steps{stream(0, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions "},
 		{"ended early", once, steps{stream(0, 3, done)}, outcome.Complete, judge.Truncated, "POST /v1/completions "},
@@ -153,7 +155,7 @@
 		{"re-attached with a gap", once, steps{stream(0, 2, ""), stream(3, 4, done)}, outcome.Complete, judge.Foreign, "POST /v1/completions , GET /v1/requests/r1?after=2 "},
 		{"handed over", once, steps{stream(0, 1, handover), stream(1, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions , GET /v1/requests/r2?after=1 "},
 		{"refused, then run", once, steps{refuse(429, notRun), stream(0, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions , POST /v1/completions "},
-		{"refused to the last", once, steps{refuse(429, notRun), refuse(429, notRun), refuse(503, notRun)}, outcome.NotRun, judge.Missing, "POST /v1/completions , POST /v1/completions , POST /v1/completions "},
+		{"refused at every attempt", once, steps{refuse(429, notRun), refuse(429, notRun), refuse(503, notRun)}, outcome.NotRun, judge.Missing, "POST /v1/completions , POST /v1/completions , POST /v1/completions "},
 		{"lost without a key", once, steps{drop}, outcome.None, judge.Missing, "POST /v1/completions "},
 		{"lost with a key", keyed, steps{drop, stream(0, 4, done)}, outcome.Complete, judge.Exact, "POST /v1/completions k, POST /v1/completions k"},
 		{"service", job, steps{refuse(202, `{"kind":"job","digest":"bc703b01b9ac715e3534e76148da67561e3c57e28a12552676de7f3eb0b10db5"}`+"\n")}, outcome.Complete, judge.Exact, "POST /services/s/jobs "},
@@ -172,7 +174,7 @@
 			r := p.Play(t.Context(), []Line{c.line})[0]
 			is.Equal(r.Outcome, c.outcome)
 			is.Equal(r.Answer, c.answer)
-			is.Equal(s.heard(), c.asked)
+			is.Equal(s.requests(), c.received)
 			for i := 1; i < len(r.Attempts); i++ {
 				is.True(r.Attempts[i].Entry != r.Attempts[i-1].Entry) // the next attempt is at another entry
 			}
@@ -180,12 +182,12 @@
 	}
 }
 
-// A member sends a caption job, sees no answer at one entry and asks another
-// entry with the same key: the closing must take that path for its judgement
-// of doubled runs to mean anything.
+// A caller that gets no answer from one entry retries at another entry with the
+// same key. The workload must do so too, because otherwise the judge's check for
+// doubled runs has no evidence.
 func TestRepeatedKeyGoesToAnotherEntry(t *testing.T) {
 	is := is.New(t)
-	p := &Player{Entries: []string{"a", "b", "c"}, used: make(map[string]int)}
+	p := &Player{Entries: []string{"a", "b", "c"}, firstEntry: make(map[string]int)}
 	l := &Line{Workspace: "w", IdempotencyKey: "k"}
 	first := p.entry(l)
 	for range 2 {
--- a/standin/client/closing.go
+++ b/standin/client/closing.go
@@ -12,32 +12,32 @@
 
 const maxLine = 4 << 20
 
-// Line is one request of a closing, a line of JSON in its file.
+// Line is one request of a workload, encoded as one line of JSON.
 type Line struct {
-	// Number is the line's number in the file, from 1.
+	// Number is the line number in the file, from 1.
 	Number    int    `json:"-"`
 	Workspace string `json:"workspace"`
-	// Class says what kind of work it is; it decides the priority, and for a
-	// service without a path also the call.
+	// Class is the kind of work. It determines the priority and, for a service
+	// without a path, the call.
 	Class string `json:"class,omitempty"`
-	// Model or Service is asked; one of them is set.
+	// Exactly one of Model and Service is set.
 	Model          string `json:"model,omitempty"`
 	Service        string `json:"service,omitempty"`
 	Prompt         string `json:"prompt,omitempty"`
 	MayNotRepeat   bool   `json:"may-not-repeat,omitempty"`
 	IdempotencyKey string `json:"idempotency-key,omitempty"`
-	// Method, Path and Body give a call of a service in full. For a model,
-	// Path may choose chat completions.
+	// Method, Path and Body define a call of a service. For a model, only Path
+	// is allowed; it can select chat completions.
 	Method string          `json:"method,omitempty"`
 	Path   string          `json:"path,omitempty"`
 	Body   json.RawMessage `json:"body,omitempty"`
 	// MaxTokens is the length of the answer; 0 means the engine's default.
 	MaxTokens int `json:"max-tokens,omitempty"`
-	// Stream asks a model for a stream; absent means true.
+	// Stream requests a streamed answer from a model; absent means true.
 	Stream *bool `json:"stream,omitempty"`
 }
 
-// LineError says which line of a closing can't be used, and why.
+// LineError reports an invalid line of a workload.
 type LineError struct {
 	Number int
 	Cause  error
@@ -50,15 +50,15 @@
 func (e *LineError) Unwrap() error { return e.Cause }
 
 var (
-	errNoWorkspace = errors.New("workspace is missing")
-	errNoTarget    = errors.New("one of model and service is wanted")
-	errModelCall   = errors.New("method and body are for services")
-	errMaxTokens   = errors.New("max-tokens is negative")
-	errPath        = errors.New("path does not begin with a slash")
+	errNoWorkspace    = errors.New("workspace is missing")
+	errModelOrService = errors.New("exactly one of model and service must be set")
+	errModelCall      = errors.New("method and body are only allowed for services")
+	errMaxTokens      = errors.New("max-tokens is negative")
+	errPath           = errors.New("path does not start with a slash")
 )
 
-// ReadWorkload reads a closing. Blank lines are passed over and unknown members
-// ignored; the first line that can't be used gives a *LineError.
+// ReadWorkload reads a workload. It skips blank lines and ignores unknown
+// members; the first invalid line results in a *LineError.
 func ReadWorkload(r io.Reader) ([]Line, error) {
 	var lines []Line
 	scanner := bufio.NewScanner(r)
@@ -89,7 +89,7 @@
 	case l.Workspace == "":
 		return errNoWorkspace
 	case (l.Model == "") == (l.Service == ""):
-		return errNoTarget
+		return errModelOrService
 	case l.Model != "" && (l.Method != "" || l.Body != nil):
 		return errModelCall
 	case l.MaxTokens < 0:
--- a/standin/client/command.go
+++ b/standin/client/command.go
@@ -25,32 +25,32 @@
 	maxBreachesShown   = 20
 )
 
-var errBroken = errors.New("a promise was broken")
+var errViolated = errors.New("the system under test broke a promise")
 
-// Command returns the command line of the calling client.
+// Command returns the command that replays a workload and judges the result.
 func Command() *cli.Command {
 	return &cli.Command{
 		Name:  "client",
-		Usage: "play a closing, then judge it by the stand-ins' ledgers",
+		Usage: "replay a workload, then judge the answers by the stand-ins' ledgers",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{Name: "entries", Required: true, Usage: "addresses of the entries"},
 			&cli.StringSliceFlag{Name: "tokens", Required: true, Usage: "workspace=token of each workspace"},
-			&cli.StringFlag{Name: "input", Usage: "closing, a file of JSON lines"},
-			&cli.StringFlag{Name: "deployment", Value: Lightbox, Usage: "built-in closing: lightbox or lakeshore"},
-			&cli.StringFlag{Name: "model", Usage: "model of the built-in closing"},
-			&cli.StringFlag{Name: "service", Usage: "service of the built-in closing"},
-			&cli.StringFlag{Name: "nonce", Usage: "sets the built-in closing's keys apart; the time by default"},
-			&cli.IntFlag{Name: "repeat", Value: 1, Usage: "plays the built-in closing so many times"},
+			&cli.StringFlag{Name: "input", Usage: "workload, a file of JSON lines"},
+			&cli.StringFlag{Name: "deployment", Value: Lightbox, Usage: "built-in workload: lightbox or lakeshore"},
+			&cli.StringFlag{Name: "model", Usage: "model of the built-in workload"},
+			&cli.StringFlag{Name: "service", Usage: "service of the built-in workload"},
+			&cli.StringFlag{Name: "nonce", Usage: "makes the keys of the built-in workload unique; the current time by default"},
+			&cli.IntFlag{Name: "repeat", Value: 1, Usage: "number of times to play the built-in workload"},
 			&cli.StringSliceFlag{Name: "ledgers", Usage: "addresses or ledger files of the target stand-ins"},
 			&cli.StringSliceFlag{Name: "ranks", Usage: "addresses of the rank stand-ins"},
-			&cli.StringSliceFlag{Name: "nodes", Usage: "addresses that tell entries' and agents' revisions"},
-			&cli.StringFlag{Name: "platform", Usage: "address of the platform stand-in, to print its counts"},
-			&cli.StringFlag{Name: "record", Usage: "file for the client's own record"},
-			&cli.FloatFlag{Name: "rate", Usage: "requests that begin in a second; 0 for no limit"},
-			&cli.IntFlag{Name: "concurrency", Value: defaultConcurrency, Usage: "requests at once"},
-			&cli.IntFlag{Name: "attempts", Value: defaultAttempts, Usage: "attempts of one request"},
-			&cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Usage: "time of one request with all attempts"},
-			&cli.DurationFlag{Name: "settle", Value: defaultSettle, Usage: "time before the ledgers are read, for late runs"},
+			&cli.StringSliceFlag{Name: "nodes", Usage: "addresses at which entries and agents report their revisions"},
+			&cli.StringFlag{Name: "platform", Usage: "address of the platform stand-in whose counts to print"},
+			&cli.StringFlag{Name: "record", Usage: "file to write the client's own record to"},
+			&cli.FloatFlag{Name: "rate", Usage: "requests started per second; 0 for no limit"},
+			&cli.IntFlag{Name: "concurrency", Value: defaultConcurrency, Usage: "maximum number of concurrent requests"},
+			&cli.IntFlag{Name: "attempts", Value: defaultAttempts, Usage: "maximum number of attempts per request"},
+			&cli.DurationFlag{Name: "timeout", Value: defaultTimeout, Usage: "timeout of one request including all attempts"},
+			&cli.DurationFlag{Name: "settle", Value: defaultSettle, Usage: "delay before the ledgers are read, so that late runs are included"},
 		},
 		Action: run,
 	}
@@ -65,13 +65,13 @@
 		Concurrency: cmd.Int("concurrency"),
 	}
 	if p.Attempts < 1 || p.Concurrency < 1 {
-		return errors.New("attempts and concurrency are at least 1")
+		return errors.New("attempts and concurrency must be at least 1")
 	}
 	var err error
 	if p.Tokens, err = parseTokens(cmd.StringSlice("tokens")); err != nil {
 		return err
 	}
-	lines, err := closing(cmd, p.Tokens)
+	lines, err := loadWorkload(cmd, p.Tokens)
 	if err != nil {
 		return err
 	}
@@ -100,8 +100,9 @@
 	return tokens, nil
 }
 
-// closing returns the lines to play. Each line's workspace has a token.
-func closing(cmd *cli.Command, tokens map[string]string) ([]Line, error) {
+// loadWorkload returns the lines to play and checks that there is a token for
+// the workspace of each.
+func loadWorkload(cmd *cli.Command, tokens map[string]string) ([]Line, error) {
 	var lines []Line
 	var err error
 	if input := cmd.String("input"); input != "" {
@@ -123,7 +124,7 @@
 func readFile(name string) ([]Line, error) {
 	f, err := os.Open(name)
 	if err != nil {
-		return nil, errors.Wrap(err, "open closing")
+		return nil, errors.Wrap(err, "open workload")
 	}
 	defer func() { _ = f.Close() }()
 	lines, err := ReadWorkload(f)
@@ -158,8 +159,8 @@
 	return lines, nil
 }
 
-// report judges and prints: times by class, the platform's counts, and last
-// the verdict.
+// report judges the evidence and prints the times by class, the platform's
+// counts and, as the last line, the verdict.
 func report(ctx context.Context, cmd *cli.Command, e judge.Evidence) error {
 	var err error
 	if e.Ledgers, err = readLedgers(ctx, cmd.StringSlice("ledgers")); err != nil {
@@ -186,7 +187,7 @@
 		return errors.Wrap(err, "print verdict")
 	}
 	if !v.Passed() {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
@@ -196,7 +197,7 @@
 	if err := fetch(ctx, address, "/ledger", &counts); err != nil {
 		return err
 	}
-	// The history of the keys is the operators' configuration, not a count.
+	// The history of the keys is the operators' configuration and not a count.
 	delete(counts, "keys")
 	return out.Encode(struct {
 		Platform map[string]any `json:"platform"`
--- a/standin/client/doc.go
+++ b/standin/client/doc.go
@@ -1,10 +1,11 @@
-// Package client is a calling client that plays a closing and judges it.
+// Package client is a load-generating client that replays a workload, called a
+// closing on the command line, and judges the result.
 //
-// It sends the requests of a closing to the entries as members' programs
-// would: it goes on at another entry where one refuses with not-run, hands a
-// stream over or dies, and it never repeats what may not be repeated unless a
-// key makes that safe. It keeps its own record, reads the ledgers of all
-// target stand-ins and lets package judge compare the two.
+// It sends the requests of the workload to the entries as callers' programs
+// would: it continues at another entry if one refuses with not-run, hands a
+// stream over or dies, and it never repeats a request that may not be repeated
+// unless an idempotency key makes that safe. It keeps its own record, reads the
+// ledgers of all target stand-ins and has package judge compare the two.
 //
 // # Usage
 //
--- a/standin/client/events.go
+++ b/standin/client/events.go
@@ -13,7 +13,7 @@
 type event struct {
 	name string
 	data []byte
-	// id is 0 for an event without a number.
+	// id is 0 for an event without a numeric ID.
 	id uint64
 }
 
@@ -26,8 +26,8 @@
 	return &events{lines}
 }
 
-// next returns the next event that has data. The end of the stream gives
-// io.EOF; an event that its blank line does not end is dropped.
+// next returns the next event that has data, or io.EOF at the end of the stream.
+// A trailing event that no blank line terminates is dropped.
 func (e *events) next() (event, error) {
 	var ev event
 	for e.lines.Scan() {
--- a/standin/client/evidence.go
+++ b/standin/client/evidence.go
@@ -26,25 +26,25 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, base(address)+path, nil)
 	if err != nil {
-		return errors.Wrapf(err, "ask %s", address)
+		return errors.Wrapf(err, "query %s", address)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrapf(err, "ask %s", address)
+		return errors.Wrapf(err, "query %s", address)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("ask %s%s: status %d", address, path, resp.StatusCode)
+		return errors.Errorf("query %s%s: status %d", address, path, resp.StatusCode)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(v); err != nil {
-		return errors.Wrapf(err, "ask %s%s", address, path)
+		return errors.Wrapf(err, "query %s%s", address, path)
 	}
 	return nil
 }
 
-// readLedgers reads each stand-in's ledger from its address, or from its file
-// if the name holds a slash. A ledger that can't be read is an error: without
-// it nothing can be judged.
+// readLedgers reads each stand-in's ledger from its address, or from a file if
+// the name contains a slash. A ledger that can't be read is an error, because
+// nothing can be judged without it.
 func readLedgers(ctx context.Context, from []string) ([]ledger.Report, error) {
 	reports := make([]ledger.Report, len(from))
 	for i, name := range from {
@@ -77,13 +77,14 @@
 	return ranks, nil
 }
 
-var errNoSteps = errors.New("the ranks' ledgers show no steps: the maps cannot be judged")
+var errNoSteps = errors.New("the ranks' ledgers contain no steps: the maps cannot be judged")
 
-// rankCounts sums up the ranks' ledgers, to show what the judge had before it.
+// rankCounts summarizes the ranks' ledgers, to show how much evidence the judge
+// had.
 type rankCounts struct {
 	Ranks int    `json:"ranks"`
 	Steps uint64 `json:"steps"`
-	// Maps counts the maps that were in use in turn, over all groups.
+	// Maps counts the distinct maps that were used, over all groups.
 	Maps int `json:"maps"`
 }
 
@@ -103,8 +104,8 @@
 	return c, nil
 }
 
-// watcher asks nodes for their revisions again and again, so that a node that
-// restarts can't hide what it had in force before.
+// watcher polls nodes for their revisions, so that a restarted node can't hide
+// the revisions that it had in force before.
 type watcher struct {
 	nodes []judge.Node
 	stop  context.CancelFunc
@@ -123,9 +124,9 @@
 
 func poll(ctx context.Context, n *judge.Node) {
 	for {
-		// One more sample is taken after the stop.
+		// Take one more sample after the stop.
 		stopped := ctx.Err() != nil
-		if history, err := sampleOf(ctx, n.Name); err == nil {
+		if history, err := fetchRevisions(ctx, n.Name); err == nil {
 			n.Samples = append(n.Samples, history)
 		}
 		if stopped {
@@ -135,21 +136,21 @@
 	}
 }
 
-// finish takes the last samples. A node that never told its revisions is an
-// error.
+// finish takes the last samples. A node that never reported its revisions is
+// an error.
 func (w *watcher) finish() ([]judge.Node, error) {
 	w.stop()
 	w.done.Wait()
 	for _, n := range w.nodes {
 		if len(n.Samples) == 0 {
-			return nil, errors.Errorf("node %s told no revisions", n.Name)
+			return nil, errors.Errorf("node %s reported no revisions", n.Name)
 		}
 	}
 	return w.nodes, nil
 }
 
-// sampleOf asks one node for its revisions.
-func sampleOf(ctx context.Context, address string) ([]uint64, error) {
+// fetchRevisions returns the revision history that a node reports.
+func fetchRevisions(ctx context.Context, address string) ([]uint64, error) {
 	var answer struct {
 		History []uint64 `json:"history"`
 	}
--- a/standin/client/exchange.go
+++ b/standin/client/exchange.go
@@ -20,16 +20,16 @@
 const (
 	requestIDHeader = "X-Request-Id"
 	eventStream     = "text/event-stream"
-	doneMark        = "[DONE]"
+	doneData        = "[DONE]"
 	maxErrorBody    = 1 << 20
 )
 
-// progress is what has come of one answer over all attempts.
+// progress is the part of one answer received so far, over all attempts.
 type progress struct {
 	text strings.Builder
-	// requestID is set once the head of a stream has told it.
+	// requestID is set once the response header of a stream has arrived.
 	requestID string
-	// lastID is the number of the last event.
+	// lastID is the ID of the last event.
 	lastID uint64
 	first  time.Time
 }
@@ -41,20 +41,20 @@
 	p.text.WriteString(text)
 }
 
-// ending is how one attempt ended. Outcome None says that the connection was
-// lost or the entry gave the request over.
-type ending struct {
+// attemptResult is the result of one attempt. Outcome None means that the
+// connection was lost or that the entry handed the request over.
+type attemptResult struct {
 	outcome    outcome.Outcome
 	reason     string
 	requestID  string
 	retryAfter time.Duration
-	// notSent says that no connection was made.
+	// notSent means that no connection was established.
 	notSent bool
-	// handover says that the answer goes on at any entry.
+	// handover means that the answer continues at any entry.
 	handover bool
 }
 
-// exchanger speaks to entries for one workspace's token.
+// exchanger sends HTTP requests to entries.
 type exchanger struct {
 	http *http.Client
 }
@@ -69,13 +69,13 @@
 }
 
 // submit sends a call to an entry.
-func (x *exchanger) submit(ctx context.Context, entry, token string, c *call, p *progress) ending {
+func (x *exchanger) submit(ctx context.Context, entry, token string, c *call, p *progress) attemptResult {
 	req, err := http.NewRequestWithContext(ctx, c.method, base(entry)+c.target, bytes.NewReader(c.body))
 	if err != nil {
-		return ending{reason: "bad-call", notSent: true}
+		return attemptResult{reason: "bad-call", notSent: true}
 	}
-	// Without GetBody net/http does not repeat the request by itself, which
-	// the record would not show.
+	// Without GetBody, net/http does not retry the request by itself; the record
+	// would not show such a retry.
 	req.GetBody = nil
 	h := req.Header
 	if len(c.body) > 0 {
@@ -89,12 +89,12 @@
 	return x.do(req, token, c, p)
 }
 
-// attach asks an entry for the rest of a stream.
-func (x *exchanger) attach(ctx context.Context, entry, token string, c *call, p *progress) ending {
+// attach requests the rest of a stream from an entry.
+func (x *exchanger) attach(ctx context.Context, entry, token string, c *call, p *progress) attemptResult {
 	target := base(entry) + "/v1/requests/" + url.PathEscape(p.requestID) + "?after=" + strconv.FormatUint(p.lastID, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
 	if err != nil {
-		return ending{reason: "bad-call", notSent: true}
+		return attemptResult{reason: "bad-call", notSent: true}
 	}
 	return x.do(req, token, c, p)
 }
@@ -112,22 +112,22 @@
 	}
 }
 
-func (x *exchanger) do(req *http.Request, token string, c *call, p *progress) ending {
+func (x *exchanger) do(req *http.Request, token string, c *call, p *progress) attemptResult {
 	req.Header.Set("Authorization", "Bearer "+token)
 	resp, err := x.http.Do(req)
 	if err != nil {
 		var op *net.OpError
-		return ending{reason: "connection", notSent: errors.As(err, &op) && op.Op == "dial"}
+		return attemptResult{reason: "connection", notSent: errors.As(err, &op) && op.Op == "dial"}
 	}
 	defer func() { _ = resp.Body.Close() }()
-	e := ending{requestID: resp.Header.Get(requestIDHeader)}
+	e := attemptResult{requestID: resp.Header.Get(requestIDHeader)}
 	switch {
 	case strings.HasPrefix(resp.Header.Get("Content-Type"), eventStream):
-		return e.stream(resp.Body, p)
+		return e.readStream(resp.Body, p)
 	case c.line.Model != "":
-		return e.document(resp, p)
+		return e.readDocument(resp, p)
 	}
-	return e.plain(resp, p)
+	return e.readBody(resp, p)
 }
 
 type errorBody struct {
@@ -138,8 +138,9 @@
 	} `json:"error"`
 }
 
-// refused takes an entry's error from body; it reports false if it is none.
-func (e *ending) refused(body []byte) bool {
+// takeError sets the result from an entry's error in body, and reports whether
+// body is such an error.
+func (e *attemptResult) takeError(body []byte) bool {
 	var b errorBody
 	if json.Unmarshal(body, &b) != nil {
 		return false
@@ -157,15 +158,15 @@
 	return false
 }
 
-func (e *ending) setRetryAfter(h http.Header) {
+func (e *attemptResult) setRetryAfter(h http.Header) {
 	seconds, err := strconv.ParseFloat(h.Get("Retry-After"), 64)
 	if err == nil {
 		e.retryAfter = time.Duration(seconds * float64(time.Second))
 	}
 }
 
-// plain takes a service's answer as it stands.
-func (e ending) plain(resp *http.Response, p *progress) ending {
+// readBody reads a service's answer unchanged.
+func (e attemptResult) readBody(resp *http.Response, p *progress) attemptResult {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		e.reason = "connection"
@@ -173,8 +174,8 @@
 	}
 	e.setRetryAfter(resp.Header)
 	if resp.StatusCode >= http.StatusBadRequest {
-		if !e.refused(body) {
-			// The service itself refused: its answer, but not the one wanted.
+		if !e.takeError(body) {
+			// The error is the service's own, not an entry's.
 			e.outcome, e.reason = outcome.Failed, "target-status-"+strconv.Itoa(resp.StatusCode)
 		}
 		return e
@@ -207,15 +208,15 @@
 	return b.String()
 }
 
-// document takes a model's answer that is one JSON document.
-func (e ending) document(resp *http.Response, p *progress) ending {
+// readDocument reads a model's answer that is one JSON document.
+func (e attemptResult) readDocument(resp *http.Response, p *progress) attemptResult {
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		e.reason = "connection"
 		return e
 	}
 	e.setRetryAfter(resp.Header)
-	if e.refused(body) {
+	if e.takeError(body) {
 		return e
 	}
 	if resp.StatusCode != http.StatusOK {
@@ -233,9 +234,9 @@
 	return e
 }
 
-// stream reads events up to an explicit end. Without one the outcome stays
-// None: the answer was cut.
-func (e ending) stream(body io.Reader, p *progress) ending {
+// readStream reads events up to an explicit end. Without one, the outcome stays
+// None because the answer was cut off.
+func (e attemptResult) readStream(body io.Reader, p *progress) attemptResult {
 	if e.requestID != "" {
 		p.requestID = e.requestID
 	}
@@ -251,13 +252,13 @@
 		}
 		switch {
 		case ev.name == "error":
-			if !e.refused(ev.data) {
+			if !e.takeError(ev.data) {
 				e.outcome, e.reason = outcome.Failed, "unreadable-error"
 			}
 			return e
 		case ev.name == "handover":
 			return e.handOver(ev.data, p)
-		case string(ev.data) == doneMark:
+		case string(ev.data) == doneData:
 			e.outcome = outcome.Complete
 			return e
 		}
@@ -270,7 +271,7 @@
 	}
 }
 
-func (e ending) handOver(data []byte, p *progress) ending {
+func (e attemptResult) handOver(data []byte, p *progress) attemptResult {
 	var body struct {
 		RequestID string `json:"request-id"`
 	}
--- a/standin/client/names.go
+++ b/standin/client/names.go
@@ -10,14 +10,14 @@
 	"github.com/urfave/cli/v3"
 )
 
-// WorkloadCommand returns the command line that checks a closing and prints the
-// names it uses, so that a deployment can be configured for it.
+// WorkloadCommand returns the command that validates a workload file and prints
+// the names that it uses, so that a deployment can be configured for it.
 func WorkloadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "closing",
-		Usage: "check a closing's file and print its workspaces, models and services, one a line",
+		Usage: "validate a workload file and print its workspaces, models and services, one per line",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "input", Required: true, Usage: "closing, a file of JSON lines"},
+			&cli.StringFlag{Name: "input", Required: true, Usage: "workload, a file of JSON lines"},
 		},
 		Action: func(_ context.Context, cmd *cli.Command) error {
 			lines, err := readFile(cmd.String("input"))
@@ -29,8 +29,8 @@
 	}
 }
 
-// printNames prints each name once, after the word workspace, model or
-// service, in order.
+// printNames prints each name once, in sorted order, prefixed by the word
+// workspace, model or service.
 func printNames(w io.Writer, lines []Line) error {
 	var names []string
 	for i := range lines {
--- a/standin/client/player.go
+++ b/standin/client/player.go
@@ -14,48 +14,48 @@
 )
 
 const (
-	// defaultWait is the mean time before another attempt when the entry
-	// names none.
-	defaultWait = 50 * time.Millisecond
-	maxWait     = 5 * time.Second
+	// defaultRetryDelay is the mean delay before another attempt if the entry
+	// sends no Retry-After.
+	defaultRetryDelay = 50 * time.Millisecond
+	maxRetryDelay     = 5 * time.Second
 )
 
-// Player plays a closing against entries.
+// Player replays a workload against entries.
 type Player struct {
 	Entries []string
-	// Tokens holds each workspace's token.
+	// Tokens maps each workspace to its token.
 	Tokens map[string]string
 	// Attempts bounds the attempts of one request.
 	Attempts int
-	// Timeout bounds the time of one request with all its attempts.
+	// Timeout bounds the time of one request including all its attempts.
 	Timeout time.Duration
-	// Rate is how many requests begin in a second; 0 means as fast as
+	// Rate is the number of requests started per second; 0 means as many as
 	// Concurrency allows.
 	Rate        float64
 	Concurrency int
 
-	x    *exchanger
-	next atomic.Uint64
-	mu   sync.Mutex
-	// used holds the entry at which a key was first sent, so that a request
-	// that repeats the key begins at another.
-	used map[string]int
+	exchange *exchanger
+	next     atomic.Uint64
+	mu       sync.Mutex
+	// firstEntry maps a key to the index of the entry that it was first sent to,
+	// so that a request that repeats the key starts at another entry.
+	firstEntry map[string]int
 }
 
-// Play sends every line and returns one record a line, in their order.
+// Play sends every line and returns one record per line, in the same order.
 func (p *Player) Play(ctx context.Context, lines []Line) []judge.Record {
-	p.x = newExchanger(p.Concurrency)
-	p.used = make(map[string]int)
+	p.exchange = newExchanger(p.Concurrency)
+	p.firstEntry = make(map[string]int)
 	records := make([]judge.Record, len(lines))
-	pace := rate.NewLimiter(rate.Inf, 1)
+	limiter := rate.NewLimiter(rate.Inf, 1)
 	if p.Rate > 0 {
-		pace = rate.NewLimiter(rate.Limit(p.Rate), 1)
+		limiter = rate.NewLimiter(rate.Limit(p.Rate), 1)
 	}
 	slots := make(chan struct{}, p.Concurrency)
 	var all sync.WaitGroup
 	for i := range lines {
 		slots <- struct{}{}
-		if pace.Wait(ctx) != nil {
+		if limiter.Wait(ctx) != nil {
 			<-slots
 			records[i] = newRecord(&lines[i])
 			continue
@@ -76,7 +76,7 @@
 	}
 }
 
-// request brings one line to its final answer.
+// request sends one line, with retries, until it has a final answer.
 func (p *Player) request(ctx context.Context, l *Line) judge.Record {
 	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
@@ -87,10 +87,10 @@
 	for n := range p.Attempts {
 		e := p.attempt(ctx, &r, c, &got, p.Entries[(first+n)%len(p.Entries)])
 		r.Outcome = e.outcome
-		if !e.again(c, &got) || n+1 == p.Attempts {
+		if !e.retryable(c, &got) || n+1 == p.Attempts {
 			break
 		}
-		if !e.handover && !sleep(ctx, e.wait()) {
+		if !e.handover && !sleep(ctx, e.retryDelay()) {
 			break
 		}
 	}
@@ -105,24 +105,24 @@
 	return r
 }
 
-func (p *Player) attempt(ctx context.Context, r *judge.Record, c *call, got *progress, entry string) ending {
+func (p *Player) attempt(ctx context.Context, r *judge.Record, c *call, got *progress, entry string) attemptResult {
 	a := judge.Attempt{Entry: entry, Began: time.Now()}
 	token := p.Tokens[c.line.Workspace]
-	var e ending
+	var e attemptResult
 	if c.stream && got.requestID != "" {
-		e = p.x.attach(ctx, entry, token, c, got)
+		e = p.exchange.attach(ctx, entry, token, c, got)
 	} else {
-		e = p.x.submit(ctx, entry, token, c, got)
+		e = p.exchange.submit(ctx, entry, token, c, got)
 	}
 	a.Ended, a.RequestID, a.Outcome, a.Reason = time.Now(), e.requestID, e.outcome, e.reason
 	r.Attempts = append(r.Attempts, a)
 	return e
 }
 
-// again reports whether another attempt is safe. After a lost connection it
-// is, if nothing was sent, if the stream can be re-attached to, or if the
-// request may be repeated or has a key.
-func (e ending) again(c *call, got *progress) bool {
+// retryable reports whether another attempt is safe. After a lost connection it
+// is safe if nothing was sent, if the client can re-attach to the stream, or if
+// the request may be repeated or has a key.
+func (e attemptResult) retryable(c *call, got *progress) bool {
 	switch e.outcome {
 	case outcome.NotRun:
 		return true
@@ -133,15 +133,15 @@
 	return false
 }
 
-func (e ending) wait() time.Duration {
+func (e attemptResult) retryDelay() time.Duration {
 	if e.retryAfter > 0 {
-		return min(e.retryAfter, maxWait)
+		return min(e.retryAfter, maxRetryDelay)
 	}
-	return time.Duration(float64(defaultWait) * (0.5 + rand.Float64()))
+	return time.Duration(float64(defaultRetryDelay) * (0.5 + rand.Float64()))
 }
 
-// entry picks where a request begins: round robin, but a key that was sent
-// before goes to another entry.
+// entry returns the index of the entry for the first attempt: round robin,
+// except that a key that was sent before goes to another entry.
 func (p *Player) entry(l *Line) int {
 	pick := int(p.next.Add(1)-1) % len(p.Entries)
 	if l.IdempotencyKey == "" {
@@ -150,10 +150,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	key := l.Workspace + "\x00" + l.IdempotencyKey
-	if before, ok := p.used[key]; ok {
+	if before, ok := p.firstEntry[key]; ok {
 		return before + 1
 	}
-	p.used[key] = pick
+	p.firstEntry[key] = pick
 	return pick
 }
 
--- a/standin/client/record.go
+++ b/standin/client/record.go
@@ -14,11 +14,11 @@
 	"verbenashift/standin/judge"
 )
 
-// ClassTimes are the times of the complete requests of one class.
+// ClassTimes holds the latencies of the complete requests of one class.
 type ClassTimes struct {
 	Class    string `json:"class"`
 	Requests int    `json:"requests"`
-	// Attempts counts more than one a request where entries refused.
+	// Attempts exceeds Requests if entries refused requests or failed.
 	Attempts   int     `json:"attempts"`
 	FirstP50MS float64 `json:"first-p50-ms"`
 	FirstP95MS float64 `json:"first-p95-ms"`
@@ -38,7 +38,7 @@
 	first, total *hdrhistogram.Histogram
 }
 
-// Times sums up the records by class.
+// Times returns the latencies of the records by class, in order of class.
 func Times(records []judge.Record) []ClassTimes {
 	classes := make(map[string]*classHistogram)
 	var names []string
@@ -84,8 +84,8 @@
 	return t
 }
 
-// writeRecord writes the records as JSON lines. They hold no prompt, answer
-// or token.
+// writeRecord writes the records as JSON lines. They contain no prompts, answers
+// or tokens.
 func writeRecord(name string, records []judge.Record) error {
 	if name == "" {
 		return nil
