--- a/standin/deployment/build.go
+++ b/standin/deployment/build.go
@@ -10,18 +10,18 @@
 	"github.com/go-faster/errors"
 )
 
-// programs are the packages of the programs that a deployment runs.
+// programs lists the packages of the programs that a deployment runs.
 var programs = []string{"verbenashift/entry", "verbenashift/agent", "verbenashift/ctl", "verbenashift/standin", "verbenashift/gateway", "verbenashift/sidecar"}
 
-// built holds the programs of this process, which are built once.
+// built holds the directory of the programs, which are built once per process.
 var built struct {
 	sync.Mutex
 	dir string
 }
 
-// Build compiles the programs into a temporary directory, once in the life of
-// this process, and returns the directory. The working directory must be
-// inside the Go workspace. Call Clean when no deployment runs any more.
+// Build compiles the programs into a temporary directory, once per process, and
+// returns the directory. The working directory must be inside the Go workspace.
+// Call Clean when no deployment runs any more.
 func Build(ctx context.Context) (string, error) {
 	built.Lock()
 	defer built.Unlock()
@@ -41,7 +41,7 @@
 	return dir, nil
 }
 
-// Clean removes the programs that Build made.
+// Clean removes the programs that Build compiled.
 func Clean() error {
 	built.Lock()
 	defer built.Unlock()
--- a/standin/deployment/control.go
+++ b/standin/deployment/control.go
@@ -33,7 +33,7 @@
 	return p.signal(s)
 }
 
-// Kill9 ends a process by SIGKILL and returns when it has ended.
+// Kill9 kills a process with SIGKILL and waits until it has exited.
 func (d *Deployment) Kill9(name string) error {
 	p, err := d.process(name)
 	if err != nil {
@@ -42,17 +42,17 @@
 	return p.kill()
 }
 
-// Stop freezes a process by SIGSTOP.
+// Stop suspends a process with SIGSTOP.
 func (d *Deployment) Stop(name string) error { return d.signal(name, syscall.SIGSTOP) }
 
-// Cont lets a frozen process go on.
+// Cont resumes a suspended process with SIGCONT.
 func (d *Deployment) Cont(name string) error { return d.signal(name, syscall.SIGCONT) }
 
-// Term asks a process to end by SIGTERM; it does not wait.
+// Term sends SIGTERM to a process; it does not wait.
 func (d *Deployment) Term(name string) error { return d.signal(name, syscall.SIGTERM) }
 
-// Wait returns the exit status of a process that ends within bound; -1 stands
-// for an end by a signal.
+// Wait waits until a process exits, for at most bound, and returns its exit
+// status; -1 means that it was ended by a signal.
 func (d *Deployment) Wait(name string, bound time.Duration) (int, error) {
 	p, err := d.process(name)
 	if err != nil {
@@ -64,15 +64,15 @@
 	return p.exitCode(), nil
 }
 
-// Restart starts a process again that has ended, and returns when it answers.
+// Restart starts a process that has exited, and waits until it answers.
 func (d *Deployment) Restart(ctx context.Context, name string) error {
 	if err := d.Launch(name); err != nil {
 		return err
 	}
-	return d.answering(ctx, []string{name})
+	return d.waitReachable(ctx, []string{name})
 }
 
-// Launch starts a process again that has ended; it does not wait.
+// Launch starts a process that has exited; it does not wait.
 func (d *Deployment) Launch(name string) error {
 	p, err := d.process(name)
 	if err != nil {
@@ -81,12 +81,12 @@
 	select {
 	case <-p.ended():
 	default:
-		return errors.Errorf("%s still runs", name)
+		return errors.Errorf("%s is still running", name)
 	}
 	return p.start()
 }
 
-// PID returns the process id of a process, to read its use of resources.
+// PID returns the process ID of a process, for reading its resource usage.
 func (d *Deployment) PID(name string) (int, error) {
 	p, err := d.process(name)
 	if err != nil {
@@ -95,8 +95,8 @@
 	return p.pid(), nil
 }
 
-// Fault sets the fault switches of the platform or of a target; body is what
-// POST /faults takes, as a value that encodes to JSON.
+// Fault sets the fault switches of the platform or of a target. body is a value
+// that encodes to the JSON body of POST /faults.
 func (d *Deployment) Fault(ctx context.Context, name string, body any) error {
 	return d.post(ctx, name, "/faults", body)
 }
@@ -121,8 +121,8 @@
 	return nil
 }
 
-// Address returns where a stand-in or an entry serves its callers, and where
-// an agent serves health and revisions.
+// Address returns the address at which a stand-in or an entry serves its
+// callers, or at which an agent serves health and revisions.
 func (d *Deployment) Address(process string) string {
 	kind, number, _ := strings.Cut(process, "-")
 	n, _ := strconv.Atoi(number)
@@ -130,7 +130,7 @@
 	case entryName:
 		return d.Shape.address(entryHost+n, portCallers)
 	case agentName:
-		return d.Shape.address(targetHost+n, portAgent)
+		return d.Shape.address(targetHost+n, portAgentObserve)
 	case targetName:
 		return d.Shape.address(targetHost+n, portTarget)
 	default:
@@ -138,11 +138,12 @@
 	}
 }
 
-// ObserveAddress returns where a node tells its health and revisions.
+// ObserveAddress returns the address at which a node serves its health and
+// revisions.
 func (d *Deployment) ObserveAddress(process string) string {
 	if n, ok := strings.CutPrefix(process, entryName+"-"); ok {
 		i, _ := strconv.Atoi(n)
-		return d.Shape.address(entryHost+i, portEntry)
+		return d.Shape.address(entryHost+i, portEntryObserve)
 	}
 	return d.Address(process)
 }
@@ -155,7 +156,7 @@
 	return list
 }
 
-// Entries returns the callers' addresses of all entries.
+// Entries returns the addresses at which the entries serve callers.
 func (d *Deployment) Entries() []string {
 	var list []string
 	for _, n := range d.names(entryName, d.Shape.Entries) {
@@ -172,9 +173,9 @@
 	return &operator.Client{Server: "http://" + d.Shape.address(entryHost+entry, portAdmin), Token: AdminToken}
 }
 
-// answering waits until each process answers HTTP.
-func (d *Deployment) answering(ctx context.Context, names []string) error {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+// waitReachable waits until each process answers HTTP requests.
+func (d *Deployment) waitReachable(ctx context.Context, names []string) error {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for _, n := range names {
 		path := "/ledger"
@@ -210,7 +211,7 @@
 // WaitRevision waits until the nodes named, or all of them, have that revision
 // or a later one in force.
 func (d *Deployment) WaitRevision(ctx context.Context, revision uint64, nodes ...string) error {
-	ctx, cancel := context.WithTimeout(ctx, forceTime)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	if len(nodes) == 0 {
 		nodes = d.nodes()
@@ -239,15 +240,15 @@
 	return revisions(ctx, d.ObserveAddress(node))
 }
 
-// Until calls f again and again until it returns nil or ctx ends, and then
-// returns its last error.
+// Until calls f at intervals until it returns nil or ctx is done, and returns
+// the error of the last call.
 func Until(ctx context.Context, f func() error) error {
 	for {
 		err := f()
 		if err == nil {
 			return nil
 		}
-		timer := time.NewTimer(pollPause)
+		timer := time.NewTimer(pollInterval)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -257,8 +258,8 @@
 	}
 }
 
-// tails returns the ends of all logs as an error, for a start that failed.
-func (d *Deployment) tails() error {
+// logTails returns the ends of all logs as an error, to explain a failed start.
+func (d *Deployment) logTails() error {
 	const tail = 600
 	var b strings.Builder
 	for _, n := range d.order {
--- a/standin/deployment/deployment.go
+++ b/standin/deployment/deployment.go
@@ -17,20 +17,20 @@
 	targetName   = "target"
 	platformName = "platform"
 
-	// startTime bounds the start of one process, forceTime the way of a
-	// revision to all nodes.
-	startTime = 15 * time.Second
-	forceTime = 30 * time.Second
-	pollPause = 25 * time.Millisecond
+	// startTimeout bounds the start of one process, applyTimeout the time until
+	// a revision is in force on all nodes.
+	startTimeout = 15 * time.Second
+	applyTimeout = 30 * time.Second
+	pollInterval = 25 * time.Millisecond
 )
 
 func name(kind string, n int) string { return fmt.Sprintf("%s-%d", kind, n) }
 
-// Deployment is a set of running processes. Its methods are safe for use by
-// several goroutines.
+// Deployment is a set of running processes. Its methods are safe for concurrent
+// use.
 type Deployment struct {
 	Shape Shape
-	// Dir holds the logs, settings and ledgers.
+	// Dir is the directory of the logs, settings and ledgers.
 	Dir string
 
 	temporary bool
@@ -40,20 +40,20 @@
 	watch     *watcher
 }
 
-// Start builds what is needed, starts every process and, unless the shape is
-// Unconfigured, returns when the first configuration is in force on all nodes.
-// After an error nothing runs.
+// Start builds the programs if needed, starts every process and, unless the
+// shape is Unconfigured, waits until the first configuration is in force on all
+// nodes. After an error no process is left running.
 func Start(ctx context.Context, shape Shape) (*Deployment, error) {
 	d := &Deployment{Shape: shape.withDefaults(), processes: make(map[string]*process), links: make(map[string]*Link)}
 	if err := d.start(ctx); err != nil {
-		return nil, errors.Join(err, d.tails(), d.Close())
+		return nil, errors.Join(err, d.logTails(), d.Close())
 	}
 	return d, nil
 }
 
 func (d *Deployment) start(ctx context.Context) error {
 	if d.Shape.Block == "" {
-		return errors.New("a block of addresses is wanted")
+		return errors.New("shape has no block of addresses")
 	}
 	var err error
 	if d.Shape.Programs == "" {
@@ -83,17 +83,17 @@
 	return d.WaitRevision(ctx, 1)
 }
 
-// openLinks opens the links of the shape, before anyone connects.
+// openLinks opens the links of the shape, before any process connects.
 func (d *Deployment) openLinks() error {
 	for n := 1; n <= d.Shape.targets(); n++ {
 		host := targetHost + n
 		if d.Shape.LinkAgents {
-			if err := d.openLink(name(agentName, n), d.Shape.address(host, portLink), d.Shape.address(host, portPeers)); err != nil {
+			if err := d.openLink(name(agentName, n), d.Shape.address(host, portAgentLink), d.Shape.address(host, portPeers)); err != nil {
 				return err
 			}
 		}
 		if d.Shape.LinkTargets {
-			if err := d.openLink(name(targetName, n), d.Shape.address(host, portWay), d.Shape.address(host, portTarget)); err != nil {
+			if err := d.openLink(name(targetName, n), d.Shape.address(host, portTargetLink), d.Shape.address(host, portTarget)); err != nil {
 				return err
 			}
 		}
@@ -110,8 +110,8 @@
 	return nil
 }
 
-// Link returns the link before the agent or target of that name, nil if the
-// shape has none.
+// Link returns the link in front of the agent or target of that name, nil if
+// the shape has none.
 func (d *Deployment) Link(name string) *Link { return d.links[name] }
 
 func (d *Deployment) startAll(ctx context.Context) error {
@@ -125,7 +125,7 @@
 			return err
 		}
 	}
-	if err := d.answering(ctx, append([]string{platformName}, d.names(targetName, s.targets())...)); err != nil {
+	if err := d.waitReachable(ctx, append([]string{platformName}, d.names(targetName, s.targets())...)); err != nil {
 		return err
 	}
 	for n := 1; n <= s.targets(); n++ {
@@ -138,7 +138,7 @@
 			return err
 		}
 	}
-	return d.answering(ctx, d.nodes())
+	return d.waitReachable(ctx, d.nodes())
 }
 
 // standin returns the command line of target n.
@@ -192,7 +192,7 @@
 	return append(d.names(agentName, d.Shape.targets()), d.names(entryName, d.Shape.Entries)...)
 }
 
-// Close ends every process at once, and the links. It removes a temporary
+// Close kills every process and closes the links. It removes a temporary
 // directory unless KeepDir was called.
 func (d *Deployment) Close() error {
 	if d.watch != nil {
@@ -207,7 +207,7 @@
 	var errs []error
 	for _, n := range d.order {
 		if p := d.processes[n]; p.cmd != nil {
-			errs = append(errs, p.wait(startTime))
+			errs = append(errs, p.wait(startTimeout))
 		}
 	}
 	for _, l := range d.links {
@@ -219,5 +219,5 @@
 	return errors.Join(errs...)
 }
 
-// KeepDir has Close leave the directory with logs and ledgers.
+// KeepDir makes Close retain the directory with logs and ledgers.
 func (d *Deployment) KeepDir() { d.temporary = false }
--- a/standin/deployment/doc.go
+++ b/standin/deployment/doc.go
@@ -1,15 +1,15 @@
-// Package deployment starts a whole small deployment as separate processes on
-// loopback and breaks it on purpose.
+// Package deployment starts a complete small deployment as separate processes
+// on loopback addresses and injects faults into it.
 //
-// It builds the programs once, starts the platform's and the targets'
-// stand-ins, an agent by each target and the entries, puts a configuration in
-// force and hands out what a test or a measurement needs: signals to each
-// process by its name, the stand-ins' fault switches, links that can be cut, a
-// calling client and the verdict of the stand-ins' ledgers.
+// It builds the programs once, starts the stand-ins of the platform and of the
+// targets, one agent per target and the entries, and puts a configuration in
+// force. It provides what a test or a measurement needs: signals to each process
+// by name, the fault switches of the stand-ins, links that can be cut, a load
+// generator and the verdict from the stand-ins' ledgers.
 //
 // The processes are named "platform", "target-1", "agent-1", "entry-1" and so
-// on. The models' targets come first, the services' after them; agent N stands
-// beside target N.
+// on. The targets of models come first, those of services after them; agent N
+// runs beside target N.
 //
 // # Usage
 //
--- a/standin/deployment/evidence.go
+++ b/standin/deployment/evidence.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	samplePause   = 100 * time.Millisecond
-	sampleTimeout = time.Second
+	sampleInterval = 100 * time.Millisecond
+	sampleTimeout  = time.Second
 
 	playAttempts    = 60
 	playTimeout     = 40 * time.Second
 	playConcurrency = 64
 )
 
-// Player returns a calling client of all entries with the tokens of all
-// workspaces; change its bounds before it plays.
+// Player returns a client of all entries with the tokens of all workspaces. Its
+// limits may be changed before it plays.
 func (d *Deployment) Player() *client.Player {
 	p := &client.Player{
 		Entries: d.Entries(), Tokens: make(map[string]string),
@@ -39,7 +39,7 @@
 	return p
 }
 
-// Play plays a closing and returns the client's record.
+// Play plays a workload and returns the client's record.
 func (d *Deployment) Play(ctx context.Context, lines []client.Line) []judge.Record {
 	for i := range lines {
 		lines[i].Number = i + 1
@@ -47,8 +47,8 @@
 	return d.Player().Play(ctx, lines)
 }
 
-// Ledgers reads the ledger files of all targets, which outlive their
-// processes.
+// Ledgers reads the ledger files of all targets. The files survive the
+// targets' processes.
 func (d *Deployment) Ledgers() ([]ledger.Report, error) {
 	var reports []ledger.Report
 	for n := 1; n <= d.Shape.targets(); n++ {
@@ -83,7 +83,7 @@
 	return runs, nil
 }
 
-// Ranks reads the ledgers of the group's ranks, which live in the engines'
+// Ranks fetches the ledgers of the group's ranks, which the engines hold in
 // memory.
 func (d *Deployment) Ranks(ctx context.Context) ([]judge.Rank, error) {
 	if !d.Shape.Group {
@@ -99,7 +99,7 @@
 }
 
 // Verdict judges records by the ledgers, by the steps of the group's ranks and
-// by the revisions that the nodes have told since the start.
+// by the revisions that the nodes have reported since the start.
 func (d *Deployment) Verdict(records []judge.Record) (*judge.Verdict, error) {
 	reports, err := d.Ledgers()
 	if err != nil {
@@ -112,11 +112,11 @@
 	return judge.Judge(judge.Evidence{Records: records, Ledgers: reports, Ranks: ranks, Nodes: d.Revisions()}), nil
 }
 
-// Revisions returns what each node has told of its revisions so far.
+// Revisions returns the revision histories that each node has reported so far.
 func (d *Deployment) Revisions() []judge.Node { return d.watch.nodes() }
 
-// watcher asks the nodes for their revisions again and again, so that one that
-// restarts cannot hide what it had in force before.
+// watcher polls the nodes for their revisions, so that a restarted node cannot
+// hide the revisions that it had in force before.
 type watcher struct {
 	stop context.CancelFunc
 	done sync.WaitGroup
@@ -135,7 +135,7 @@
 }
 
 func (w *watcher) poll(ctx context.Context, name, address string) {
-	tick := time.NewTicker(samplePause)
+	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
 	for {
 		if history, err := revisions(ctx, address); err == nil {
@@ -149,7 +149,7 @@
 	}
 }
 
-// add keeps a sample that tells something new.
+// add stores a sample if it differs from the previous one.
 func (w *watcher) add(name string, history []uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -175,7 +175,7 @@
 	w.done.Wait()
 }
 
-// revisions asks a node which revisions it has had in force.
+// revisions returns the revisions that a node reports to have had in force.
 func revisions(ctx context.Context, address string) ([]uint64, error) {
 	var answer struct {
 		History []uint64 `json:"history"`
@@ -190,18 +190,18 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+path, nil)
 	if err != nil {
-		return errors.Wrapf(err, "ask %s", address)
+		return errors.Wrapf(err, "query %s", address)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return errors.Wrapf(err, "ask %s", address)
+		return errors.Wrapf(err, "query %s", address)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
-		return errors.Errorf("ask %s%s: status %d", address, path, resp.StatusCode)
+		return errors.Errorf("query %s%s: status %d", address, path, resp.StatusCode)
 	}
 	if err := json.NewDecoder(resp.Body).Decode(v); err != nil {
-		return errors.Wrapf(err, "ask %s%s", address, path)
+		return errors.Wrapf(err, "query %s%s", address, path)
 	}
 	return nil
 }
--- a/standin/deployment/link.go
+++ b/standin/deployment/link.go
@@ -9,72 +9,73 @@
 	"github.com/go-faster/errors"
 )
 
-// Link is a TCP relay between two processes that can be cut and healed. It is
-// safe for use by several goroutines.
+// Link is a TCP relay between two processes that can simulate network
+// partitions. It is safe for concurrent use.
 type Link struct {
 	listener net.Listener
 	to       string
 
-	mu     sync.Mutex
-	conns  map[net.Conn]struct{}
-	cut    bool
-	silent bool
-	// changed is closed when a silent link is silent no more.
-	changed chan struct{}
-	closed  bool
+	mu         sync.Mutex
+	conns      map[net.Conn]struct{}
+	cut        bool
+	blackholed bool
+	// healed is closed when a blackholed link is healed.
+	healed chan struct{}
+	closed bool
 }
 
-// NewLink listens on the address from and passes connections on to the
-// address to.
+// NewLink listens on the address from and relays connections to the address
+// to.
 func NewLink(from, to string) (*Link, error) {
 	ln, err := net.Listen("tcp", from)
 	if err != nil {
 		return nil, errors.Wrap(err, "open link")
 	}
-	l := &Link{listener: ln, to: to, conns: make(map[net.Conn]struct{}), changed: make(chan struct{})}
+	l := &Link{listener: ln, to: to, conns: make(map[net.Conn]struct{}), healed: make(chan struct{})}
 	go l.accept()
 	return l, nil
 }
 
-// Cut ends every connection and refuses new ones.
+// Cut closes every connection and rejects new ones.
 func (l *Link) Cut() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.cut = true
-	l.drop()
+	l.closeConns()
 }
 
-// Blackhole holds all bytes back, in both ways, as a network does that drops
-// packets: nobody is told. New connections are taken and hear nothing.
+// Blackhole holds back all bytes in both directions, like a network that drops
+// packets: neither end gets an error. New connections are accepted and receive
+// nothing.
 func (l *Link) Blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent = true
+	l.blackholed = true
 }
 
-// Heal ends a cut or a silence. Bytes held back arrive now, and the end of a
-// connection that was given up meanwhile a moment after them.
+// Heal undoes Cut and Blackhole. Bytes that were held back are delivered now; if
+// an end closed its connection meanwhile, the other sees that closeDelay later.
 func (l *Link) Heal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.silent {
-		close(l.changed)
-		l.changed = make(chan struct{})
+	if l.blackholed {
+		close(l.healed)
+		l.healed = make(chan struct{})
 	}
-	l.cut, l.silent = false, false
+	l.cut, l.blackholed = false, false
 }
 
-// Close ends the link.
+// Close heals and closes the link and its connections.
 func (l *Link) Close() error {
 	l.Heal()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
-	l.drop()
+	l.closeConns()
 	return l.listener.Close()
 }
 
-func (l *Link) drop() {
+func (l *Link) closeConns() {
 	for c := range l.conns {
 		_ = c.Close()
 	}
@@ -86,39 +87,41 @@
 		if err != nil {
 			return
 		}
-		go l.join(c)
+		go l.relay(c)
 	}
 }
 
-// join connects c with the other side until one of them ends.
-func (l *Link) join(c net.Conn) {
+// relay copies between c and a new connection to the other side until one of
+// them is closed.
+func (l *Link) relay(c net.Conn) {
 	defer func() { _ = c.Close() }()
-	if !l.keep(c) {
+	if !l.track(c) {
 		return
 	}
-	defer l.forget(c)
+	defer l.untrack(c)
 	other, err := net.Dial("tcp", l.to)
 	if err != nil {
 		return
 	}
 	defer func() { _ = other.Close() }()
-	if !l.keep(other) {
+	if !l.track(other) {
 		return
 	}
-	defer l.forget(other)
+	defer l.untrack(other)
 	done := make(chan bool, 2)
-	go func() { done <- l.pass(other, c) }()
-	go func() { done <- l.pass(c, other) }()
-	if late := <-done; late {
-		time.Sleep(linger)
+	go func() { done <- l.copyBytes(other, c) }()
+	go func() { done <- l.copyBytes(c, other) }()
+	if delayed := <-done; delayed {
+		time.Sleep(closeDelay)
 	}
 }
 
-// linger is the time between bytes that were held back and the end of their
-// connection: packets that were delayed do not bring the end with them.
-const linger = 500 * time.Millisecond
+// closeDelay is the time between the delivery of bytes that were held back and
+// the close of their connection, because delayed packets do not arrive together
+// with the close.
+const closeDelay = 500 * time.Millisecond
 
-func (l *Link) keep(c net.Conn) bool {
+func (l *Link) track(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut || l.closed {
@@ -128,39 +131,40 @@
 	return true
 }
 
-func (l *Link) forget(c net.Conn) {
+func (l *Link) untrack(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
-// pass copies bytes while the link is not silent. It reports whether any were
-// held back.
-func (l *Link) pass(to io.Writer, from io.Reader) (late bool) {
+// copyBytes copies bytes in one direction and waits while the link is
+// blackholed. It reports whether any bytes were held back.
+func (l *Link) copyBytes(to io.Writer, from io.Reader) (delayed bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		if wait := l.held(); wait != nil {
-			late = true
+		if wait := l.blocked(); wait != nil {
+			delayed = true
 			<-wait
 		}
 		if n > 0 {
 			if _, err := to.Write(buf[:n]); err != nil {
-				return late
+				return delayed
 			}
 		}
 		if err != nil {
-			return late
+			return delayed
 		}
 	}
 }
 
-// held returns what ends the silence, nil if the link is not silent.
-func (l *Link) held() <-chan struct{} {
+// blocked returns a channel that is closed when the link is healed, nil if the
+// link is not blackholed.
+func (l *Link) blocked() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.silent {
-		return l.changed
+	if l.blackholed {
+		return l.healed
 	}
 	return nil
 }
--- a/standin/deployment/process.go
+++ b/standin/deployment/process.go
@@ -10,8 +10,8 @@
 	"github.com/go-faster/errors"
 )
 
-// process is one program of the deployment; it may be started again after it
-// has ended.
+// process is one program of the deployment; it can be restarted after it has
+// exited.
 type process struct {
 	name string
 	path string
@@ -46,13 +46,13 @@
 	return nil
 }
 
-// signal sends s to the program if it runs.
+// signal sends s to the program, or returns an error if it does not run.
 func (p *process) signal(s os.Signal) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
 	case <-p.done:
-		return errors.Errorf("%s does not run", p.name)
+		return errors.Errorf("%s is not running", p.name)
 	default:
 	}
 	if err := p.cmd.Process.Signal(s); err != nil {
@@ -61,31 +61,31 @@
 	return nil
 }
 
-// pid returns the process id of the last start.
+// pid returns the process ID of the last start.
 func (p *process) pid() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.cmd.Process.Pid
 }
 
-// ended is closed when the program has ended.
+// ended returns a channel that is closed when the program has exited.
 func (p *process) ended() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.done
 }
 
-// wait waits until the program has ended, for at most d.
+// wait waits until the program has exited, for at most d.
 func (p *process) wait(d time.Duration) error {
 	select {
 	case <-p.ended():
 		return nil
 	case <-time.After(d):
-		return errors.Errorf("%s still runs after %v", p.name, d)
+		return errors.Errorf("%s is still running after %v", p.name, d)
 	}
 }
 
-// exitCode returns the status with which the program ended, -1 after a signal.
+// exitCode returns the exit status of the program, -1 if a signal ended it.
 func (p *process) exitCode() int {
 	<-p.ended()
 	p.mu.Lock()
@@ -93,7 +93,7 @@
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// kill ends the program at once and waits for its end.
+// kill sends SIGKILL to the program and waits until it has exited.
 func (p *process) kill() error {
 	if err := p.signal(syscall.SIGKILL); err != nil {
 		return err
--- a/standin/deployment/scene.go
+++ b/standin/deployment/scene.go
@@ -12,8 +12,9 @@
 	"verbenashift/standin/ledger"
 )
 
-// Streams returns n requests for streams of so many tokens, spread over the
-// workspaces. The prefix sets their prompts apart from those of other calls.
+// Streams returns n requests for streams of the given number of tokens, spread
+// over the workspaces. The prefix makes their prompts differ from those of other
+// calls.
 func (d *Deployment) Streams(prefix string, n, tokens int) []client.Line {
 	lines := make([]client.Line, n)
 	for i := range lines {
@@ -25,7 +26,7 @@
 	return lines
 }
 
-// Drafts returns streams that may not be repeated, each with a key.
+// Drafts returns streams that may not be repeated, each with an idempotency key.
 func (d *Deployment) Drafts(prefix string, n, tokens int) []client.Line {
 	lines := d.Streams(prefix, n, tokens)
 	for i := range lines {
@@ -35,8 +36,8 @@
 	return lines
 }
 
-// Jobs returns n calls of the service that may not be repeated, each with a
-// key.
+// Jobs returns n calls of the service that may not be repeated, each with an
+// idempotency key.
 func (d *Deployment) Jobs(prefix string, n int) []client.Line {
 	lines := make([]client.Line, n)
 	for i := range lines {
@@ -52,14 +53,14 @@
 	return d.Shape.Workspaces[i%len(d.Shape.Workspaces)]
 }
 
-// Playback is a closing that is being played.
+// Playback is a workload that is being played in the background.
 type Playback struct {
 	done    chan struct{}
 	records []judge.Record
 }
 
-// Begin plays lines in the background, beginning at the entries in the order
-// given; none means all.
+// Begin plays lines in the background against the given entries, in that order;
+// none means all entries.
 func (d *Deployment) Begin(ctx context.Context, lines []client.Line, entries ...string) *Playback {
 	p := d.Player()
 	if len(entries) > 0 {
@@ -79,34 +80,34 @@
 	return g
 }
 
-// Wait returns the client's record when the closing has ended.
+// Wait waits until the workload has been played and returns the client's record.
 func (g *Playback) Wait() []judge.Record {
 	<-g.done
 	return g.records
 }
 
-// Running matches the runs at a target that have not ended; an empty target
-// matches all.
+// Running returns a function that matches the runs at a target that have not
+// ended; an empty target matches all targets.
 func Running(target string) func(ledger.Run) bool {
 	return func(r ledger.Run) bool { return r.Ended.IsZero() && (target == "" || r.Target == target) }
 }
 
 // WaitRuns waits until at least n runs match and returns them.
 func (d *Deployment) WaitRuns(ctx context.Context, n int, match func(ledger.Run) bool) ([]ledger.Run, error) {
-	ctx, cancel := context.WithTimeout(ctx, forceTime)
+	ctx, cancel := context.WithTimeout(ctx, applyTimeout)
 	defer cancel()
 	var runs []ledger.Run
 	err := Until(ctx, func() error {
 		var err error
 		if runs, err = d.Runs(match); err == nil && len(runs) < n {
-			err = errors.Errorf("%d runs match, %d are wanted", len(runs), n)
+			err = errors.Errorf("%d runs match, want at least %d", len(runs), n)
 		}
 		return err
 	})
 	return runs, err
 }
 
-// Instances changes the platform's list of instances.
+// Instances replaces the platform's list of instances.
 func (d *Deployment) Instances(ctx context.Context, list ...instances.Instance) error {
 	return d.post(ctx, platformName, "/instances", list)
 }
--- a/standin/deployment/shape.go
+++ b/standin/deployment/shape.go
@@ -12,44 +12,45 @@
 	"verbenashift/core/configuration/config"
 )
 
-// Settings are values of a settings file by "section.key".
+// Settings maps "section.key" to the values of a settings file.
 type Settings map[string]string
 
-// Shape says what a deployment consists of. Only Block is required.
+// Shape describes what a deployment consists of. Only Block is required.
 type Shape struct {
-	// Block holds the first three numbers of the IP addresses, such as
-	// "127.0.10". No two deployments may run in one block at once.
+	// Block is the first three numbers of the IP addresses, such as
+	// "127.0.10". Two deployments must not run in the same block at once.
 	Block string
-	// Entries, ModelTargets and ServiceTargets count processes; 0 entries
-	// means 1, no targets at all means 2 of models.
+	// Entries, ModelTargets and ServiceTargets are numbers of processes. 0
+	// entries means 1; no targets at all means 2 targets of models.
 	Entries, ModelTargets, ServiceTargets int
-	// Zones are the availability zones that processes take in turn; empty
+	// Zones are the availability zones, assigned to processes in turn; empty
 	// means bole, merkato and kazanchis.
 	Zones []string
 	// Model and Service are the names that the targets serve; empty means
 	// "caption" and "job-desk".
 	Model, Service string
 	// Workspaces are the callers' workspaces; empty means "harbor-home" and
-	// "birch-home". A workspace's token is its name with "-token" after it.
+	// "birch-home". The token of a workspace is its name followed by "-token".
 	Workspaces []string
-	// EntrySettings and AgentSettings override the settings files' values.
+	// EntrySettings and AgentSettings override values of the settings files.
 	EntrySettings, AgentSettings Settings
-	// EngineFlags, PlainFlags and PlatformFlags are added to the stand-ins'
-	// command lines.
+	// EngineFlags, PlainFlags and PlatformFlags are appended to the command
+	// lines of the stand-ins.
 	EngineFlags, PlainFlags, PlatformFlags []string
-	// Configure, if set, changes the first configuration before it is put.
+	// Configure, if set, modifies the first configuration before it is put.
 	Configure func(*config.Config)
-	// LinkAgents puts a Link before every agent, LinkTargets one between
+	// LinkAgents puts a Link in front of every agent, LinkTargets one between
 	// every agent and its target.
 	LinkAgents, LinkTargets bool
 	// Group makes the engines the ranks of one expert-parallel group.
 	Group bool
 	// Unconfigured leaves the store empty.
 	Unconfigured bool
-	// Programs is a directory with the built programs; empty means Build.
+	// Programs is the directory of the built programs; empty means to call
+	// Build.
 	Programs string
-	// Dir holds logs, settings and ledgers; empty means a temporary one that
-	// Close removes.
+	// Dir is the directory of logs, settings and ledgers; empty means a
+	// temporary one that Close removes.
 	Dir string
 }
 
@@ -75,22 +76,22 @@
 	return s
 }
 
-// The numbers of addresses within a block and the ports on them.
+// The host numbers within a block and the ports on them.
 const (
 	platformHost = 250
 	entryHost    = 0
 	targetHost   = 100
 
-	portPlatform = 9000
-	portCallers  = 8080
-	portAdmin    = 8081
-	portEntry    = 8082
-	portPeers    = 7000
-	portAgent    = 7001
-	portLink     = 7500
-	portTarget   = 9100
-	portRank     = 9101
-	portWay      = 9500
+	portPlatform     = 9000
+	portCallers      = 8080
+	portAdmin        = 8081
+	portEntryObserve = 8082
+	portPeers        = 7000
+	portAgentObserve = 7001
+	portAgentLink    = 7500
+	portTarget       = 9100
+	portRank         = 9101
+	portTargetLink   = 9500
 )
 
 // AdminToken is the token of the deployment's administrator.
@@ -104,10 +105,11 @@
 
 func (s Shape) targets() int { return s.ModelTargets + s.ServiceTargets }
 
-// peerAddress is where others reach agent n: its link if there is one.
+// peerAddress returns the address at which peers reach agent n: its link if
+// there is one.
 func (s Shape) peerAddress(n int) string {
 	if s.LinkAgents {
-		return s.address(targetHost+n, portLink)
+		return s.address(targetHost+n, portAgentLink)
 	}
 	return s.address(targetHost+n, portPeers)
 }
@@ -166,18 +168,19 @@
 	return c
 }
 
-// The sizes of the group and the bytes of one expert.
+// The dimensions of the group and the size of one expert in bytes.
 const (
 	groupLayers  = 2
 	groupExperts = 16
 	expertBytes  = "65536"
 )
 
-// rankSlots is how many experts of a layer a rank holds: twice its part.
+// rankSlots returns how many experts of a layer a rank holds: twice its even
+// share.
 func (s Shape) rankSlots() int { return (2*groupExperts + s.ModelTargets - 1) / s.ModelTargets }
 
-// rankFlags returns the flags that make engines the ranks of the group. The
-// loads of the experts drift fast, so that maps change every few seconds.
+// rankFlags returns the flags that make the engines ranks of the group. The
+// loads of the experts drift fast, so that the map changes every few seconds.
 func (s Shape) rankFlags() []string {
 	var peers []string
 	for n := 1; n <= s.ModelTargets; n++ {
@@ -195,7 +198,7 @@
 		"node.name": name(entryName, n), "node.zone": s.zone(n),
 		"listen.callers":   s.address(entryHost+n, portCallers),
 		"listen.operators": s.address(entryHost+n, portAdmin),
-		"listen.observe":   s.address(entryHost+n, portEntry),
+		"listen.observe":   s.address(entryHost+n, portEntryObserve),
 		"store.addresses":  s.address(platformHost, portPlatform), "instances.address": s.address(platformHost, portPlatform),
 		"peers.seeds": s.seeds(), "operators.bootstrap-token-hash": digest(AdminToken),
 		"drain.notice": "200ms", "drain.bound": "5s",
@@ -210,11 +213,11 @@
 		kind = "service"
 	}
 	if s.LinkTargets {
-		target = s.address(targetHost+n, portWay)
+		target = s.address(targetHost+n, portTargetLink)
 	}
 	v := Settings{
 		"node.name": name(targetName, n), "node.zone": s.zone(n),
-		"listen.peers": s.address(targetHost+n, portPeers), "listen.observe": s.address(targetHost+n, portAgent),
+		"listen.peers": s.address(targetHost+n, portPeers), "listen.observe": s.address(targetHost+n, portAgentObserve),
 		"target.address": target, "target.kind": kind,
 		"store.addresses": s.address(platformHost, portPlatform), "peers.seeds": s.seeds(), "drain.bound": "5s",
 	}
