--- a/standin/fleet/command.go
+++ b/standin/fleet/command.go
@@ -13,26 +13,28 @@
 	"github.com/urfave/cli/v3"
 )
 
-// errBroken says that a promise broke; the verdict tells which.
-var errBroken = errors.New("a promise broke")
+// errViolated means that a promise was broken or that too few requests completed; the
+// printed verdict has the counts.
+var errViolated = errors.New("a promise was broken or too few requests completed; see the verdict")
 
-// Command plays a fleet for gateways and sidecars that somebody else starts. It
-// writes their settings files, then the file "started", waits until all gateways
-// are ready, plays requests and prints the verdict.
+// Command returns the command that simulates the platform for gateways and sidecars
+// that are started by someone else. It writes their settings files, then the file
+// "started", waits until all gateways are ready, sends requests and prints the
+// verdict.
 func Command() *cli.Command {
 	var shape Shape
 	var requests int
 	return &cli.Command{
 		Name:  "fleet",
-		Usage: "play the platform for gateways and sidecars, and judge what callers got",
+		Usage: "simulate the platform for gateways and sidecars, and judge the answers that callers got",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "dir", Usage: "write the settings files to `DIR`", Required: true, Destination: &shape.Dir},
 			&cli.StringFlag{Name: "block", Usage: "first three numbers of the loopback addresses", Value: "127.0.60", Destination: &shape.Block},
-			&cli.IntFlag{Name: "ranks", Usage: "ranks of an expert group", Value: 4, Destination: &shape.Ranks},
-			&cli.IntFlag{Name: "groups", Usage: "expert groups", Value: 2, Destination: &shape.Groups},
+			&cli.IntFlag{Name: "ranks", Usage: "number of ranks of each expert group", Value: 4, Destination: &shape.Ranks},
+			&cli.IntFlag{Name: "groups", Usage: "number of expert groups", Value: 2, Destination: &shape.Groups},
 			&cli.IntFlag{Name: "gateways", Usage: "gateways", Value: 2, Destination: &shape.Gateways},
-			&cli.Float64Flag{Name: "late-orders", Usage: "share of orders that are carried out late", Destination: &shape.LateOrders},
-			&cli.IntFlag{Name: "requests", Usage: "requests to play", Value: 600, Destination: &requests},
+			&cli.Float64Flag{Name: "late-orders", Usage: "share of orders that are carried out late and not answered", Destination: &shape.LateOrders},
+			&cli.IntFlag{Name: "requests", Usage: "number of requests to send", Value: 600, Destination: &requests},
 		},
 		Action: func(ctx context.Context, _ *cli.Command) error { return run(ctx, shape, requests) },
 	}
@@ -58,12 +60,12 @@
 		return err
 	}
 	if !v.Passed() || v.Complete < v.Requests*9/10 {
-		return errBroken
+		return errViolated
 	}
 	return nil
 }
 
-// WaitReady waits until all gateways say that they are ready.
+// WaitReady waits until all gateways report that they are ready, for at most limit.
 func (f *Fleet) WaitReady(ctx context.Context, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -88,7 +90,7 @@
 	if err != nil {
 		return false
 	}
-	// Only the status counts.
+	// Only the status matters.
 	_ = resp.Body.Close()
 	return resp.StatusCode == http.StatusOK
 }
--- a/standin/fleet/doc.go
+++ b/standin/fleet/doc.go
@@ -1,11 +1,11 @@
-// Package fleet is a small stand-in of the platform that runs verbenashift as
-// gateways and sidecars: its metadata store, the model servers of one expert
-// group, a plain service, and callers. It is written from the platform's pages.
+// Package fleet is a small stand-in for the platform that runs verbenashift as
+// gateways and sidecars: its metadata store, the model servers of expert groups,
+// a plain service, and callers. It is based on the platform's specification.
 //
-// One process plays all servers on loopback addresses. It writes a settings file
-// for each gateway and sidecar, which run as processes of their own. A ledger
-// counts what the servers ran; the callers keep their own record, and Judge
-// compares the two.
+// One process simulates all servers on loopback addresses. It writes a settings
+// file for each gateway and sidecar, which run as separate processes. A ledger
+// counts the requests that the servers ran; the callers keep their own record,
+// and Judge compares the two.
 //
 // # Usage
 //
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -11,19 +11,18 @@
 	"time"
 )
 
-// Shape says what a fleet consists of.
+// Shape describes what a fleet consists of.
 type Shape struct {
-	// Dir is where the settings files go.
+	// Dir is the directory of the settings files.
 	Dir string
 	// Block is the first three numbers of the loopback addresses.
 	Block           string
 	Ranks, Gateways int
-	// Groups is how many expert groups serve side by side, each of so many ranks; 0
-	// means one.
+	// Groups is the number of expert groups, each with Ranks ranks; 0 means one.
 	Groups int
-	// OmitGroup says that servers do not tell the store which group is theirs.
+	// OmitGroup makes the servers omit their group from their entries in the store.
 	OmitGroup bool
-	// LateOrders is the share of orders that are carried out late.
+	// LateOrders is the share of orders that are carried out late and not answered.
 	LateOrders float64
 	// Links puts Fleet.Links between the processes and the store and servers.
 	Links bool
@@ -31,20 +30,21 @@
 
 // Boot is the settings file of one process.
 type Boot struct {
-	// Name is that of the instance, Role "gateway" or "sidecar".
+	// Name is the name of the instance, Role is "gateway" or "sidecar".
 	Name, Role, File string
 }
 
-// Fleet is a running stand-in of the platform.
+// Fleet is a running stand-in for the platform.
 type Fleet struct {
 	Shape
 	Store  *Store
 	Groups []*Group
 	Ledger *Ledger
 	Boots  []Boot
-	// Links is nil unless the shape asks for it.
+	// Links is nil unless the shape requests it.
 	Links *Links
-	// Fronts are the gateways' addresses, Ready those of their checks.
+	// Fronts are the addresses at which the gateways serve callers, Ready those of
+	// their readiness checks.
 	Fronts, Ready []string
 
 	refuse  atomic.Bool
@@ -56,7 +56,7 @@
 	closers []io.Closer
 }
 
-// The ports of all processes; each has an address of its own.
+// The ports of all processes; each process has an IP address of its own.
 const (
 	storePort = 9300
 	appPort   = 9301
@@ -64,8 +64,8 @@
 	readyPort = 9303
 	peerPort  = 9310
 	lastPort  = 9319
-	// behind is how far above its port a server listens that stands behind links.
-	behind = 100
+	// linkedPortOffset is added to the port of a server that is behind Links.
+	linkedPortOffset = 100
 )
 
 // graceSeconds is the time from SIGTERM to SIGKILL.
@@ -99,7 +99,7 @@
 		f.Fronts = append(f.Fronts, net.JoinHostPort(ip, strconv.Itoa(frontPort)))
 		f.Ready = append(f.Ready, net.JoinHostPort(ip, strconv.Itoa(readyPort)))
 		listen := map[string]string{"front": f.Fronts[i], "ready": f.Ready[i]}
-		if err := f.writeBoot(fmt.Sprintf("front-%d", i), "gateway", ip, listen, ""); err != nil {
+		if err := f.writeSettings(fmt.Sprintf("front-%d", i), "gateway", ip, listen, ""); err != nil {
 			return nil, err
 		}
 	}
@@ -113,7 +113,7 @@
 func (f *Fleet) Stop() {
 	close(f.done)
 	for _, c := range f.closers {
-		// A listener; nothing is lost with it.
+		// It is a listener; an error of Close has no consequence.
 		_ = c.Close()
 	}
 	for _, p := range f.servers {
@@ -121,57 +121,57 @@
 	}
 }
 
-// Refuse makes all model servers refuse requests, or serve them.
+// Refuse makes all model servers refuse requests, or serve them again.
 func (f *Fleet) Refuse(refuse bool) { f.refuse.Store(refuse) }
 
-// ShiftLoad changes which experts are liked, in all groups.
+// ShiftLoad changes which experts are popular, in all groups.
 func (f *Fleet) ShiftLoad() {
 	for _, g := range f.Groups {
 		g.ShiftLoad()
 	}
 }
 
-// Freeze makes the model server of a rank stand still, or go on. The group goes
-// on meanwhile.
+// Freeze makes the model server of a rank stop answering, or answer again. Its group
+// continues meanwhile.
 func (f *Fleet) Freeze(rank int, frozen bool) { f.models[rank].frozen.Store(frozen) }
 
-// Served returns how many requests a plain server has run.
+// Served returns the number of requests that a plain server has run.
 func (f *Fleet) Served(plain int) int { return int(f.plains[plain].served.Load()) }
 
-// Plains returns how many plain servers there are.
+// Plains returns the number of plain servers.
 func (f *Fleet) Plains() int { return len(f.plains) }
 
-// SetFault gives a plain server a fault, or makes it sound.
+// SetFault injects a fault into a plain server; NoFault clears it.
 func (f *Fleet) SetFault(plain int, fault Fault) { f.plains[plain].fault.Store(int32(fault)) }
 
-// CrashDowntime is how long a server is away that a request has crashed.
+// CrashDowntime is how long a server stays down after a request has crashed it.
 const CrashDowntime = 1500 * time.Millisecond
 
-// end ends the process of a rank, and starts it again after CrashAway.
-func (f *Fleet) end(rank int, p *process) {
+// crashRank stops the process of a rank, and starts it again after CrashDowntime.
+func (f *Fleet) crashRank(rank int, p *process) {
 	f.Crash(rank, CrashDowntime)
 	p.stop()
 	time.AfterFunc(CrashDowntime, func() { f.restart(p) })
 }
 
-// restart starts a process that has ended, unless the fleet has been stopped.
+// restart starts a stopped process, unless the fleet has been stopped.
 func (f *Fleet) restart(p *process) {
 	select {
 	case <-f.done:
 	default:
 		if err := p.start(); err != nil {
-			panic(err) // The address is the process's own.
+			panic(err) // No other process uses the address.
 		}
 	}
 }
 
-// Crash ends the server of a rank and starts it again under its ID after some time.
-// Its group stands for a moment, then all that runs there is cut off and what comes is
-// refused, until the rank is back and the group is formed anew.
-func (f *Fleet) Crash(rank int, away time.Duration) {
+// Crash stops the server of a rank and starts it again under the same ID after some
+// time. Its group stalls for stallTime; then it aborts all streams and refuses
+// requests until the rank is back and the group has formed anew.
+func (f *Fleet) Crash(rank int, downtime time.Duration) {
 	m := f.models[rank]
-	m.rank.group.lose(m.rank)
-	time.AfterFunc(away, func() {
+	m.rank.group.removeRank(m.rank)
+	time.AfterFunc(downtime, func() {
 		m.rank.group.rejoin(m.rank)
 		f.registerRank(m.rank)
 	})
@@ -186,7 +186,7 @@
 		if err != nil {
 			return nil, err
 		}
-		p.addr = net.JoinHostPort(ip, strconv.Itoa(port+behind))
+		p.addr = net.JoinHostPort(ip, strconv.Itoa(port+linkedPortOffset))
 		f.closers = append(f.closers, front)
 		go f.Links.serve(front, p.addr)
 	}
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// firstRank is the last number of the address of the first rank.
+// firstRank is the last number of the IP address of the first rank.
 const firstRank = 10
 
 func (f *Fleet) addRank(r *Rank) error {
@@ -219,18 +219,18 @@
 	if err != nil {
 		return err
 	}
-	m.crash = func() { f.end(n, p) }
+	m.crash = func() { f.crashRank(n, p) }
 	f.registerRank(r)
-	return f.writeBoot(fmt.Sprintf("side-%d", n), "sidecar", r.ip, map[string]string{}, net.JoinHostPort(r.ip, strconv.Itoa(appPort)))
+	return f.writeSettings(fmt.Sprintf("side-%d", n), "sidecar", r.ip, map[string]string{}, net.JoinHostPort(r.ip, strconv.Itoa(appPort)))
 }
 
-// registerRank writes the entry of a rank's server.
+// registerRank writes the store entry of a rank's server.
 func (f *Fleet) registerRank(r *Rank) {
 	entry := f.entry("pool", r.ip, slots)
 	r.group.mu.Lock()
-	entry["born"] = r.born
+	entry["born"] = r.startedAt
 	if !f.OmitGroup {
-		entry["group"], entry["size"] = r.seat(), len(r.group.ranks)
+		entry["group"], entry["size"] = r.membership(), len(r.group.ranks)
 	}
 	r.group.mu.Unlock()
 	f.put("servers/"+r.id, entry)
@@ -255,7 +255,7 @@
 	return nil
 }
 
-// entry is what every server tells the store.
+// entry returns the fields that every server writes to the store.
 func (f *Fleet) entry(service, ip string, slots int) map[string]any {
 	return map[string]any{
 		"backend": service, "addr": net.JoinHostPort(ip, strconv.Itoa(appPort)), "zone": "z1",
@@ -266,7 +266,7 @@
 func (f *Fleet) put(key string, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		panic(err) // The values are built here.
+		panic(err) // All values can be encoded.
 	}
 	f.Store.Put(key, data)
 }
--- a/standin/fleet/group.go
+++ b/standin/fleet/group.go
@@ -7,58 +7,61 @@
 	"time"
 )
 
-// The shape of the group's experts.
+// The dimensions of the group's expert map.
 const (
-	layers  = 2
-	experts = 16
-	places  = 6
-	spare   = 2
+	layers       = 2
+	experts      = 16
+	slotsPerRank = 6
+	spareSlots   = 2
 )
 
-// passTime is how long a balanced pass takes; it grows with the skew.
-const passTime = 8 * time.Millisecond
+// balancedPassTime is the duration of a forward pass with balanced load; the duration
+// is proportional to the skew.
+const balancedPassTime = 8 * time.Millisecond
 
-// Group is a set of ranks that run every pass together on an expert map.
+// Group is a set of ranks that run every forward pass together with one expert map.
 type Group struct {
 	mu   sync.Mutex
 	rng  *rand.Rand
 	name string
-	// lost are the ranks that are away, none while the group is open; cutAt is when the
-	// stall is over, after which everything is refused.
-	lost  map[*Rank]bool
-	cutAt time.Time
-	ranks []*Rank
-	step  int64
-	epoch int64
-	// popular is how often each expert is chosen, by layer. Shift changes it.
-	popular [layers][experts]float64
-	// mixed counts passes that began while ranks had different maps.
-	mixed int
-	// changes counts the maps that came into force.
-	changes int
-	skew    float64
-	// lateOrders is the share of orders that are not answered and carried out
-	// later.
+	// absent are the ranks that are down, none while the group is open. refuseFrom is
+	// the end of the stall, after which the group refuses everything.
+	absent     map[*Rank]bool
+	refuseFrom time.Time
+	ranks      []*Rank
+	step       int64
+	epoch      int64
+	// popularity is the relative frequency of each expert, by layer. ShiftLoad changes
+	// it.
+	popularity [layers][experts]float64
+	// mismatchedSteps counts the passes that began while ranks had different maps.
+	mismatchedSteps int
+	// mapChanges counts the maps that came into force.
+	mapChanges int
+	skew       float64
+	// lateOrders is the share of orders that are carried out late and not answered.
 	lateOrders float64
 }
 
-// stream is one answer that grows by an event each pass.
+// stream is one answer, to which each forward pass adds an event.
 type stream struct {
 	next, last int
 	events     chan int
-	gone       <-chan struct{}
-	// cut says that the server breaks the answer off.
-	cut bool
+	callerDone <-chan struct{}
+	// aborted means that the server aborts the answer.
+	aborted bool
 }
 
+// slots is how many streams a rank runs at once.
 const slots = 12
 
-// stall is how long a group stands that has lost a rank, before it refuses.
-const stall = 300 * time.Millisecond
+// stallTime is how long a group that has lost a rank stalls before it refuses
+// requests.
+const stallTime = 300 * time.Millisecond
 
-// NewGroup returns the group with a number, of so many ranks on their first map.
+// NewGroup returns the group with the given number, with n ranks on their first map.
 func NewGroup(number, n int) *Group {
-	g := &Group{epoch: 1, lost: map[*Rank]bool{}, name: fmt.Sprintf("g%d", number), rng: rand.New(rand.NewPCG(1, 2+uint64(number)))}
+	g := &Group{epoch: 1, absent: map[*Rank]bool{}, name: fmt.Sprintf("g%d", number), rng: rand.New(rand.NewPCG(1, 2+uint64(number)))}
 	for i := range n {
 		r := &Rank{group: g, index: i, id: fmt.Sprintf("i-%s-rank%d", g.name, i)}
 		g.ranks = append(g.ranks, r)
@@ -70,68 +73,69 @@
 	return g
 }
 
-// lose takes a rank away.
-func (g *Group) lose(r *Rank) {
+// removeRank marks a rank as down.
+func (g *Group) removeRank(r *Rank) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.lost) == 0 {
-		g.cutAt = time.Now().Add(stall)
+	if len(g.absent) == 0 {
+		g.refuseFrom = time.Now().Add(stallTime)
 	}
-	g.lost[r] = true
+	g.absent[r] = true
 }
 
-// rejoin takes a rank back that has started again, and opens the group anew if it was the
-// last one that was away: all ranks go on with their first map.
-func (g *Group) rejoin(back *Rank) {
+// rejoin adds a rank back that has been restarted. If it was the last one that was
+// down, the group forms anew in a new epoch, and all ranks start again with their
+// first map.
+func (g *Group) rejoin(rank *Rank) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cutOff()
-	back.start()
-	delete(g.lost, back)
-	if len(g.lost) > 0 {
+	g.abortStreams()
+	rank.start()
+	delete(g.absent, rank)
+	if len(g.absent) > 0 {
 		return
 	}
 	g.epoch++
 	for _, r := range g.ranks {
-		born := r.born
+		startedAt := r.startedAt
 		r.start()
-		r.born = born
+		r.startedAt = startedAt
 	}
 }
 
-// cutOff breaks off all that runs or waits.
-func (g *Group) cutOff() {
+// abortStreams aborts all running and waiting streams.
+func (g *Group) abortStreams() {
 	for _, r := range g.ranks {
 		for _, s := range append(r.running, r.waiting...) {
-			s.cut = true
+			s.aborted = true
 			close(s.events)
 		}
 		r.running, r.waiting = nil, nil
 	}
 }
 
-// refuses reports whether the group takes nothing because it has lost a rank.
+// refuses reports whether the group refuses requests because a rank is down.
 func (g *Group) refuses() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.lost) > 0 && !time.Now().Before(g.cutAt)
+	return len(g.absent) > 0 && !time.Now().Before(g.refuseFrom)
 }
 
-// ShiftLoad changes which experts are liked.
+// ShiftLoad changes which experts are popular.
 func (g *Group) ShiftLoad() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for l := range g.popular {
-		for e := range g.popular[l] {
-			g.popular[l][e] = 1
+	for l := range g.popularity {
+		for e := range g.popularity[l] {
+			g.popularity[l][e] = 1
 		}
 		for range 3 {
-			g.popular[l][g.rng.IntN(experts)] = 14
+			g.popularity[l][g.rng.IntN(experts)] = 14
 		}
 	}
 }
 
-// Run makes passes until done is closed.
+// Run runs forward passes until done is closed.
 func (g *Group) Run(done <-chan struct{}) {
 	for {
 		select {
@@ -142,20 +146,21 @@
 	}
 }
 
-// pass runs one pass, if nothing holds it, and returns how long it takes.
+// pass runs one forward pass, unless something blocks it, and returns the time until
+// the next call.
 func (g *Group) pass() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.lost) > 0 {
-		if !time.Now().Before(g.cutAt) {
-			g.cutOff()
+	if len(g.absent) > 0 {
+		if !time.Now().Before(g.refuseFrom) {
+			g.abortStreams()
 		}
 		return 2 * time.Millisecond
 	}
 	busy := false
 	for _, r := range g.ranks {
-		r.settle(time.Now())
-		if r.held == g.step+1 {
+		r.finishCopy(time.Now())
+		if r.heldStep == g.step+1 {
 			return time.Millisecond
 		}
 		busy = busy || len(r.running)+len(r.waiting) > 0
@@ -168,27 +173,28 @@
 		if r.armed != 0 && r.armedStep == g.step {
 			r.version, r.armed, r.armedStep = r.armed, 0, 0
 			if r.index == 0 {
-				g.changes++
+				g.mapChanges++
 			}
 		}
 	}
 	for _, r := range g.ranks {
 		if r.version != g.ranks[0].version {
-			g.mixed++
+			g.mismatchedSteps++
 			break
 		}
 	}
 	for _, r := range g.ranks {
-		r.work()
+		r.runStep()
 	}
-	g.skew = g.measure()
-	return time.Duration(float64(passTime) * g.skew)
+	g.skew = g.computeSkew()
+	return time.Duration(float64(balancedPassTime) * g.skew)
 }
 
-// measure returns the most loaded rank over the mean, over the layers.
-func (g *Group) measure() float64 {
+// computeSkew returns the load of the most loaded rank over the mean, averaged over
+// the layers.
+func (g *Group) computeSkew() float64 {
 	total := 0.0
-	for l := range g.popular {
+	for l := range g.popularity {
 		copies := [experts]float64{}
 		for _, r := range g.ranks {
 			for _, e := range r.maps[r.version][l] {
@@ -199,7 +205,7 @@
 		for _, r := range g.ranks {
 			load := 0.0
 			for _, e := range r.maps[r.version][l] {
-				load += g.popular[l][e] / copies[e]
+				load += g.popularity[l][e] / copies[e]
 			}
 			sum += load
 			most = max(most, load)
--- a/standin/fleet/lease.go
+++ b/standin/fleet/lease.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// minTTL and maxTTL bound the time that a lease may ask for.
+// minTTL and maxTTL bound the TTL that a lease may request.
 const (
 	minTTL = time.Second
 	maxTTL = 10 * time.Minute
 )
 
-// lease holds keys that are removed when it ends.
+// lease holds keys that are removed when it expires or is revoked.
 type lease struct {
-	ttl  time.Duration
-	keys map[string]bool
-	ends *time.Timer
+	ttl    time.Duration
+	keys   map[string]bool
+	expiry *time.Timer
 }
 
-// leases are those of a Store, whose lock guards them.
+// leases holds the leases of a Store, whose mutex guards them.
 type leases struct {
 	last int64
 	live map[int64]*lease
@@ -32,7 +32,7 @@
 	TTLMs int64 `json:"ttlMs"`
 }
 
-// grantLease begins a lease.
+// grantLease creates a lease.
 func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var body leaseBody
 	if err := json.NewDecoder(r.Body).Decode(&body); err != nil {
@@ -45,7 +45,7 @@
 	s.leases.last++
 	id := s.leases.last
 	l := &lease{ttl: ttl, keys: map[string]bool{}}
-	l.ends = time.AfterFunc(ttl, func() {
+	l.expiry = time.AfterFunc(ttl, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.endLease(id)
@@ -54,7 +54,7 @@
 	answer(w, leaseBody{Lease: id, TTLMs: ttl.Milliseconds()})
 }
 
-// leaseOf returns the lease that a path names, or nil. It is called with the lock held.
+// leaseOf returns the lease that a path names, or nil. The caller must hold s.mu.
 func (s *Store) leaseOf(path, prefix string) (int64, *lease) {
 	id, err := strconv.ParseInt(strings.TrimPrefix(path, prefix), 10, 64)
 	if err != nil {
@@ -63,34 +63,34 @@
 	return id, s.leases.live[id]
 }
 
-// keepLease renews a lease.
-func (s *Store) keepLease(w http.ResponseWriter, r *http.Request) {
+// renewLease renews a lease.
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, l := s.leaseOf(r.URL.Path, keepPath)
+	_, l := s.leaseOf(r.URL.Path, leaseKeepAlivePath)
 	if l == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.ends.Reset(l.ttl)
+	l.expiry.Reset(l.ttl)
 	answer(w, leaseBody{TTLMs: l.ttl.Milliseconds()})
 }
 
-// dropLease ends a lease at its holder's wish.
-func (s *Store) dropLease(w http.ResponseWriter, r *http.Request) {
+// revokeLease ends a lease at the request of its holder.
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id, l := s.leaseOf(r.URL.Path, endPath)
+	id, l := s.leaseOf(r.URL.Path, leaseEndPath)
 	if l == nil {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	l.ends.Stop()
+	l.expiry.Stop()
 	s.endLease(id)
 	answer(w, struct{}{})
 }
 
-// endLease removes a lease and its keys. It is called with the lock held.
+// endLease removes a lease and its keys. The caller must hold s.mu.
 func (s *Store) endLease(id int64) {
 	l := s.leases.live[id]
 	if l == nil {
@@ -100,11 +100,12 @@
 	for key := range l.keys {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatchers()
 }
 
-// tie binds a key to a lease and frees it from the others. It is called with the lock held.
-func (s *Store) tie(key string, id int64) {
+// bindKey attaches a key to a lease and detaches it from all others. The caller must
+// hold s.mu.
+func (s *Store) bindKey(key string, id int64) {
 	for _, l := range s.leases.live {
 		delete(l.keys, key)
 	}
@@ -113,8 +114,8 @@
 	}
 }
 
-// The paths of calls on one lease, without its number.
+// The paths of calls on one lease, without the lease ID.
 const (
-	keepPath = "/kv-keep/"
-	endPath  = "/kv-lease-end/"
+	leaseKeepAlivePath = "/kv-keep/"
+	leaseEndPath       = "/kv-lease-end/"
 )
--- a/standin/fleet/leaving.go
+++ b/standin/fleet/leaving.go
@@ -6,18 +6,21 @@
 	"time"
 )
 
-// leaving is a server that says in its answers that it leaves, and goes on serving. The store
-// is not told. The zero value stays.
+// leaving makes a server announce in its answers that it is leaving, while it
+// continues to serve. Its entry in the store stays unchanged. The zero value announces
+// nothing.
 type leaving struct {
 	mu sync.Mutex
 	on bool
-	// told is when each gateway was told first, arrivals what came from it since then.
-	told     map[string]time.Time
-	arrivals map[string][]time.Time
+	// announced is when each gateway first got the announcement, arrivals the later
+	// requests of that gateway.
+	announced map[string]time.Time
+	arrivals  map[string][]time.Time
 }
 
-// arrive counts a request of a gateway, and says in its answer that the server leaves.
-func (l *leaving) arrive(front string, h http.Header) {
+// record counts a request of a gateway, and adds the announcement to its answer if the
+// server is leaving.
+func (l *leaving) record(front string, h http.Header) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.on {
@@ -25,32 +28,32 @@
 	}
 	h.Set("Server-Leaving", "1")
 	now := time.Now()
-	if l.told[front].IsZero() {
-		l.told[front] = now
+	if l.announced[front].IsZero() {
+		l.announced[front] = now
 		return
 	}
 	l.arrivals[front] = append(l.arrivals[front], now)
 }
 
-// late returns how many requests came later than a grace after their gateway was told, and
-// how many gateways were.
-func (l *leaving) late(grace time.Duration) (late, told int) {
+// late returns how many requests arrived more than grace after their gateway got the
+// announcement, and how many gateways got it.
+func (l *leaving) late(grace time.Duration) (late, announced int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for front, arrivals := range l.arrivals {
 		for _, at := range arrivals {
-			if at.Sub(l.told[front]) > grace {
+			if at.Sub(l.announced[front]) > grace {
 				late++
 			}
 		}
 	}
-	return late, len(l.told)
+	return late, len(l.announced)
 }
 
 func (l *leaving) set() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.on, l.told, l.arrivals = true, map[string]time.Time{}, map[string][]time.Time{}
+	l.on, l.announced, l.arrivals = true, map[string]time.Time{}, map[string][]time.Time{}
 }
 
 func (l *leaving) unset() {
@@ -59,10 +62,10 @@
 	l.on = false
 }
 
-// AnnounceLeaving has a plain server say from now on that it leaves.
+// AnnounceLeaving makes a plain server announce from now on that it is leaving.
 func (f *Fleet) AnnounceLeaving(plain int) { f.plains[plain].leaving.set() }
 
-// CancelLeaving has no server say any more that it leaves.
+// CancelLeaving makes all servers stop announcing that they are leaving.
 func (f *Fleet) CancelLeaving() {
 	for _, p := range f.plains {
 		p.leaving.unset()
@@ -72,19 +75,19 @@
 	}
 }
 
-// Restart ends a plain server and starts it again under its ID.
+// Restart stops a plain server and starts it again under the same ID.
 func (f *Fleet) Restart(plain int) { f.plains[plain].crash() }
 
-// AnnounceRankLeaving has a model server say so.
+// AnnounceRankLeaving makes a model server announce from now on that it is leaving.
 func (f *Fleet) AnnounceRankLeaving(rank int) { f.models[rank].leaving.set() }
 
-// LateArrivals returns how many requests reached a plain server later than a grace after it had told
-// their gateway that it leaves, and how many gateways it has told.
-func (f *Fleet) LateArrivals(plain int, grace time.Duration) (late, told int) {
+// LateArrivals returns how many requests reached a plain server more than grace after
+// their gateway got the announcement that it is leaving, and how many gateways got it.
+func (f *Fleet) LateArrivals(plain int, grace time.Duration) (late, announced int) {
 	return f.plains[plain].leaving.late(grace)
 }
 
-// LateRankArrivals is the same for a model server.
-func (f *Fleet) LateRankArrivals(rank int, grace time.Duration) (late, told int) {
+// LateRankArrivals is LateArrivals for a model server.
+func (f *Fleet) LateRankArrivals(rank int, grace time.Duration) (late, announced int) {
 	return f.models[rank].leaving.late(grace)
 }
--- a/standin/fleet/limit.go
+++ b/standin/fleet/limit.go
@@ -8,52 +8,52 @@
 	"time"
 )
 
-// limit is how many requests a second a server takes from all gateways, as it says in its
-// answers, and what it got. The zero value names none.
+// limit is the rate of requests, over all gateways, that a server advertises in its
+// answers, with the arrivals since then. The zero value advertises none.
 type limit struct {
-	mu    sync.Mutex
-	named bool
-	rate  float64
-	since time.Time
-	// arrivals are those since the limit was named first.
+	mu     sync.Mutex
+	active bool
+	rate   float64
+	since  time.Time
+	// arrivals are the requests since the limit was set.
 	arrivals []arrival
 }
 
-// arrival is a request that came from a gateway.
+// arrival is the arrival of a request from a gateway.
 type arrival struct {
 	at    time.Time
 	front string
 }
 
-// arrive counts a request of a gateway and names the limit in its answer.
-func (l *limit) arrive(front string, h http.Header) {
+// record counts a request of a gateway and adds the limit to its answer.
+func (l *limit) record(front string, h http.Header) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.named {
+	if !l.active {
 		return
 	}
 	l.arrivals = append(l.arrivals, arrival{time.Now(), front})
 	h.Set("Server-Limit", strconv.FormatFloat(l.rate, 'g', -1, 64))
 }
 
-// name has the server name a limit from now on.
-func (l *limit) name(rate float64) {
+// set makes the server advertise a limit from now on.
+func (l *limit) set(rate float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named, l.rate, l.since, l.arrivals = true, rate, time.Now(), nil
+	l.active, l.rate, l.since, l.arrivals = true, rate, time.Now(), nil
 }
 
-// lift has the server name no limit any more.
-func (l *limit) lift() {
+// unset makes the server stop advertising a limit.
+func (l *limit) unset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.named = false
+	l.active = false
 }
 
-// most returns the most requests that have arrived within a span, later than a grace after
-// the limit was named, and how many have in all since then. Those of excused gateways don't
-// count.
-func (l *limit) most(grace, span time.Duration, excused []string) (most, all int) {
+// peak returns the maximum number of requests within any span, and the total number of
+// requests. It counts from grace after the limit was set and ignores the excused
+// gateways.
+func (l *limit) peak(grace, span time.Duration, excused []string) (peak, total int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var counted []time.Time
@@ -67,31 +67,32 @@
 		for at.Sub(counted[first]) > span {
 			first++
 		}
-		most = max(most, i-first+1)
+		peak = max(peak, i-first+1)
 	}
-	return most, len(counted)
+	return peak, len(counted)
 }
 
-// Limit has a plain server name how many requests a second it takes from all gateways.
-func (f *Fleet) Limit(plain int, rate float64) { f.plains[plain].limit.name(rate) }
+// Limit makes a plain server advertise the rate of requests, over all gateways, that
+// it accepts.
+func (f *Fleet) Limit(plain int, rate float64) { f.plains[plain].limit.set(rate) }
 
-// ClearLimit has a plain server name no limit any more.
-func (f *Fleet) ClearLimit(plain int) { f.plains[plain].limit.lift() }
+// ClearLimit makes a plain server stop advertising a limit.
+func (f *Fleet) ClearLimit(plain int) { f.plains[plain].limit.unset() }
 
-// LimitRank has a model server name how many requests a second it takes from all gateways.
-func (f *Fleet) LimitRank(rank int, rate float64) { f.models[rank].limit.name(rate) }
+// LimitRank is Limit for a model server.
+func (f *Fleet) LimitRank(rank int, rate float64) { f.models[rank].limit.set(rate) }
 
-// ClearRankLimit has a model server name no limit any more.
-func (f *Fleet) ClearRankLimit(rank int) { f.models[rank].limit.lift() }
+// ClearRankLimit is ClearLimit for a model server.
+func (f *Fleet) ClearRankLimit(rank int) { f.models[rank].limit.unset() }
 
-// PeakArrivals returns the most requests that reached a plain server within a span, later than a
-// grace after it named its limit, and how many in all since then, but for those of excused
-// gateways.
-func (f *Fleet) PeakArrivals(plain int, grace, span time.Duration, excused ...string) (most, all int) {
-	return f.plains[plain].limit.most(grace, span, excused)
+// PeakArrivals returns the maximum number of requests that reached a plain server
+// within any span, and the total number. It counts from grace after the limit was set
+// and ignores the excused gateways.
+func (f *Fleet) PeakArrivals(plain int, grace, span time.Duration, excused ...string) (peak, total int) {
+	return f.plains[plain].limit.peak(grace, span, excused)
 }
 
-// PeakRankArrivals is the same for a model server.
-func (f *Fleet) PeakRankArrivals(rank int, grace, span time.Duration, excused ...string) (most, all int) {
-	return f.models[rank].limit.most(grace, span, excused)
+// PeakRankArrivals is PeakArrivals for a model server.
+func (f *Fleet) PeakRankArrivals(rank int, grace, span time.Duration, excused ...string) (peak, total int) {
+	return f.models[rank].limit.peak(grace, span, excused)
 }
--- a/standin/fleet/links.go
+++ b/standin/fleet/links.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// Direction is one way of a connection.
+// Direction is one direction of a connection.
 type Direction int
 
-// The directions of a connection from a gateway or sidecar.
+// The directions of a connection from a gateway or sidecar to the store or a server.
 const (
-	ToServer Direction = iota // to the store or the server
+	ToServer Direction = iota
 	ToClient
 	directions
 )
 
-// Links are the connections from gateways and sidecars to the store and the
-// servers. All pass through here, so that they can be delayed, reset, cut in one
-// direction or fall silent while both ends live.
+// Links relays the connections from gateways and sidecars to the store and the
+// servers, so that they can be delayed, reset, or blocked in one or both directions
+// while both ends live.
 type Links struct {
-	mu     sync.Mutex
-	silent [directions]bool
-	delay  [directions]time.Duration
-	heard  *sync.Cond
-	open   map[net.Conn]net.Conn
+	mu        sync.Mutex
+	blocked   [directions]bool
+	delay     [directions]time.Duration
+	unblocked *sync.Cond
+	conns     map[net.Conn]net.Conn
 }
 
 func newLinks() *Links {
-	l := &Links{open: map[net.Conn]net.Conn{}}
-	l.heard = sync.NewCond(&l.mu)
+	l := &Links{conns: map[net.Conn]net.Conn{}}
+	l.unblocked = sync.NewCond(&l.mu)
 	return l
 }
 
-// Reset breaks all connections.
+// Reset resets all connections.
 func (l *Links) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for a, b := range l.open {
+	for a, b := range l.conns {
 		for _, c := range []net.Conn{a, b} {
 			if tcp, ok := c.(*net.TCPConn); ok {
 				_ = tcp.SetLinger(0)
@@ -45,33 +45,33 @@
 			_ = c.Close()
 		}
 	}
-	clear(l.open)
+	clear(l.conns)
 }
 
-// Blackhole holds back all bytes of connections that are open, or lets them go.
-// New connections stay silent too.
-func (l *Links) Blackhole(silent bool) {
+// Blackhole holds back all bytes of open and of new connections in both directions, or
+// releases them.
+func (l *Links) Blackhole(blocked bool) {
 	for d := range directions {
-		l.Block(d, silent)
+		l.Block(d, blocked)
 	}
 }
 
-// Block holds back all bytes in one direction, or lets them go.
-func (l *Links) Block(d Direction, cut bool) {
+// Block holds back all bytes in one direction, or releases them.
+func (l *Links) Block(d Direction, block bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silent[d] = cut
-	l.heard.Broadcast()
+	l.blocked[d] = block
+	l.unblocked.Broadcast()
 }
 
-// Delay has all bytes in one direction come later by some time.
+// Delay delays all bytes in one direction by the given time.
 func (l *Links) Delay(d Direction, by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay[d] = by
 }
 
-// serve passes connections at one address on to another until it is closed.
+// serve relays connections accepted by from to the address to, until from is closed.
 func (l *Links) serve(from net.Listener, to string) {
 	for {
 		a, err := from.Accept()
@@ -84,15 +84,16 @@
 			continue
 		}
 		l.mu.Lock()
-		l.open[a] = b
+		l.conns[a] = b
 		l.mu.Unlock()
-		go l.pass(a, b, a, ToClient)
-		go l.pass(b, a, a, ToServer)
+		go l.copyBytes(a, b, a, ToClient)
+		go l.copyBytes(b, a, a, ToServer)
 	}
 }
 
-// pass copies one direction; key is the connection under which the pair is known.
-func (l *Links) pass(to, from, key net.Conn, d Direction) {
+// copyBytes copies one direction; key is the connection under which the pair is stored
+// in l.conns.
+func (l *Links) copyBytes(to, from, key net.Conn, d Direction) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -106,15 +107,15 @@
 			break
 		}
 	}
-	// Both ends are done with it.
+	// Close both ends; errors are irrelevant here.
 	_ = to.Close()
 	_ = from.Close()
 	l.mu.Lock()
-	delete(l.open, key)
+	delete(l.conns, key)
 	l.mu.Unlock()
 }
 
-// wait holds bytes back for as long as their direction is delayed or cut.
+// wait blocks while the direction is delayed or blocked.
 func (l *Links) wait(d Direction) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,7 +124,7 @@
 		time.Sleep(by)
 		l.mu.Lock()
 	}
-	for l.silent[d] {
-		l.heard.Wait()
+	for l.blocked[d] {
+		l.unblocked.Wait()
 	}
 }
--- a/standin/fleet/pause.go
+++ b/standin/fleet/pause.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// pause is a server that refuses what comes and asks to be left alone for a span; 0 for not
-// asking. The zero value refuses nothing.
+// pause makes a server refuse requests and send Retry-After with a span; it sends none
+// if the span is 0. The zero value refuses nothing.
 type pause struct {
 	mu   sync.Mutex
 	on   bool
@@ -17,8 +17,8 @@
 	refusals, arrivals map[string][]time.Time
 }
 
-// refuses counts a request of a gateway, and reports whether the server refuses it. It sets
-// the header of the refusal.
+// refuses counts a request of a gateway, and reports whether the server refuses it. It
+// sets the Retry-After header of the refusal.
 func (p *pause) refuses(front string, h http.Header) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +37,7 @@
 	return true
 }
 
-// set has the server refuse and ask for a pause, or take requests again.
+// set makes the server refuse requests and send Retry-After, or accept requests again.
 func (p *pause) set(on bool, span time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,9 +47,9 @@
 	}
 }
 
-// most returns the most requests that one gateway has sent within a pause, later than a grace
-// after it was asked for, and how many refusals there were.
-func (p *pause) most(grace time.Duration) (most, refused int) {
+// peak returns the maximum number of requests that one gateway sent during a pause,
+// counted from grace after the refusal that started it, and the number of refusals.
+func (p *pause) peak(grace time.Duration) (peak, refused int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for front, refusals := range p.refusals {
@@ -61,25 +61,27 @@
 					n++
 				}
 			}
-			most = max(most, n)
+			peak = max(peak, n)
 		}
 	}
-	return most, refused
+	return peak, refused
 }
 
-// Pause has a plain server refuse everything and ask for a pause, or take requests again.
+// Pause makes a plain server refuse all requests and send Retry-After with span, or
+// accept requests again.
 func (f *Fleet) Pause(plain int, on bool, span time.Duration) { f.plains[plain].pause.set(on, span) }
 
-// PauseRank is the same for a model server.
+// PauseRank is Pause for a model server.
 func (f *Fleet) PauseRank(rank int, on bool, span time.Duration) { f.models[rank].pause.set(on, span) }
 
-// PeakDuringPause returns the most requests that a plain server got from one gateway within a pause
-// that it had asked for, later than a grace, and how many it has refused.
-func (f *Fleet) PeakDuringPause(plain int, grace time.Duration) (most, refused int) {
-	return f.plains[plain].pause.most(grace)
+// PeakDuringPause returns the maximum number of requests that a plain server got from
+// one gateway during a pause, counted from grace after the refusal that started it,
+// and the number of refusals.
+func (f *Fleet) PeakDuringPause(plain int, grace time.Duration) (peak, refused int) {
+	return f.plains[plain].pause.peak(grace)
 }
 
-// PeakDuringRankPause is the same for a model server.
-func (f *Fleet) PeakDuringRankPause(rank int, grace time.Duration) (most, refused int) {
-	return f.models[rank].pause.most(grace)
+// PeakDuringRankPause is PeakDuringPause for a model server.
+func (f *Fleet) PeakDuringRankPause(rank int, grace time.Duration) (peak, refused int) {
+	return f.models[rank].pause.peak(grace)
 }
--- a/standin/fleet/play.go
+++ b/standin/fleet/play.go
@@ -14,55 +14,55 @@
 	"time"
 )
 
-// Call is one request as its caller saw it.
+// Call is one request as its caller observed it.
 type Call struct {
 	ID string
-	// Kind is the prefix of the route.
+	// Kind is the path prefix of the route.
 	Kind string
 	// Status is 0 if the connection broke before an answer.
 	Status int
 	// OK says that the answer was complete and the request's own.
 	OK bool
-	// Mismatch says that the answer was another's, or out of order, or looked
-	// whole and was not.
+	// Mismatch describes an answer that belongs to another request, is out of order,
+	// or appears complete but is not. It is empty if there is no such fault.
 	Mismatch string
-	// Duration is the time to the end.
+	// Duration is the time until the call ended.
 	Duration time.Duration
-	// RetryAfter is when the caller was told to come back; 0 if it was not.
+	// RetryAfter is the delay from the Retry-After header; 0 if there was none.
 	RetryAfter time.Duration
 
-	// path follows the prefix of the route; body is empty for the usual one.
+	// path is the rest of the path after the prefix; an empty body means the default
+	// body.
 	path, body string
 }
 
 const (
-	// playPause is the pause between two requests.
-	playPause = 4 * time.Millisecond
-	// callerPatience is how long a caller waits in all.
-	callerPatience = 20 * time.Second
+	// requestInterval is the time between the starts of two requests.
+	requestInterval = 4 * time.Millisecond
+	// callTimeout is how long a caller waits for the complete answer.
+	callTimeout = 20 * time.Second
 )
 
-// Play sends requests of all kinds to the gateways in turn.
+// Play sends n requests of all kinds to the gateways in turn.
 func Play(ctx context.Context, f *Fleet, n int) []Call {
 	return play(ctx, f, func(i int) bool { return i < n })
 }
 
-// PlayUntil sends requests until the context ends; those in progress are waited
-// for all the same.
+// PlayUntil sends requests until the context is done, and waits for those in progress.
 func PlayUntil(ctx context.Context, f *Fleet) []Call {
 	return play(context.WithoutCancel(ctx), f, func(int) bool { return ctx.Err() == nil })
 }
 
 func play(ctx context.Context, f *Fleet, more func(i int) bool) []Call {
 	prefixes := []string{streamPrefix, streamPrefix, safePrefix, unsafePrefix}
-	return send(ctx, f, playPause, more, func(i int) *Call {
+	return send(ctx, f, requestInterval, more, func(i int) *Call {
 		id := newID()
 		return &Call{ID: id, Kind: prefixes[i%len(prefixes)], path: id}
 	})
 }
 
-// PlayCrashing sends a request that crashes each server that runs it, again and again under
-// new identifiers to the gateways in turn, until the context ends.
+// PlayCrashing repeatedly sends a request that crashes every server that runs it,
+// under new request IDs and to the gateways in turn, until the context is done.
 func PlayCrashing(ctx context.Context, f *Fleet, kind string, pause time.Duration) []Call {
 	return send(context.WithoutCancel(ctx), f, pause, func(int) bool { return ctx.Err() == nil }, func(int) *Call {
 		return &Call{ID: newID(), Kind: kind, path: "1", body: crashText}
@@ -77,9 +77,9 @@
 
 func newID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-// send sends calls to the gateways in turn, with a pause between two.
+// send sends calls to the gateways in turn, with a pause between two calls.
 func send(ctx context.Context, f *Fleet, pause time.Duration, more func(i int) bool, next func(i int) *Call) []Call {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20, DisableCompression: true}, Timeout: callerPatience}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 20, DisableCompression: true}, Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	var calls []*Call
 	var wg sync.WaitGroup
@@ -87,7 +87,7 @@
 		front := f.Fronts[i%len(f.Fronts)]
 		c := next(i)
 		calls = append(calls, c)
-		f.Ledger.sent(c.ID, front)
+		f.Ledger.recordSent(c.ID, front)
 		wg.Go(func() { c.send(ctx, client, front) })
 		time.Sleep(pause)
 	}
@@ -99,8 +99,8 @@
 	return done
 }
 
-// gapPatience is how long a caller waits for the next event, and for the first.
-const gapPatience = 2 * time.Second
+// eventTimeout is how long a caller waits for the first event and for each next one.
+const eventTimeout = 2 * time.Second
 
 func (c *Call) send(ctx context.Context, client *http.Client, front string) {
 	began := time.Now()
@@ -114,8 +114,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	leave := time.AfterFunc(gapPatience, cancel)
-	defer leave.Stop()
+	timeout := time.AfterFunc(eventTimeout, cancel)
+	defer timeout.Stop()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+front+c.Kind+c.path, body)
 	if err != nil {
 		return
@@ -146,18 +146,19 @@
 		return
 	}
 	if c.Kind == streamPrefix {
-		c.readStream(resp.Body, func() { leave.Reset(gapPatience) })
+		c.readStream(resp.Body, func() { timeout.Reset(eventTimeout) })
 		return
 	}
 	data, err := io.ReadAll(resp.Body)
 	c.OK = err == nil && string(data) == plainText(c.ID)
 	if err == nil && !c.OK {
-		c.Mismatch = "body that looks whole and is not"
+		c.Mismatch = "body appears complete but is not"
 	}
 }
 
-// readStream checks that each part comes once and in order, and tells of each.
-func (c *Call) readStream(r io.Reader, part func()) {
+// readStream checks that each part arrives once and in order, and calls onPart for
+// each.
+func (c *Call) readStream(r io.Reader, onPart func()) {
 	lines := bufio.NewScanner(r)
 	next := 1
 	for lines.Scan() {
@@ -166,26 +167,27 @@
 			continue
 		}
 		if text != eventText(c.ID, next) {
-			c.Mismatch = fmt.Sprintf("part %q where %d was due", text, next)
+			c.Mismatch = fmt.Sprintf("got part %q, want part %d", text, next)
 			return
 		}
-		part()
+		onPart()
 		next++
 	}
 	c.OK = lines.Err() == nil && next == streamEvents+1
 	if lines.Err() == nil && !c.OK {
-		c.Mismatch = fmt.Sprintf("stream ended after %d parts as if it were whole", next-1)
+		c.Mismatch = fmt.Sprintf("stream ended normally after %d parts", next-1)
 	}
 }
 
-// Verdict is what the callers' record and the ledger say together.
+// Verdict is the result of comparing the callers' record with the ledger.
 type Verdict struct {
 	Requests int `json:"requests"`
 	Complete int `json:"complete"`
-	// Refused were told that they have not run, Unknown were not.
+	// Refused counts calls whose callers were told that they had not run, Unknown
+	// those without such an answer.
 	Refused int `json:"refused"`
 	Unknown int `json:"unknown"`
-	// The promises that broke.
+	// Counts of broken promises, and of map changes and skew.
 	Foreign          int `json:"foreign"`
 	Doubled          int `json:"doubled"`
 	RanAfterRefusal  int `json:"refused-but-ran"`
@@ -193,8 +195,8 @@
 	MapMismatchSteps int `json:"map-mismatch-steps"`
 	MapChanges       int `json:"map-changes"`
 	SkewTenths       int `json:"skew-tenths"`
-	// MapChangesByGroup are the changes of map by group; the others count all groups together,
-	// but for the skew, which is the worst of them.
+	// MapChangesByGroup counts the map changes by group. The other counts sum over all
+	// groups, except that SkewTenths is that of the worst group.
 	MapChangesByGroup []int `json:"map-changes-of-groups"`
 }
 
@@ -226,13 +228,13 @@
 		}
 	}
 	f.Ledger.mu.Lock()
-	v.WrongAtServers = f.Ledger.wrong
+	v.WrongAtServers = f.Ledger.invalid
 	f.Ledger.mu.Unlock()
 	for _, g := range f.Groups {
 		g.mu.Lock()
-		v.MapMismatchSteps += g.mixed
-		v.MapChanges += g.changes
-		v.MapChangesByGroup = append(v.MapChangesByGroup, g.changes)
+		v.MapMismatchSteps += g.mismatchedSteps
+		v.MapChanges += g.mapChanges
+		v.MapChangesByGroup = append(v.MapChangesByGroup, g.mapChanges)
 		v.SkewTenths = max(v.SkewTenths, int(g.skew*10))
 		g.mu.Unlock()
 	}
--- a/standin/fleet/process.go
+++ b/standin/fleet/process.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// process is a server that can end and start again at its address.
+// process is a server that can be stopped and started again at the same address.
 type process struct {
 	addr    string
 	handler http.Handler
 
 	mu sync.Mutex
-	// server is nil while the process has ended.
+	// server is nil while the process is stopped.
 	server *http.Server
 }
 
-// start listens and serves, if the process has ended.
+// start listens and serves, if the process is stopped.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -31,7 +31,7 @@
 	s := &http.Server{Handler: p.handler, ReadHeaderTimeout: time.Minute}
 	p.server = s
 	go func() {
-		// It ends when stop closes it.
+		// It returns when stop closes the server.
 		_ = s.Serve(l)
 	}()
 	return nil
@@ -44,7 +44,7 @@
 	if p.server == nil {
 		return
 	}
-	// Requests in progress are of no interest any more.
+	// Requests in progress may be cut off.
 	_ = p.server.Close()
 	p.server = nil
 }
--- a/standin/fleet/rank.go
+++ b/standin/fleet/rank.go
@@ -12,21 +12,21 @@
 	index int
 	id    string
 	ip    string
-	// born is when the server has started, in Unix milliseconds.
-	born int64
-	maps map[int64][][]int
-	had  int64
+	// startedAt is when the server was started, in Unix milliseconds.
+	startedAt   int64
+	maps        map[int64][][]int
+	lastVersion int64
 
 	version, prepared int64
 	copying           int64
-	ready             time.Time
+	copyDone          time.Time
 	armed, armedStep  int64
-	held              int64
+	heldStep          int64
 	counts            [layers * experts]int64
 	waiting, running  []*stream
 }
 
-// start makes the server of a rank begin with nothing but its first map.
+// start resets the rank to the state of a newly started server, with its first map.
 func (r *Rank) start() {
 	first := make([][]int, layers)
 	for l := range first {
@@ -35,38 +35,38 @@
 		}
 	}
 	*r = Rank{
-		group: r.group, index: r.index, id: r.id, ip: r.ip, born: time.Now().UnixMilli(),
+		group: r.group, index: r.index, id: r.id, ip: r.ip, startedAt: time.Now().UnixMilli(),
 		maps: map[int64][][]int{0: first}, waiting: r.waiting, running: r.running,
 	}
 }
 
-// seat is what a rank says of its group.
-func (r *Rank) seat() map[string]any {
+// membership returns the state of the group as the rank reports it.
+func (r *Rank) membership() map[string]any {
 	state := "open"
-	if len(r.group.lost) > 0 {
+	if len(r.group.absent) > 0 {
 		state = "broken"
 	}
 	return map[string]any{"name": r.group.name, "epoch": r.group.epoch, "rank": r.index, "state": state}
 }
 
-// settle completes a copy.
-func (r *Rank) settle(now time.Time) {
-	if r.copying != 0 && !now.Before(r.ready) {
+// finishCopy marks a map as prepared once its weights have been copied.
+func (r *Rank) finishCopy(now time.Time) {
+	if r.copying != 0 && !now.Before(r.copyDone) {
 		r.prepared, r.copying = r.copying, 0
 	}
 }
 
-// work admits requests and makes an event of each running one.
-func (r *Rank) work() {
+// runStep admits waiting streams and sends an event to each running one.
+func (r *Rank) runStep() {
 	for len(r.running) < slots && len(r.waiting) > 0 {
 		r.running = append(r.running, r.waiting[0])
 		r.waiting = r.waiting[1:]
 	}
-	kept := r.running[:0]
+	remaining := r.running[:0]
 	for _, s := range r.running {
-		r.choose()
+		r.countExperts()
 		select {
-		case <-s.gone:
+		case <-s.callerDone:
 			close(s.events)
 			continue
 		case s.events <- s.next:
@@ -77,21 +77,21 @@
 			close(s.events)
 			continue
 		}
-		kept = append(kept, s)
+		remaining = append(remaining, s)
 	}
-	r.running = kept
+	r.running = remaining
 }
 
-// choose counts the experts that a request's tokens need.
-func (r *Rank) choose() {
-	for l := range r.group.popular {
-		for e, p := range r.group.popular[l] {
+// countExperts counts the experts that one step of a stream uses.
+func (r *Rank) countExperts() {
+	for l := range r.group.popularity {
+		for e, p := range r.group.popularity[l] {
 			r.counts[l*experts+e] += int64(p)
 		}
 	}
 }
 
-// ServeHTTP answers the calls of the platform's page.
+// ServeHTTP implements the model server's API of the platform's specification.
 func (r *Rank) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	switch req.Method + " " + req.URL.Path {
 	case "GET /report":
@@ -109,10 +109,10 @@
 	g := r.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r.settle(time.Now())
+	r.finishCopy(time.Now())
 	body := map[string]any{
 		"stage": "unified", "seq": 0, "size": len(g.ranks), "step": g.step, "map": r.version, "pace": 1.0,
-		"group": r.seat(), "born": r.born,
+		"group": r.membership(), "born": r.startedAt,
 		"queued": len(r.waiting), "running": len(r.running), "prepared": nil, "armed": nil, "held": nil,
 	}
 	if r.prepared != 0 {
@@ -121,8 +121,8 @@
 	if r.armed != 0 {
 		body["armed"] = map[string]any{"version": r.armed, "step": r.armedStep}
 	}
-	if r.held != 0 {
-		body["held"] = r.held
+	if r.heldStep != 0 {
+		body["held"] = r.heldStep
 	}
 	answer(w, body)
 }
@@ -138,7 +138,7 @@
 	answer(w, map[string]any{"step": g.step, "epoch": g.epoch, "counts": r.counts})
 }
 
-// orderBody is an order as it comes over the wire.
+// orderBody is the JSON body of an order.
 type orderBody struct {
 	Op      string    `json:"op"`
 	Epoch   int64     `json:"epoch"`
@@ -166,12 +166,12 @@
 	w.WriteHeader(r.apply(o))
 }
 
-// apply carries out an order and returns the status of its answer.
+// apply carries out an order and returns the HTTP status of its answer.
 func (r *Rank) apply(o orderBody) int {
 	g := r.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	r.settle(time.Now())
+	r.finishCopy(time.Now())
 	if o.Epoch != g.epoch {
 		return http.StatusConflict
 	}
@@ -194,13 +194,13 @@
 			r.armed, r.armedStep = 0, 0
 		}
 	case "hold":
-		if g.step >= o.Step || r.held != 0 && r.held != o.Step {
+		if g.step >= o.Step || r.heldStep != 0 && r.heldStep != o.Step {
 			return http.StatusConflict
 		}
-		r.held = o.Step
+		r.heldStep = o.Step
 	case "go":
-		if r.held == o.Step {
-			r.held = 0
+		if r.heldStep == o.Step {
+			r.heldStep = 0
 		}
 	default:
 		return http.StatusBadRequest
@@ -212,13 +212,13 @@
 	if o.Version == r.prepared || o.Version == r.copying {
 		return http.StatusOK
 	}
-	if o.Version <= r.had || r.armed != 0 || len(o.Map) != layers {
+	if o.Version <= r.lastVersion || r.armed != 0 || len(o.Map) != layers {
 		return http.StatusConflict
 	}
 	fresh := make([][]int, layers)
 	copies := 0
 	for l := range fresh {
-		if len(o.Map[l]) != len(r.group.ranks) || len(o.Map[l][r.index]) > places {
+		if len(o.Map[l]) != len(r.group.ranks) || len(o.Map[l][r.index]) > slotsPerRank {
 			return http.StatusBadRequest
 		}
 		fresh[l] = o.Map[l][r.index]
@@ -228,14 +228,14 @@
 				added++
 			}
 		}
-		if added > spare {
+		if added > spareSlots {
 			return http.StatusConflict
 		}
 		copies += added
 	}
-	r.had, r.copying, r.prepared = o.Version, o.Version, 0
+	r.lastVersion, r.copying, r.prepared = o.Version, o.Version, 0
 	r.maps[o.Version] = fresh
-	r.ready = time.Now().Add(time.Duration(copies) * 5 * time.Millisecond)
+	r.copyDone = time.Now().Add(time.Duration(copies) * 5 * time.Millisecond)
 	return http.StatusAccepted
 }
 
--- a/standin/fleet/server.go
+++ b/standin/fleet/server.go
@@ -12,69 +12,69 @@
 	"time"
 )
 
-// Ledger counts what servers ran, by request.
+// Ledger counts the runs of requests at the servers, by request ID.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]int
-	// crashing are the arrivals of requests that crash their servers, and crashes the
-	// moments at which servers have ended under one.
-	crashing, crashes []time.Time
-	// wrong are requests that came with a key, without a workspace, or for
-	// another server.
-	wrong int
-	// fronts are the gateways to which requests were sent.
+	// crashingArrivals are the arrival times of requests that crash their servers,
+	// crashes the times at which servers crashed.
+	crashingArrivals, crashes []time.Time
+	// invalid counts requests that arrived with an Authorization header or with an
+	// X-Tenant other than the workspace.
+	invalid int
+	// fronts maps request IDs to the gateways that the requests were sent to.
 	fronts map[string]string
 }
 
-// sent records to which gateway a request is sent.
-func (l *Ledger) sent(id, front string) {
+// recordSent records the gateway that a request is sent to.
+func (l *Ledger) recordSent(id, front string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fronts[id] = front
 }
 
-// front returns the gateway to which a request was sent.
+// front returns the gateway that a request was sent to.
 func (l *Ledger) front(id string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.fronts[id]
 }
 
-func (l *Ledger) ran(id string) {
+func (l *Ledger) recordRun(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
 }
 
-func (l *Ledger) mark() {
+func (l *Ledger) recordInvalid() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wrong++
+	l.invalid++
 }
 
-// arrived records that a request has reached a server that it would crash.
-func (l *Ledger) arrived() {
+// recordCrashing records the arrival of a request that crashes its server.
+func (l *Ledger) recordCrashing() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.crashing = append(l.crashing, time.Now())
+	l.crashingArrivals = append(l.crashingArrivals, time.Now())
 }
 
-// crashed records that a server has ended under a request.
-func (l *Ledger) crashed() {
+// recordCrash records that a request has crashed a server.
+func (l *Ledger) recordCrash() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.crashes = append(l.crashes, time.Now())
 }
 
-// Crashes returns how many servers have ended under a request, and how often such requests
-// have reached servers later than a grace after the third.
+// Crashes returns the number of crashes, and how many crashing requests reached
+// servers more than grace after the third crash.
 func (l *Ledger) Crashes(grace time.Duration) (ended, later int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(l.crashes) < 3 {
 		return len(l.crashes), 0
 	}
-	for _, at := range l.crashing {
+	for _, at := range l.crashingArrivals {
 		if at.After(l.crashes[2].Add(grace)) {
 			later++
 		}
@@ -89,13 +89,14 @@
 	return l.runs[id]
 }
 
-// server is what model servers and plain ones have in common.
+// server holds what model servers and plain servers have in common.
 type server struct {
 	id     string
 	ledger *Ledger
-	// refuse makes it refuse everything, as a full server does.
+	// refuse, if not nil, reports whether the server refuses everything, as a full
+	// server does.
 	refuse func() bool
-	// crash ends the server and starts it again later.
+	// crash stops the server and starts it again later.
 	crash   func()
 	served  atomic.Int64
 	limit   limit
@@ -103,22 +104,22 @@
 	leaving leaving
 }
 
-// crashes reports whether a request that has begun ends the server, and ends it.
+// crashes reports whether a request crashes the server, and crashes it.
 func (s *server) crashes(w http.ResponseWriter, body []byte) bool {
 	if !bytes.Contains(body, []byte(crashText)) {
 		return false
 	}
-	// The head is out when the run ends.
+	// Send the response header before the server stops.
 	_ = http.NewResponseController(w).Flush()
-	s.ledger.crashed()
+	s.ledger.recordCrash()
 	s.crash()
 	return true
 }
 
-// admit checks a request and reports whether it is to run.
+// admit checks a request and reports whether to run it.
 func (s *server) admit(w http.ResponseWriter, r *http.Request, body []byte) bool {
 	if bytes.Contains(body, []byte(crashText)) {
-		s.ledger.arrived()
+		s.ledger.recordCrashing()
 	}
 	w.Header().Set("X-Request-Id", r.Header.Get("X-Request-Id"))
 	if want := r.Header.Get("X-Expect-Instance"); want != "" && want != s.id {
@@ -127,8 +128,8 @@
 		return false
 	}
 	front := s.ledger.front(r.Header.Get("X-Request-Id"))
-	s.limit.arrive(front, w.Header())
-	s.leaving.arrive(front, w.Header())
+	s.limit.record(front, w.Header())
+	s.leaving.record(front, w.Header())
 	paused := s.pause.refuses(front, w.Header())
 	if paused || s.refuse != nil && s.refuse() {
 		w.Header().Set("X-Not-Executed", "1")
@@ -136,43 +137,45 @@
 		return false
 	}
 	if r.Header.Get("Authorization") != "" || r.Header.Get("X-Tenant") != workspace {
-		s.ledger.mark()
+		s.ledger.recordInvalid()
 	}
-	s.ledger.ran(r.Header.Get("X-Request-Id"))
+	s.ledger.recordRun(r.Header.Get("X-Request-Id"))
 	s.served.Add(1)
 	w.Header().Set("X-Response-Seal", "seal-"+r.Header.Get("X-Request-Id"))
 	return true
 }
 
-// modelServer answers streams beside the calls of its rank.
+// modelServer serves streams in addition to the calls of its rank.
 type modelServer struct {
 	server
 	rank *Rank
-	// frozen makes it stand still: it takes connections and says nothing.
+	// frozen makes it accept connections without answering.
 	frozen atomic.Bool
 }
 
-// freezePoll is how often a frozen server looks whether it goes on.
-const freezePoll = 10 * time.Millisecond
+// faultPollInterval is how often a frozen or unresponsive server checks whether the
+// fault has been cleared.
+const faultPollInterval = 10 * time.Millisecond
 
-// thaw waits while the server stands still, or until the caller has left.
-func (m *modelServer) thaw(r *http.Request) {
+// waitWhileFrozen blocks until the server is not frozen or the caller has
+// disconnected.
+func (m *modelServer) waitWhileFrozen(r *http.Request) {
 	for m.frozen.Load() && r.Context().Err() == nil {
-		time.Sleep(freezePoll)
+		time.Sleep(faultPollInterval)
 	}
 }
 
-// away reports whether the server has crashed and not started again.
-func (m *modelServer) away() bool {
+// isDown reports whether the server has crashed and not been restarted.
+func (m *modelServer) isDown() bool {
 	g := m.rank.group
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.lost[m.rank]
+	return g.absent[m.rank]
 }
 
 func (m *modelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	m.thaw(r)
-	if m.away() {
+	m.waitWhileFrozen(r)
+	if m.isDown() {
 		panic(http.ErrAbortHandler)
 	}
 	if !strings.HasPrefix(r.URL.Path, streamPrefix) {
@@ -186,20 +189,20 @@
 	m.stream(w, r)
 }
 
-// stream answers with events, one with each pass of the group.
+// stream sends events, one per forward pass of the group.
 func (m *modelServer) stream(w http.ResponseWriter, r *http.Request) {
 	first := 1
 	if last, err := strconv.Atoi(r.Header.Get("Last-Event-Id")); err == nil {
 		first = last + 1
 	}
-	st := &stream{next: first, last: streamEvents, events: make(chan int, streamEvents+1), gone: r.Context().Done()}
+	st := &stream{next: first, last: streamEvents, events: make(chan int, streamEvents+1), callerDone: r.Context().Done()}
 	g := m.rank.group
 	g.mu.Lock()
 	m.rank.waiting = append(m.rank.waiting, st)
 	g.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	for n := range st.events {
-		m.thaw(r)
+		m.waitWhileFrozen(r)
 		fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n, eventText(r.Header.Get("X-Request-Id"), n))
 		if err := http.NewResponseController(w).Flush(); err != nil {
 			return
@@ -207,22 +210,23 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if st.cut {
-		// The caller must not take it for whole.
+	if st.aborted {
+		// The caller must not take the answer for complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// Fault is what a plain server does wrong while it takes requests and says that it is well.
+// Fault is a fault of a plain server that accepts requests and reports itself as
+// healthy.
 type Fault int32
 
 // The faults of plain servers.
 const (
-	// NoFault servers answer.
+	// NoFault servers answer normally.
 	NoFault Fault = iota
-	// Unresponsive servers run requests and answer nothing.
+	// Unresponsive servers run requests but do not answer.
 	Unresponsive
-	// Failing servers run requests and answer with failures.
+	// Failing servers run requests but answer with status 500.
 	Failing
 )
 
@@ -239,7 +243,7 @@
 	}
 	time.Sleep(2 * time.Millisecond)
 	for Fault(p.fault.Load()) == Unresponsive && r.Context().Err() == nil {
-		time.Sleep(freezePoll)
+		time.Sleep(faultPollInterval)
 	}
 	if Fault(p.fault.Load()) == Failing {
 		w.WriteHeader(http.StatusInternalServerError)
@@ -247,7 +251,7 @@
 	fmt.Fprint(w, plainText(r.Header.Get("X-Request-Id")))
 }
 
-// What answers hold; a caller knows what to expect.
+// The contents of requests and answers, which callers check.
 const (
 	streamEvents = 12
 	streamPrefix = "/drafts/"
@@ -256,7 +260,7 @@
 	workspace    = "harbor-home"
 	secret       = "key-of-harbor-home"
 	host         = "desk.example"
-	// crashText makes a body one that crashes each server that begins to run it.
+	// crashText in a body makes the request crash each server that begins to run it.
 	crashText = "a draft that no engine survives"
 )
 
--- a/standin/fleet/settings.go
+++ b/standin/fleet/settings.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Configure writes a new configuration with a time limit for plain requests.
+// Configure writes a new configuration with a timeout for plain requests.
 func (f *Fleet) Configure(timeoutMs int) {
 	f.version += 3
 	route := func(name, prefix, kind, backend string, more map[string]any) map[string]any {
@@ -30,8 +30,8 @@
 		},
 		"backends": []any{
 			map[string]any{"name": "pool", "healthPath": "/healthz", "maxConns": 400, "engine": map[string]any{
-				"slots": slots, "kvTokens": 100000, "linkMbps": 1000.0, "sets": layers, "experts": experts, "places": places,
-				"spare": spare, "expertMb": 1.0, "usual": map[string]any{"prompt": 100, "answer": 50},
+				"slots": slots, "kvTokens": 100000, "linkMbps": 1000.0, "sets": layers, "experts": experts, "places": slotsPerRank,
+				"spare": spareSlots, "expertMb": 1.0, "usual": map[string]any{"prompt": 100, "answer": 50},
 			}},
 			map[string]any{"name": "desk", "healthPath": "/healthz", "maxConns": 100},
 		},
@@ -40,22 +40,23 @@
 	})
 }
 
-// RewriteSettings writes the settings file of a process anew, with another interval of the
-// servers' heartbeats and a field that nobody knows.
+// RewriteSettings rewrites the settings file of a process with another heartbeat
+// interval of the servers and with an unknown field.
 func (f *Fleet) RewriteSettings(b Boot, heartbeatMs int) error {
 	data, err := os.ReadFile(b.File)
 	if err != nil {
 		return err
 	}
-	boot := map[string]any{}
-	if err := json.Unmarshal(data, &boot); err != nil {
+	settings := map[string]any{}
+	if err := json.Unmarshal(data, &settings); err != nil {
 		return err
 	}
-	boot["heartbeatMs"], boot["newer"] = heartbeatMs, map[string]any{"field": true}
-	if data, err = json.MarshalIndent(boot, "", "  "); err != nil {
+	settings["heartbeatMs"], settings["newer"] = heartbeatMs, map[string]any{"field": true}
+	if data, err = json.MarshalIndent(settings, "", "  "); err != nil {
 		return err
 	}
-	// A process that starts meanwhile must not read half of it.
+	// Rename the file into place: a process that starts now must not read a partial
+	// file.
 	next := b.File + ".next"
 	if err := os.WriteFile(next, data, 0o600); err != nil {
 		return err
@@ -63,9 +64,9 @@
 	return os.Rename(next, b.File)
 }
 
-// writeBoot writes the settings file of one process.
-func (f *Fleet) writeBoot(name, role, ip string, listen map[string]string, app string) error {
-	boot := map[string]any{
+// writeSettings writes the settings file of one process.
+func (f *Fleet) writeSettings(name, role, ip string, listen map[string]string, app string) error {
+	settings := map[string]any{
 		"node": name, "role": role, "ip": ip, "zone": "z1", "listen": listen,
 		"portRange": []int{peerPort, lastPort}, "heartbeatMs": 1000,
 		"limits":   map[string]any{"memoryMb": 200},
@@ -75,9 +76,9 @@
 		},
 	}
 	if app != "" {
-		boot["app"], boot["backend"] = app, "pool"
+		settings["app"], settings["backend"] = app, "pool"
 	}
-	data, err := json.MarshalIndent(boot, "", "  ")
+	data, err := json.MarshalIndent(settings, "", "  ")
 	if err != nil {
 		return err
 	}
--- a/standin/fleet/store.go
+++ b/standin/fleet/store.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// item is a key of the store as it goes over the wire.
+// item is a key of the store as encoded in answers.
 type item struct {
 	Key      string `json:"key"`
 	Value    string `json:"value,omitempty"`
@@ -20,20 +20,20 @@
 	Removed  bool   `json:"removed,omitempty"`
 }
 
-// Store is the platform's metadata store.
+// Store is a stand-in for the platform's metadata store.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	items    map[string]item
 	history  []item
-	// oldest is the first revision that the history still has.
+	// oldest is the first revision that is still in the history.
 	oldest  int64
 	changed chan struct{}
 	down    bool
-	// silent makes it take calls and answer none.
-	silent bool
-	calls  int
-	leases leases
+	// unresponsive makes it accept calls without answering them.
+	unresponsive bool
+	calls        int
+	leases       leases
 }
 
 // NewStore returns an empty store.
@@ -41,12 +41,12 @@
 	return &Store{items: map[string]item{}, changed: make(chan struct{}), oldest: 1, leases: leases{live: map[int64]*lease{}}}
 }
 
-// Put writes a key as the operator or a server does.
+// Put writes a key, as the operator or a server does.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.put(key, base64.StdEncoding.EncodeToString(value))
-	s.wake()
+	s.notifyWatchers()
 }
 
 // Remove removes a key.
@@ -54,10 +54,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
-	s.wake()
+	s.notifyWatchers()
 }
 
-// remove removes a key, if it is there. It is called with the lock held.
+// remove removes a key if it exists. The caller must hold s.mu.
 func (s *Store) remove(key string) {
 	if _, ok := s.items[key]; !ok {
 		return
@@ -72,24 +72,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.wake()
+	s.notifyWatchers()
 }
 
-// SetUnresponsive makes the store answer no call, or serve again.
-func (s *Store) SetUnresponsive(silent bool) {
+// SetUnresponsive makes the store leave all calls unanswered, or serve again.
+func (s *Store) SetUnresponsive(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
-	s.wake()
+	s.unresponsive = unresponsive
+	s.notifyWatchers()
 }
 
-// hush waits while the store is silent, or until the caller has left.
-func (s *Store) hush(r *http.Request) {
+// waitWhileUnresponsive blocks until the store is responsive or the caller has
+// disconnected.
+func (s *Store) waitWhileUnresponsive(r *http.Request) {
 	for {
 		s.mu.Lock()
-		silent, changed := s.silent, s.changed
+		unresponsive, changed := s.unresponsive, s.changed
 		s.mu.Unlock()
-		if !silent {
+		if !unresponsive {
 			return
 		}
 		select {
@@ -107,7 +108,7 @@
 	s.history, s.oldest = nil, s.revision+1
 }
 
-// Calls returns how many calls were made.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,28 +126,28 @@
 	s.history = append(s.history, it)
 }
 
-func (s *Store) wake() {
+func (s *Store) notifyWatchers() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// ServeHTTP answers the calls of the platform's page.
+// ServeHTTP implements the store's API of the platform's specification.
 func (s *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.calls++
 	down := s.down
 	s.mu.Unlock()
-	s.hush(r)
+	s.waitWhileUnresponsive(r)
 	if down {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	switch {
-	case strings.HasPrefix(r.URL.Path, keepPath):
-		s.keepLease(w, r)
+	case strings.HasPrefix(r.URL.Path, leaseKeepAlivePath):
+		s.renewLease(w, r)
 		return
-	case strings.HasPrefix(r.URL.Path, endPath):
-		s.dropLease(w, r)
+	case strings.HasPrefix(r.URL.Path, leaseEndPath):
+		s.revokeLease(w, r)
 		return
 	}
 	switch r.Method + " " + r.URL.Path {
@@ -157,7 +158,7 @@
 	case "GET /kv-watch":
 		s.watch(w, r)
 	case "POST /kv-txn":
-		s.change(w, r)
+		s.applyTxn(w, r)
 	case "POST /kv-lease":
 		s.grantLease(w, r)
 	default:
@@ -240,7 +241,7 @@
 	}
 }
 
-func (s *Store) change(w http.ResponseWriter, r *http.Request) {
+func (s *Store) applyTxn(w http.ResponseWriter, r *http.Request) {
 	var body struct {
 		Expect []struct {
 			Key      string `json:"key"`
@@ -277,17 +278,17 @@
 			return
 		}
 		s.put(p.Key, p.Value)
-		s.tie(p.Key, p.Lease)
+		s.bindKey(p.Key, p.Lease)
 	}
 	for _, key := range body.Deletes {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatchers()
 	answer(w, map[string]any{"revision": s.revision})
 }
 
 func answer(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
-	// The caller has gone if this fails.
+	// It fails only if the caller has disconnected.
 	_ = json.NewEncoder(w).Encode(body)
 }
--- a/standin/judge/judge.go
+++ b/standin/judge/judge.go
@@ -8,7 +8,7 @@
 // # Usage
 //
 //	verdict := judge.Judge(judge.Evidence{Records: records, Ledgers: ledgers})
-//	if !verdict.Kept() {
+//	if !verdict.Passed() {
 //		for _, b := range verdict.Breaches {
 //			fmt.Println(b)
 //		}
