--- a/core/experts/expert/estimator_test.go
+++ b/core/experts/expert/estimator_test.go
@@ -15,7 +15,7 @@
 
 // The total traffic rises, and no expert gets a larger share of it. If the rise
 // counted as a trend, the planner would move experts for no benefit.
-func TestWholeTrafficIsNoDrift(t *testing.T) {
+func TestRiseOfAllTrafficIsNoTrend(t *testing.T) {
 	is := is.New(t)
 	est := NewEstimator(2, Smoothing{})
 	for i := range 10 {
@@ -26,7 +26,7 @@
 	is.True(near(got[1], 1.5, 1e-6))
 }
 
-func TestForecastFollowsDrift(t *testing.T) {
+func TestForecastFollowsTrend(t *testing.T) {
 	is := is.New(t)
 	est := NewEstimator(64, Smoothing{})
 	rng := rand.New(rand.NewPCG(1, 2))
--- a/core/experts/expert/expert_test.go
+++ b/core/experts/expert/expert_test.go
@@ -86,9 +86,9 @@
 	})
 }
 
-// TestSearchKeepsItsBooks compares the sums that the search maintains with those
+// TestSearchKeepsItsSums compares the sums that the search maintains with those
 // of the map, and validates its map, after every step.
-func TestSearchKeepsItsBooks(t *testing.T) {
+func TestSearchKeepsItsSums(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		g, loads := drawGroup(t)
 		from := Place(g, loads)
--- a/core/experts/expert/plan_test.go
+++ b/core/experts/expert/plan_test.go
@@ -117,7 +117,7 @@
 // the other experts off the ranks of an expert whose load rises, until that
 // expert fills them alone; then no rank has capacity for another replica, and
 // the group stays a fifth slower.
-func TestWarmingExpertsAreSplitInTime(t *testing.T) {
+func TestExpertsWithRisingLoadAreSplitInTime(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(7, 0))
 	g := newGroup(256, 4, 128)
@@ -138,7 +138,7 @@
 // The mix changes from one minute to the next. Moving few replicas per minute
 // would leave a straggler in every step for a quarter of an hour; a map computed
 // from scratch is cheaper, although it loads nearly everything.
-func TestSuddenSwapIsRenewed(t *testing.T) {
+func TestSuddenChangeRebuildsTheMap(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(8, 0))
 	g := newGroup(256, 4, 128)
@@ -238,7 +238,7 @@
 // A server with the only replicas of two experts fails while protected work is
 // in progress. Requests for these experts fail until a replica is loaded, so
 // neither the cost nor the protected work may delay it.
-func TestLostExpertsComeBack(t *testing.T) {
+func TestLostExpertsAreRestored(t *testing.T) {
 	is := is.New(t)
 	g := newGroup(8, 2, 8)
 	loads := []float64{1, 1, 1, 1, 1, 1, 5, 5}
--- a/core/experts/group/end_test.go
+++ b/core/experts/group/end_test.go
@@ -43,7 +43,7 @@
 // The coordinator stops between arming the ranks and sending the outcome, and the store is
 // unavailable, so that nobody can take over its role. The callers of the group would wait for
 // the whole outage; the members count the votes themselves.
-func TestSwitchEndsWithoutStewardAndStore(t *testing.T) {
+func TestSwitchEndsWithoutCoordinatorAndStore(t *testing.T) {
 	is := is.New(t)
 	w := settledWorld(t, 2)
 	w.want = 2
--- a/core/experts/group/member_test.go
+++ b/core/experts/group/member_test.go
@@ -136,7 +136,7 @@
 
 // A coordinator is paused past its lease while a new one forms the group again. Its delayed
 // Form must not bring a rank back, and it must learn that it is superseded.
-func TestDelayedFormOfOldSteward(t *testing.T) {
+func TestDelayedFormOfOldCoordinator(t *testing.T) {
 	is := is.New(t)
 	r := formedRank()
 	m := NewMember(MemberConfig{Name: "a", Habit: r.Habit}, 1, time.Second)
@@ -169,7 +169,7 @@
 // An instance is replaced by one with another name while its group runs. Without a new epoch
 // the group would wait for the old name forever. A coordinator that finds a name in the epoch
 // that its settings lack must accept it until enough ranks answer.
-func TestReplacedMemberIsTakenIn(t *testing.T) {
+func TestReplacedMemberJoins(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
 	s := NewCoordinator(CoordinatorConfig{Members: []string{"a", "c"}}, 5, now)
@@ -207,7 +207,7 @@
 // A renewal is late, so that the lease is invalid for a moment and then valid again. A new
 // coordinator under the same fencing token would number its orders from the start, and two
 // different epochs would have one number.
-func TestOneStewardForEachFence(t *testing.T) {
+func TestOneCoordinatorForEachFence(t *testing.T) {
 	is := is.New(t)
 	var d Role
 	cfg := CoordinatorConfig{Members: []string{"a"}}
--- a/core/experts/group/refusal_test.go
+++ b/core/experts/group/refusal_test.go
@@ -55,7 +55,7 @@
 // An agent restarts beside a rank that carries out any order, and an order of its earlier
 // process may still be on its way. Until then a reading proves nothing, and the member sends
 // no report, or the group would be formed again.
-func TestMemberSaysNothingUnread(t *testing.T) {
+func TestMemberReportsNothingBeforeReading(t *testing.T) {
 	is := is.New(t)
 	m := NewMember(MemberConfig{Name: "a"}, 2, 0)
 	acts := m.Receive(0, "b", Probe{Fence: 1})
@@ -79,7 +79,7 @@
 // A new coordinator has a report of one empty rank and none yet of the other, whose reports
 // then arrive out of order; later that one stalls for a minute. Forming the group at any of
 // these points would break every request in it for nothing.
-func TestStewardBidesItsTime(t *testing.T) {
+func TestCoordinatorDoesNotFormTooEarly(t *testing.T) {
 	is := is.New(t)
 	s := NewCoordinator(CoordinatorConfig{Members: []string{"a", "b"}, MinRanks: 1}, 5, 0)
 	is.Equal(len(sends[Form](s.Receive(0, "a", Report{Sequence: 1, Health: Empty}))), 0)
--- a/core/experts/load/load_test.go
+++ b/core/experts/load/load_test.go
@@ -307,7 +307,7 @@
 // A rank restarts while a wave is loading, and reports its free memory again.
 // The wave's own replica still needs that memory. If it were allocated twice,
 // the next wave would exceed the rank's memory and crash its engine.
-func TestRestartKeepsTheWavesRoom(t *testing.T) {
+func TestRestartKeepsTheWavesMemory(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, Plan{
@@ -321,7 +321,7 @@
 	is.Equal(failed, 1)
 }
 
-func TestRoomIsMadeOnceTheExpertIsElsewhere(t *testing.T) {
+func TestMemoryIsFreedOnceTheExpertIsElsewhere(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(Settings{Rate: 1 << 30, Chunk: size})
 	is.NoErr(q.Begin(start, Plan{
--- a/core/experts/lockstep/explorer_test.go
+++ b/core/experts/lockstep/explorer_test.go
@@ -530,7 +530,7 @@
 }
 
 // Each guard is needed: without it the same runs end in ranks with different maps.
-func TestExploreMissesNoGuard(t *testing.T) {
+func TestExploreFindsEachMissingGuard(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		off  func(*world)
--- a/core/experts/lockstep/listener_test.go
+++ b/core/experts/lockstep/follower_test.go
@@ -21,7 +21,7 @@
 	return l
 }
 
-func TestWhoIsHeeded(t *testing.T) {
+func TestFollowerAccepts(t *testing.T) {
 	for _, tt := range []struct {
 		name         string
 		announcement Announcement
@@ -51,7 +51,7 @@
 // A server restarts under its ID, or its rank joins another group. The agent beside it still
 // knows a coordinator with a high term, maps and counts. If it retained them, it would refuse
 // the coordinator of its new group, or prepare maps that nobody else has.
-func TestAnotherSeatVoidsWhatWasBelieved(t *testing.T) {
+func TestNewMembershipResetsFollower(t *testing.T) {
 	for _, tt := range []struct {
 		name       string
 		membership Membership
--- a/core/experts/lockstep/lockstep_test.go
+++ b/core/experts/lockstep/lockstep_test.go
@@ -49,7 +49,7 @@
 }
 
 // Guards against a group that stays held until a frozen coordinator is back.
-func TestHoldOfLostStewardIsGivenUp(t *testing.T) {
+func TestHoldOfLostCoordinatorIsAbandoned(t *testing.T) {
 	is := is.New(t)
 	ranks := heldRanks()
 	ranks[0].Known = false
@@ -74,7 +74,7 @@
 }
 
 // Guards against putting a placeholder map in force after the predecessor has come back.
-func TestStopgapIsForgotten(t *testing.T) {
+func TestPlaceholderIsDropped(t *testing.T) {
 	is := is.New(t)
 	ranks := heldRanks()
 	ranks[0].Known = false
@@ -151,7 +151,7 @@
 }
 
 // Guards against a group that stays held because some of its ranks are armed.
-func TestHoldIsGivenUpWhileSomeAreArmed(t *testing.T) {
+func TestHoldIsAbandonedWhileSomeAreArmed(t *testing.T) {
 	is := is.New(t)
 	ranks := heldRanks()
 	ranks[0].Known = false
@@ -185,7 +185,7 @@
 }
 
 // Guards against a late order that leaves one rank on the previous map.
-func TestMapThatWasBarredIsArmedByNobody(t *testing.T) {
+func TestBlockedMapIsNotArmed(t *testing.T) {
 	is := is.New(t)
 	ranks := heldRanks()
 	ranks[2].State.ArmedMap, ranks[2].State.ArmedStep = oldMap, holdAt
@@ -199,7 +199,7 @@
 }
 
 // Guards against arming under a hold whose release is under way.
-func TestArmsUnderItsOwnHold(t *testing.T) {
+func TestArmsOnlyUnderItsOwnHold(t *testing.T) {
 	is := is.New(t)
 	ranks := heldRanks()
 	s := NewCoordinator(0, nil, 9)
@@ -278,7 +278,7 @@
 }
 
 // Guards against retrying forever a map that ranks cannot parse.
-func TestMalformedMapIsGivenUp(t *testing.T) {
+func TestMalformedMapIsDropped(t *testing.T) {
 	is := is.New(t)
 	ranks := heldRanks()
 	for i := range ranks {
@@ -339,7 +339,7 @@
 }
 
 // Guards against a held group that waits the full time for a new coordinator.
-func TestHeldGroupWaitsLessForANewSteward(t *testing.T) {
+func TestHeldGroupWaitsLessForANewCoordinator(t *testing.T) {
 	is := is.New(t)
 	knows, other := NewCandidate(start), NewCandidate(start)
 	knows.Observe(start, true)
--- a/core/experts/rank/client_test.go
+++ b/core/experts/rank/client_test.go
@@ -96,7 +96,7 @@
 	is.True(rank.ConnectionRefused(err))
 }
 
-func TestVersionIsOfContent(t *testing.T) {
+func TestVersionIsAHashOfTheContent(t *testing.T) {
 	is := is.New(t)
 	a := rank.Placement{{0, 1}, {2, 3}}
 	is.Equal(a.Version(), rank.Placement{{0, 1}, {2, 3}}.Version())
--- a/core/experts/rankpeer/branch_test.go
+++ b/core/experts/rankpeer/branch_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestStatesSurviveTheWay(t *testing.T) {
+func TestStatesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range 40 {
@@ -40,7 +40,7 @@
 }
 
 // Guards against taking the state of one rank for that of another.
-func TestStatesThatDoNotFit(t *testing.T) {
+func TestMalformedStates(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(2, 1))
 	packed := PackStates([]engine.State{randomState(rng, 0), randomState(rng, 1)})
@@ -55,7 +55,7 @@
 }
 
 // Guards against states that saturate the coordinator's link in a large group.
-func TestStatesOfACalmGroupAreSmall(t *testing.T) {
+func TestStatesOfAStableGroupAreSmall(t *testing.T) {
 	is := is.New(t)
 	var states []engine.State
 	for r := range 192 {
@@ -69,7 +69,7 @@
 }
 
 // Guards against losing or confusing the responses of the members of a branch.
-func TestTellsOfABranch(t *testing.T) {
+func TestResponsesOfABranch(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 1))
 	word := lockstep.Announcement{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
@@ -101,7 +101,7 @@
 }
 
 // Guards against sums of counts that are biased by the rounding at relays.
-func TestSumsOfSamplesAreRightInTheMean(t *testing.T) {
+func TestSumsOfSamplesAreUnbiased(t *testing.T) {
 	is := is.New(t)
 	counts := [][]int64{{10, 1, 0, 300}, {7, 0, 2, 20}, {1, 1, 1, 1}}
 	want := []float64{18, 2, 3, 321}
--- a/core/experts/rankpeer/rankpeer_test.go
+++ b/core/experts/rankpeer/rankpeer_test.go
@@ -28,7 +28,7 @@
 	return m
 }
 
-func TestMapsSurviveTheWay(t *testing.T) {
+func TestMapsRoundTrip(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
@@ -50,7 +50,7 @@
 }
 
 // Guards against applying a part of a malformed change or one of another group.
-func TestChangesThatDoNotFit(t *testing.T) {
+func TestMalformedChanges(t *testing.T) {
 	is := is.New(t)
 	m := Pack([][][]int{{{1}, {2}}}, 2)
 	huge := []byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01}
--- a/core/membership/health/health_test.go
+++ b/core/membership/health/health_test.go
@@ -209,7 +209,7 @@
 
 // Guards against a failing target that hundreds of entries detect one by one, and against one
 // mistaken entry that empties all pools.
-func TestHintsEjectByAgreement(t *testing.T) {
+func TestPeerEjectionsEjectByAgreement(t *testing.T) {
 	is := is.New(t)
 	r := newMonitorTest(4, 0)
 	r.RecordPeerEjections(0, minPeerEjections-1, r.now)
--- a/core/membership/health/slow_test.go
+++ b/core/membership/health/slow_test.go
@@ -8,7 +8,7 @@
 
 // Guards against passes that wait for the streams of a slow rank, and against moving more
 // streams than the other ranks have capacity for.
-func TestLeave(t *testing.T) {
+func TestShouldMoveStreams(t *testing.T) {
 	is := is.New(t)
 	for _, tt := range []struct {
 		name        string
--- a/core/membership/health/doubts_test.go
+++ b/core/membership/health/suspicions_test.go
@@ -56,7 +56,7 @@
 
 // Guards against a target that fails for a long time and costs its callers as many requests
 // each time that it is tried again.
-func TestDoubtsLastLongerInVain(t *testing.T) {
+func TestRepeatedSuspicionsLastLonger(t *testing.T) {
 	is := is.New(t)
 	var d Suspicions
 	targets := []string{"a", "b"}
@@ -78,7 +78,7 @@
 }
 
 // Guards against memory that grows with the target names that other entries report.
-func TestDoubtsAreBounded(t *testing.T) {
+func TestSuspicionsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var d Suspicions
 	for i := range 2 * maxSuspected {
@@ -93,7 +93,7 @@
 
 // Guards against attributing the failures of a kind of request to a target, and against
 // missing a target that fails requests that others answer.
-func TestFailuresThatSayNothingOfATarget(t *testing.T) {
+func TestFailuresThatAreNoEvidence(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
 	var fails, works FailureRate
--- a/core/membership/health/unanswered_test.go
+++ b/core/membership/health/unanswered_test.go
@@ -17,7 +17,7 @@
 }
 
 // Guards against suspecting targets before there are enough answers to compare with.
-func TestPatienceIsLearned(t *testing.T) {
+func TestTimeoutIsEstimated(t *testing.T) {
 	is := is.New(t)
 	_, known := answerTime(minAnswers-1, time.Millisecond).Timeout()
 	is.True(!known)
--- a/core/membership/instances/instances_test.go
+++ b/core/membership/instances/instances_test.go
@@ -21,7 +21,7 @@
 
 // Guards against using a truncated list: if the platform's answer breaks off, the
 // missing instances would seem removed, and the rest would be overloaded.
-func TestCutListIsNoList(t *testing.T) {
+func TestTruncatedListIsAnError(t *testing.T) {
 	is := is.New(t)
 	body := twoInstances
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/core/membership/lease/lease_test.go
+++ b/core/membership/lease/lease_test.go
@@ -76,7 +76,7 @@
 
 // Guards against lost renewals, as in an outage of the store, that extend the lease: it
 // ends at the deadline of the last renewal that was answered.
-func TestLostRenewalEarnsNothing(t *testing.T) {
+func TestLostRenewalDoesNotExtendLease(t *testing.T) {
 	is := is.New(t)
 	h := newHolder()
 	acquire(t, h, 100*second, 0)
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestTakeoverAsksInTurn(t *testing.T) {
+func TestCandidatesTakeOverInTurn(t *testing.T) {
 	is := is.New(t)
 	agents := []string{"a", "b", "c", "d"}
 	order := Candidates("duty", agents)
--- a/sidecar/claim_test.go
+++ b/sidecar/claim_test.go
@@ -56,7 +56,7 @@
 }
 
 // Guards against a group that is held until the store answers again.
-func TestStewardActsBeforeTheStoreAnswers(t *testing.T) {
+func TestCoordinatorActsBeforeTheStoreAnswers(t *testing.T) {
 	is := is.New(t)
 	a, store := testAgent(t)
 	joinAndAccept(a, 24)
@@ -134,7 +134,7 @@
 
 // Guards against taking over from a coordinator whose announcement arrives during the read of the
 // store.
-func TestClaimIsDroppedWhenAnotherSpeaks(t *testing.T) {
+func TestClaimIsDroppedAfterAnAnnouncement(t *testing.T) {
 	is := is.New(t)
 	a, store := testAgent(t)
 	for range 30 {
@@ -152,7 +152,7 @@
 }
 
 // Guards against two coordinators that go on after the store has accepted the claim of one.
-func TestActingStewardEndsWhenAnotherHasClaimed(t *testing.T) {
+func TestProvisionalCoordinatorEndsWhenAnotherHasClaimed(t *testing.T) {
 	is := is.New(t)
 	a, store := testAgent(t)
 	key := rankpeer.ClaimPrefix + "g"
--- a/sidecar/members_test.go
+++ b/sidecar/members_test.go
@@ -39,7 +39,7 @@
 func in(group string) engine.GroupID { return engine.GroupID{Name: group, Epoch: 1} }
 
 // Guards against polling and counting the ranks of other groups.
-func TestStewardAsksItsGroup(t *testing.T) {
+func TestCoordinatorPollsItsGroup(t *testing.T) {
 	is := is.New(t)
 	s := testCoordinator(t)
 	v := viewOf(
@@ -89,7 +89,7 @@
 }
 
 // Guards against acting on what an agent knew in an earlier incarnation.
-func TestMemberThatStartedAgain(t *testing.T) {
+func TestRestartedMember(t *testing.T) {
 	is := is.New(t)
 	s := testCoordinator(t)
 	s.setRoster(s.buildRoster(viewOf(deployment.Target{ID: "a", Group: in("g"), StartedAt: 100}), false))
@@ -103,7 +103,7 @@
 }
 
 // Guards against requests in an epoch that is over.
-func TestStewardFollowsTheEpoch(t *testing.T) {
+func TestCoordinatorFollowsTheEpoch(t *testing.T) {
 	is := is.New(t)
 	s := testCoordinator(t)
 	s.setRoster(s.buildRoster(viewOf(deployment.Target{ID: "a", Group: in("g")}), false))
@@ -114,7 +114,7 @@
 }
 
 // Guards against orders for a group that the coordinator does not belong to.
-func TestStewardWhoseRankHasLeft(t *testing.T) {
+func TestCoordinatorWhoseRankHasLeft(t *testing.T) {
 	for name, st := range map[string]engine.State{
 		"another group": {Group: "h", Epoch: 1, Rank: 1},
 		"another rank":  {Group: "g", Epoch: 1, Rank: 3},
@@ -133,7 +133,7 @@
 }
 
 // Guards against an agent that returns to an older epoch after a response that arrives late.
-func TestReadingsThatCross(t *testing.T) {
+func TestLateReadingIsIgnored(t *testing.T) {
 	is := is.New(t)
 	a, _ := testAgent(t)
 	asked := time.Now()
@@ -143,7 +143,7 @@
 }
 
 // Guards against accepting another group's coordinator since its term is newer.
-func TestAskOfAnotherGroup(t *testing.T) {
+func TestRequestOfAnotherGroup(t *testing.T) {
 	is := is.New(t)
 	a, _ := testAgent(t)
 	joinAndAccept(a, 24)
--- a/sidecar/needs_test.go
+++ b/sidecar/needs_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against coordinators that are taken for dead while they read a large configuration.
-func TestStewardNeedsNoConfiguration(t *testing.T) {
+func TestCoordinatorNeedsNoConfiguration(t *testing.T) {
 	is := is.New(t)
 	engine := deployment.Engine{Sets: 2, Experts: 8, Places: 3}
 	a, store := testAgent(t)
@@ -36,7 +36,7 @@
 }
 
 // Guards against long watches that hide a change of the store.
-func TestWordOnTheStoreGoesRound(t *testing.T) {
+func TestStoreEventsReachAllGateways(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.query()
 	st := s.coordinator
@@ -62,7 +62,7 @@
 }
 
 // Guards against short watches of all gateways, and of none.
-func TestFewGatewaysWatchBriefly(t *testing.T) {
+func TestFewGatewaysKeepShortWatches(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.query()
 	st := s.coordinator
--- a/sidecar/planner_test.go
+++ b/sidecar/planner_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against a map for a missing rank that loads experts or lacks some.
-func TestStopgapLoadsNothing(t *testing.T) {
+func TestPlaceholderLoadsNothing(t *testing.T) {
 	is := is.New(t)
 	p := planner{
 		engine: deployment.Engine{Sets: 1, Experts: 5, Places: 3}, ranks: []string{"a", "b", "c"},
@@ -33,7 +33,7 @@
 }
 
 // Guards against a new coordinator that sends whole maps, or starts from one of an earlier epoch.
-func TestNewStewardKnowsTheMap(t *testing.T) {
+func TestNewCoordinatorKnowsTheMap(t *testing.T) {
 	is := is.New(t)
 	a := &agent{groupState: newGroupState(lockstep.Follower{}, time.Time{})}
 	m := rankpeer.Pack([][][]int{{{0, 1}, {2, 3}}}, 2)
@@ -70,7 +70,7 @@
 }
 
 // Guards against a change made from another first map than that of the engines.
-func TestFirstMapIsCheckedByItsNumber(t *testing.T) {
+func TestFirstMapIsCheckedByItsHash(t *testing.T) {
 	is := is.New(t)
 	shape := rankpeer.Shape{Layers: 1, Ranks: 2, Places: 2, Experts: 4}
 	first, next := rankpeer.Pack([][][]int{{{0, 2}, {1, 3}}}, 2), rankpeer.Pack([][][]int{{{0, 3}, {1, 2}}}, 2)
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -192,7 +192,7 @@
 }
 
 // Guards against a branch that stays unknown while its relay is stalled.
-func TestRelayThatStandsStillIsReplaced(t *testing.T) {
+func TestStalledRelayIsReplaced(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.Equal(s.query(), sideRanks)
 	b, i := s.relayIndex()
@@ -204,7 +204,7 @@
 }
 
 // Guards against replacing relay after relay before any has had the time to connect.
-func TestNewRelayIsLeftItsTime(t *testing.T) {
+func TestNewRelayHasTimeToConnect(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.query()
 	st := s.coordinator
@@ -264,7 +264,7 @@
 
 // Guards against an old coordinator that goes on, since only an agent that it reaches through a
 // relay has accepted the next one.
-func TestNewerStewardIsHeardThroughARelay(t *testing.T) {
+func TestNewerCoordinatorIsSeenThroughARelay(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.Equal(s.query(), sideRanks)
 	_, i := s.relayIndex()
@@ -276,7 +276,7 @@
 }
 
 // Guards against orders of a replaced coordinator, forwarded by a relay that was frozen.
-func TestRelayThatWakesHarmsNobody(t *testing.T) {
+func TestResumedRelayHarmsNobody(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.Equal(s.query(), sideRanks)
 	b, i := s.relayIndex()
@@ -356,7 +356,7 @@
 }
 
 // Guards against agents that take over at the same time and replace each other.
-func TestTurnsOfTakingOver(t *testing.T) {
+func TestTakeoverTurns(t *testing.T) {
 	s := newSide(t, sideRanks)
 	seen := map[uint16]bool{}
 	for _, b := range s.coordinator.branches {
@@ -374,7 +374,7 @@
 }
 
 // Guards against gateways that fill the coordinator's link.
-func TestRelaysTellTheView(t *testing.T) {
+func TestRelaysServeTheDigest(t *testing.T) {
 	s := newSide(t, sideRanks)
 	s.query()
 	st := s.coordinator
@@ -434,7 +434,7 @@
 
 // Guards against two coordinators of one term that go on sending orders to the ranks, past the
 // agents that refuse one of them.
-func TestRefusedStewardDoesNotOrderStraight(t *testing.T) {
+func TestRefusedCoordinatorDoesNotOrderDirectly(t *testing.T) {
 	const ranks = 4
 	s := newSide(t, ranks)
 	for _, a := range s.agents {
