--- a/agent/steering/fleet_test.go
+++ b/agent/steering/fleet_test.go
@@ -72,7 +72,7 @@
 	}
 	for i, name := range f.shape.members {
 		r := &fakeRank{fleet: f, name: name, index: i, maps: make(map[group.Version]rank.Placement)}
-		r.rank.Habit, r.rank.State.Incarnation = lease.HonoursFencing, 1
+		r.rank.Fencing, r.rank.State.Incarnation = lease.HonoursFencing, 1
 		f.ranks[name] = r
 		go r.run()
 		f.startAgent(name)
--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -118,7 +118,7 @@
 		rank: d.Rank, peers: d.Peers, store: d.Store, started: time.Now(), fencing: shape.fencing,
 		loop: duty.New(eventQueueSize), ops: make(chan rankOp, 1), sends: make(chan struct{}, maxSends),
 		placements: newPlacementCache(),
-		member:     group.NewMember(group.MemberConfig{Name: d.Self, Habit: shape.fencing}, d.Incarnation, 0),
+		member:     group.NewMember(group.MemberConfig{Name: d.Self, Fencing: shape.fencing}, d.Incarnation, 0),
 		holder: lease.NewHolder(lease.Config{
 			Role: "duties/group/" + shape.name, Owner: d.Owner, TTL: d.Settings.LeaseTTL,
 		}),
--- a/core/experts/group/doc.go
+++ b/core/experts/group/doc.go
@@ -21,7 +21,7 @@
 //
 // # Usage
 //
-//	m := group.NewMember(group.MemberConfig{Name: "bole-3", Habit: lease.IgnoresFencing}, incarnation, now)
+//	m := group.NewMember(group.MemberConfig{Name: "bole-3", Fencing: lease.IgnoresFencing}, incarnation, now)
 //	for _, a := range m.Receive(now, from, msg) {
 //		switch a := a.(type) {
 //		case group.Send:
--- a/core/experts/group/explorer_test.go
+++ b/core/experts/group/explorer_test.go
@@ -140,7 +140,7 @@
 	w.quiet = []int{50, 85, 97}[w.rng.IntN(3)]
 	habit := lease.FencingSupport(w.rng.IntN(2))
 	for range w.names {
-		n := &node{rank: &Rank{Habit: habit, off: off}, slow: 1}
+		n := &node{rank: &Rank{Fencing: habit, off: off}, slow: 1}
 		if w.rng.IntN(4) == 0 {
 			n.slow = 2
 		}
@@ -165,7 +165,7 @@
 	n.starts++
 	n.up, n.paused, n.out, n.back, n.role = true, false, nil, nil, &Role{}
 	n.member = NewMember(MemberConfig{
-		Name: w.names[i], Habit: n.rank.Habit, Lifetime: w.lifetime, Timeout: 90 * time.Millisecond,
+		Name: w.names[i], Fencing: n.rank.Fencing, Lifetime: w.lifetime, Timeout: 90 * time.Millisecond,
 		PollInterval: 20 * time.Millisecond, OutcomeTimeout: 60 * time.Millisecond, Stagger: 20 * time.Millisecond,
 		StallAfter: 200 * time.Millisecond, DeadAfter: 400 * time.Millisecond, OrphanTimeout: 300 * time.Millisecond,
 	}, n.starts, w.now)
--- a/core/experts/group/member.go
+++ b/core/experts/group/member.go
@@ -9,8 +9,8 @@
 
 // MemberConfig configures a Member. Zero values take the defaults.
 type MemberConfig struct {
-	Name  string
-	Habit lease.FencingSupport
+	Name    string
+	Fencing lease.FencingSupport
 	// Lifetime bounds how long an order can take to reach the rank.
 	Lifetime time.Duration
 	// Timeout is how long to wait for the rank's answer.
@@ -114,7 +114,7 @@
 	cfg = cfg.withDefaults()
 	return &Member{
 		cfg:          cfg,
-		guard:        lease.NewGuard(cfg.Habit, cfg.Lifetime),
+		guard:        lease.NewGuard(cfg.Fencing, cfg.Lifetime),
 		incarnation:  incarnation,
 		progress:     progress{lastAnswer: now},
 		lastReceived: now,
--- a/core/experts/group/member_test.go
+++ b/core/experts/group/member_test.go
@@ -16,7 +16,7 @@
 
 // formedRank returns a rank of epoch 1.4 at step 10 on map 1 with map 2 loaded.
 func formedRank() *Rank {
-	return &Rank{Habit: lease.HonoursFencing, State: RankState{
+	return &Rank{Fencing: lease.HonoursFencing, State: RankState{
 		Incarnation: 1, Epoch: num(1, 4), Since: num(1, 4), Members: []string{"a", "b"},
 		Version: 1, Loaded: 2, Next: 10, Last: num(1, 9),
 	}}
@@ -124,7 +124,7 @@
 			is := is.New(t)
 			r := formedRank()
 			is.NoErr(r.Apply(tt.order))
-			m := NewMember(MemberConfig{Name: "a", Habit: r.Habit}, 2, time.Second)
+			m := NewMember(MemberConfig{Name: "a", Fencing: r.Fencing}, 2, time.Second)
 			acts := m.Receive(time.Second, "b", Arm{Switch: sw})
 			read := acts[0].(Read) // it sends nothing before it has read the rank
 			is.Equal(len(acts), 1)
@@ -139,7 +139,7 @@
 func TestDelayedFormOfOldCoordinator(t *testing.T) {
 	is := is.New(t)
 	r := formedRank()
-	m := NewMember(MemberConfig{Name: "a", Habit: r.Habit}, 1, time.Second)
+	m := NewMember(MemberConfig{Name: "a", Fencing: r.Fencing}, 1, time.Second)
 	read := m.Tick(time.Second)[0].(Read)
 	m.Observed(time.Second, read.ID, r.State, true)
 	m.Receive(time.Second, "b", Probe{Fence: 3})
--- a/core/experts/group/rank.go
+++ b/core/experts/group/rank.go
@@ -128,8 +128,8 @@
 // arm for a step it has begun or a map it has not loaded, it does not begin the step it is
 // armed for before it receives the outcome, and it reports its state truthfully.
 type Rank struct {
-	State RankState
-	Habit lease.FencingSupport
+	State   RankState
+	Fencing lease.FencingSupport
 	// Stops counts the calls of Begin that found the rank held.
 	Stops uint64
 
@@ -144,7 +144,7 @@
 // Apply carries out an order, or returns a *RefusedError and changes nothing.
 func (r *Rank) Apply(o Order) error {
 	s := &r.State
-	if r.Habit == lease.HonoursFencing && !r.off.fence {
+	if r.Fencing == lease.HonoursFencing && !r.off.fence {
 		if o.Number == s.Last {
 			return nil
 		}
--- a/core/experts/group/refusal_test.go
+++ b/core/experts/group/refusal_test.go
@@ -32,7 +32,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			m := NewMember(MemberConfig{Name: "a", Habit: lease.HonoursFencing}, 1, 0)
+			m := NewMember(MemberConfig{Name: "a", Fencing: lease.HonoursFencing}, 1, 0)
 			m.rank, m.known, m.pendingVote = formedRank().State, true, &pendingVote{sw: sw}
 			tt.change(m)
 			order, _ := m.choose()
@@ -45,7 +45,7 @@
 // have switched since: it reports at once and does not begin the epoch again.
 func TestRepeatedFormIsAnswered(t *testing.T) {
 	is := is.New(t)
-	m := NewMember(MemberConfig{Name: "a", Habit: lease.HonoursFencing}, 1, 0)
+	m := NewMember(MemberConfig{Name: "a", Fencing: lease.HonoursFencing}, 1, 0)
 	m.rank, m.known = formedRank().State, true
 	acts := m.Receive(0, "b", Form{Number: num(1, 4), Version: 1, Step: 1, Incarnation: 1})
 	is.Equal(sends[Report](acts)["b"].Rank.Version, Version(1))
--- a/standin/rank/rank.go
+++ b/standin/rank/rank.go
@@ -113,7 +113,7 @@
 	r.rank.State.Incarnation = uint64(time.Now().UnixNano())
 	r.faults.ignoreWait = cfg.IgnoreWait
 	if cfg.HonourFencing {
-		r.rank.Habit = lease.HonoursFencing
+		r.rank.Fencing = lease.HonoursFencing
 	}
 	return r
 }
