--- a/core/experts/expert/costweight.go
+++ b/core/experts/expert/costweight.go
@@ -34,17 +34,17 @@
 // cost weight for all layers spends the bytes where they reduce the skew most.
 // Truncating each layer's plan at the bounds was tried: it spent them on the
 // last small gains in some layers while others kept their stragglers.
-func (p *Planner) costWeightWithin(proposals []proposal, left int) float64 {
+func (p *Planner) costWeightWithin(proposals []proposal, remaining int) float64 {
 	low := p.Policy.Cost
-	if p.loadsAtCost(proposals, low) <= left {
+	if p.loadsAtCost(proposals, low) <= remaining {
 		return low
 	}
 	high := max(low, firstCostWeight)
-	for i := 0; i < doublings && p.loadsAtCost(proposals, high) > left; i++ {
+	for i := 0; i < doublings && p.loadsAtCost(proposals, high) > remaining; i++ {
 		low, high = high, 2*high
 	}
 	for range halvings {
-		if middle := (low + high) / 2; p.loadsAtCost(proposals, middle) > left {
+		if middle := (low + high) / 2; p.loadsAtCost(proposals, middle) > remaining {
 			low = middle
 		} else {
 			high = middle
--- a/core/experts/expert/estimator.go
+++ b/core/experts/expert/estimator.go
@@ -227,13 +227,13 @@
 // Confidence returns the reliability of the forecast, from 0 to 1: the
 // freshness of the reports times the accuracy of recent forecasts.
 func (est *Estimator) Confidence(now time.Time) float64 {
-	fresh, missed := 0.0, 0.0
+	fresh, totalError := 0.0, 0.0
 	for e := range est.level {
 		if !est.lastReport[e].IsZero() {
 			fresh += max(0, 1-now.Sub(est.lastReport[e]).Seconds()/est.smoothing.MaxAge.Seconds())
 		}
-		missed += est.meanError[e]
+		totalError += est.meanError[e]
 	}
 	n := float64(len(est.level))
-	return min(1, fresh/n) / (1 + errorWeight*missed/n)
+	return min(1, fresh/n) / (1 + errorWeight*totalError/n)
 }
--- a/core/experts/expert/plan.go
+++ b/core/experts/expert/plan.go
@@ -178,7 +178,7 @@
 }
 
 // fillPlan adds proposals to the plan until the bounds are reached.
-func (p *Planner) fillPlan(plan *Plan, in Input, proposals []proposal, left int) {
+func (p *Planner) fillPlan(plan *Plan, in Input, proposals []proposal, remaining int) {
 	slices.SortStableFunc(proposals, func(a, b proposal) int {
 		if a.forced != b.forced {
 			if a.forced {
@@ -192,10 +192,10 @@
 		if pr.loads == 0 {
 			continue
 		}
-		if pr.loads > left {
-			pr = p.propose(pr.layer, in.Layers[pr.layer], in.Now, left)
+		if pr.loads > remaining {
+			pr = p.propose(pr.layer, in.Layers[pr.layer], in.Now, remaining)
 		}
-		left -= pr.loads
+		remaining -= pr.loads
 		plan.Moves = append(plan.Moves, pr.moves...)
 		plan.SkewAfter -= (pr.before - pr.after) / float64(len(in.Layers))
 	}
--- a/core/experts/expert/propose.go
+++ b/core/experts/expert/propose.go
@@ -49,7 +49,7 @@
 	}
 	if steps == 0 {
 		pr.reason = p.noChangeReason(pr)
-		pr.limit = p.minGain(1)
+		pr.limit = p.requiredGain(1)
 		return pr
 	}
 	p.evaluate(&pr, s.mapAfter(steps), layer.Map)
@@ -70,7 +70,7 @@
 	after := p.expected(next)
 	moves := Diff(p.Group, pr.layer, current, next)
 	gain := pr.confidence * (pr.before - after)
-	pr.limit = p.minGain(len(moves))
+	pr.limit = p.requiredGain(len(moves))
 	pr.worth = p.Policy.Skew*gain - p.cost(len(moves))
 	if !pr.forced && gain < pr.limit {
 		pr.reason = GainBelowCost
@@ -84,9 +84,9 @@
 	pr.moves, pr.loads, pr.after, pr.reason = moves, len(moves), after, Moving
 }
 
-// minGain returns the reduction of the skew that loading the given number
+// requiredGain returns the reduction of the skew that loading the given number
 // of replicas must bring.
-func (p *Planner) minGain(loads int) float64 {
+func (p *Planner) requiredGain(loads int) float64 {
 	return max(p.Policy.MinGain, p.cost(loads)/max(p.Policy.Skew, minGain))
 }
 
--- a/core/experts/group/coordinator.go
+++ b/core/experts/group/coordinator.go
@@ -9,12 +9,12 @@
 
 // The defaults of CoordinatorConfig.
 const (
-	defaultLead        = 16
-	defaultMaxLead     = 1024
-	defaultBeat        = 20 * time.Second
-	defaultFastBeat    = 200 * time.Millisecond
-	defaultSilentAfter = 3 * time.Second
-	defaultRejoinAfter = 5 * time.Second
+	defaultLead              = 16
+	defaultMaxLead           = 1024
+	defaultProbeInterval     = 20 * time.Second
+	defaultFastProbeInterval = 200 * time.Millisecond
+	defaultAgentDeadAfter    = 3 * time.Second
+	defaultRejoinAfter       = 5 * time.Second
 )
 
 // memberState is what the coordinator knows of one member.
@@ -36,7 +36,7 @@
 }
 
 // Coordinator drives a group's switches and formations while its agent holds the lease. It is
-// made anew for every lease and stores nothing that must survive: what it needs is in the
+// created for each lease and stores nothing that must survive: what it needs is in the
 // reports. Its adapter drops it when the lease is no longer valid, and calls
 // lease.Holder.Valid right before each Tick and send.
 type Coordinator struct {
--- a/core/experts/group/coordinator_config.go
+++ b/core/experts/group/coordinator_config.go
@@ -36,9 +36,9 @@
 	c.MinRanks = orElse(c.MinRanks, len(c.Members))
 	c.Lead = orElse(c.Lead, defaultLead)
 	c.MaxLead = orElse(c.MaxLead, defaultMaxLead)
-	c.ProbeInterval = orElse(c.ProbeInterval, defaultBeat)
-	c.FastProbeInterval = orElse(c.FastProbeInterval, defaultFastBeat)
-	c.DeadAfter = orElse(c.DeadAfter, defaultSilentAfter)
+	c.ProbeInterval = orElse(c.ProbeInterval, defaultProbeInterval)
+	c.FastProbeInterval = orElse(c.FastProbeInterval, defaultFastProbeInterval)
+	c.DeadAfter = orElse(c.DeadAfter, defaultAgentDeadAfter)
 	c.RejoinAfter = orElse(c.RejoinAfter, defaultRejoinAfter)
 	return c
 }
--- a/core/experts/group/doc.go
+++ b/core/experts/group/doc.go
@@ -34,6 +34,6 @@
 //	}
 //
 // The adapter has to follow three rules. It drops an Apply that it has not sent when a later
-// operation has begun. It asks Role for the coordinator, and through it the lease, right
+// operation has begun. It gets the coordinator from Role, and through it the lease, right
 // before each use. It delivers the agent's messages to itself like any other.
 package group
--- a/core/experts/group/end_test.go
+++ b/core/experts/group/end_test.go
@@ -58,7 +58,7 @@
 	})
 	w.store.down = true
 	st.role = &Role{} // its process continues without its coordinator and lease
-	st.holder = lease.NewHolder(lease.Config{Role: simDuty, Owner: "again"})
+	st.holder = lease.NewHolder(lease.Config{Role: simRole, Owner: "again"})
 	epoch := st.rank.State.Epoch
 	w.rounds(t, "no rank waits", func() bool {
 		for _, n := range w.nodes {
--- a/core/experts/group/explorer_test.go
+++ b/core/experts/group/explorer_test.go
@@ -13,7 +13,7 @@
 	simTTL    = time.Second
 	simEvents = 6000
 	simRound  = 10 * time.Millisecond
-	simDuty   = "group/sim"
+	simRole   = "group/sim"
 )
 
 var simNames = []string{"a", "b", "c", "d"}
@@ -138,9 +138,9 @@
 	w.stallLimit = []time.Duration{0, 300 * time.Millisecond}[w.rng.IntN(2)]
 	w.lossy = []int{6, 30, 300}[w.rng.IntN(3)]
 	w.quiet = []int{50, 85, 97}[w.rng.IntN(3)]
-	habit := lease.FencingSupport(w.rng.IntN(2))
+	fencing := lease.FencingSupport(w.rng.IntN(2))
 	for range w.names {
-		n := &node{rank: &Rank{Fencing: habit, off: off}, slow: 1}
+		n := &node{rank: &Rank{Fencing: fencing, off: off}, slow: 1}
 		if w.rng.IntN(4) == 0 {
 			n.slow = 2
 		}
@@ -171,7 +171,7 @@
 	}, n.starts, w.now)
 	n.member.off = w.off
 	n.holder = lease.NewHolder(lease.Config{
-		Role: simDuty, Owner: fmt.Sprintf("%s/%d", w.names[i], n.starts), TTL: simTTL, Timeout: 100 * time.Millisecond,
+		Role: simRole, Owner: fmt.Sprintf("%s/%d", w.names[i], n.starts), TTL: simTTL, Timeout: 100 * time.Millisecond,
 	})
 }
 
@@ -195,7 +195,7 @@
 		return
 	}
 	take := lease.Takeover{HolderTimeout: 800 * time.Millisecond, Stagger: 100 * time.Millisecond}
-	due := take.Due(w.now, n.member.LastReceived(), simDuty, w.names[i], w.names) || n.member.Orphaned(w.now)
+	due := take.Due(w.now, n.member.LastReceived(), simRole, w.names[i], w.names) || n.member.Orphaned(w.now)
 	n.holder.Want(n.role.Wanted(n.holder, due))
 	for _, c := range n.holder.Tick(w.now / n.slow) {
 		n.out = append(n.out, c)
--- a/core/experts/group/member.go
+++ b/core/experts/group/member.go
@@ -35,14 +35,14 @@
 
 // The defaults of MemberConfig, for steps of a few milliseconds.
 const (
-	defaultLifetime   = time.Second
-	defaultTimeout    = 500 * time.Millisecond
-	defaultPoll       = 50 * time.Millisecond
-	defaultPatience   = 30 * time.Millisecond
-	defaultStagger    = 10 * time.Millisecond
-	defaultStallAfter = 500 * time.Millisecond
-	defaultDeadAfter  = 3 * time.Second
-	defaultOrphan     = 2 * time.Second
+	defaultLifetime       = time.Second
+	defaultTimeout        = 500 * time.Millisecond
+	defaultPollInterval   = 50 * time.Millisecond
+	defaultOutcomeTimeout = 30 * time.Millisecond
+	defaultStagger        = 10 * time.Millisecond
+	defaultStallAfter     = 500 * time.Millisecond
+	defaultDeadAfter      = 3 * time.Second
+	defaultOrphanTimeout  = 2 * time.Second
 )
 
 func (c MemberConfig) withDefaults() MemberConfig {
@@ -52,12 +52,12 @@
 	}{
 		{&c.Lifetime, defaultLifetime},
 		{&c.Timeout, defaultTimeout},
-		{&c.PollInterval, defaultPoll},
-		{&c.OutcomeTimeout, defaultPatience},
+		{&c.PollInterval, defaultPollInterval},
+		{&c.OutcomeTimeout, defaultOutcomeTimeout},
 		{&c.Stagger, defaultStagger},
 		{&c.StallAfter, defaultStallAfter},
 		{&c.DeadAfter, defaultDeadAfter},
-		{&c.OrphanTimeout, defaultOrphan},
+		{&c.OrphanTimeout, defaultOrphanTimeout},
 	} {
 		if *f.field <= 0 {
 			*f.field = f.def
@@ -142,7 +142,7 @@
 }
 
 // Orphaned reports whether a candidate should take over the role without waiting for the
-// coordinator's usual silence: the coordinator has handed it over, or the rank has stopped and
+// coordinator's normal silence: the coordinator has handed it over, or the rank has stopped and
 // no message from a coordinator has been received for a while.
 func (m *Member) Orphaned(now time.Duration) bool {
 	if m.handedOver {
--- a/core/experts/lockstep/abandon.go
+++ b/core/experts/lockstep/abandon.go
@@ -21,7 +21,7 @@
 // abandon gives up a hold while the rank of the predecessor does not answer.
 //
 // This happens when a coordinator's instance stops answering between its hold and the end of
-// its change: the group would stand still until it is back. The missing rank is not armed as
+// its change: the group would stay held until it is back. The missing rank is not armed as
 // long as another one is not: a coordinator arms its own rank last, after all the others, and
 // nobody else has armed for this hold; see holdOfPredecessor. The agents beside the other
 // ranks accept no more orders from that coordinator. So first all unarmed ranks prepare
--- a/core/experts/lockstep/follower_test.go
+++ b/core/experts/lockstep/follower_test.go
@@ -15,10 +15,10 @@
 // followerInGroup returns the follower of rank 2 of group g in epoch 3, which has accepted a
 // coordinator with term 20.
 func followerInGroup() *Follower {
-	l := &Follower{}
-	l.SetMembership(Membership{Group: inGroup("g", 3), Rank: 2, StartedAt: 700})
-	l.Accept(Announcement{Group: inGroup("g", 3), Term: 20, From: "b"})
-	return l
+	f := &Follower{}
+	f.SetMembership(Membership{Group: inGroup("g", 3), Rank: 2, StartedAt: 700})
+	f.Accept(Announcement{Group: inGroup("g", 3), Term: 20, From: "b"})
+	return f
 }
 
 func TestFollowerAccepts(t *testing.T) {
@@ -37,11 +37,11 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			l := followerInGroup()
-			before := l.Latest()
-			is.Equal(l.Accept(tt.announcement), tt.want)
+			f := followerInGroup()
+			before := f.Latest()
+			is.Equal(f.Accept(tt.announcement), tt.want)
 			if tt.want != Accepted {
-				is.Equal(l.Latest(), before)
+				is.Equal(f.Latest(), before)
 			}
 		})
 	}
@@ -66,10 +66,10 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			l := followerInGroup()
-			is.Equal(l.SetMembership(tt.membership), tt.want)
-			is.Equal(l.Membership(), tt.membership)
-			is.Equal(l.Latest().Term == 0, tt.want)
+			f := followerInGroup()
+			is.Equal(f.SetMembership(tt.membership), tt.want)
+			is.Equal(f.Membership(), tt.membership)
+			is.Equal(f.Latest().Term == 0, tt.want)
 		})
 	}
 }
--- a/core/experts/lockstep/lockstep.go
+++ b/core/experts/lockstep/lockstep.go
@@ -117,11 +117,11 @@
 // saltRange is the size of the range of salts in map numbers.
 const saltRange = 1 << 20
 
-// NewCoordinator returns the coordinator at the rank self. Before is the coordinator whose
-// announcement was received last, or nil if there was none. The salt is drawn at random for
-// each coordinator; it is taken modulo 1<<20.
-func NewCoordinator(self int, before *Predecessor, salt uint64) *Coordinator {
-	return &Coordinator{self: self, predecessor: before, salt: int64(salt % saltRange)}
+// NewCoordinator returns the coordinator at the rank self. The predecessor is the coordinator
+// whose announcement was received last, or nil if there was none. The salt is drawn at random
+// for each coordinator; it is taken modulo 1<<20.
+func NewCoordinator(self int, predecessor *Predecessor, salt uint64) *Coordinator {
+	return &Coordinator{self: self, predecessor: predecessor, salt: int64(salt % saltRange)}
 }
 
 // nextNumber returns the next map number: higher than all that were seen, and unique to this
--- a/core/experts/lockstep/lockstep_test.go
+++ b/core/experts/lockstep/lockstep_test.go
@@ -163,10 +163,10 @@
 	is.Equal(len(cmds), 1)
 	is.Equal(cmds[0].Rank, 1)
 	is.Equal(cmds[0].Order.Kind, engine.PrepareMap)
-	barred := cmds[0].Order.Version
-	is.True(barred > oldMap)
+	blocked := cmds[0].Order.Version
+	is.True(blocked > oldMap)
 	is.Equal(len(s.Next(ranks, now)), 0) // nothing is disarmed before
-	ranks[1].State.Prepared = barred
+	ranks[1].State.Prepared = blocked
 	cmds = s.Next(ranks, now)
 	is.Equal(len(cmds), 1)
 	is.Equal(cmds[0].Rank, 2)
@@ -179,8 +179,8 @@
 	is.Equal(len(cmds), 1)
 	is.Equal(cmds[0].Rank, 2)
 	is.Equal(cmds[0].Order.Kind, engine.PrepareMap)
-	is.Equal(cmds[0].Order.Version, barred)
-	ranks[2].State.Prepared = barred
+	is.Equal(cmds[0].Order.Version, blocked)
+	ranks[2].State.Prepared = blocked
 	is.Equal(kinds(s.Next(ranks, now.Add(abandonAfter)))[engine.ReleasePass], 1)
 }
 
--- a/core/experts/rankpeer/branch.go
+++ b/core/experts/rankpeer/branch.go
@@ -83,7 +83,7 @@
 }
 
 // PackResponses returns the response of a relay from those of its members.
-func PackResponses(word lockstep.Announcement, responses []Response) *BranchResponse {
+func PackResponses(announced lockstep.Announcement, responses []Response) *BranchResponse {
 	out := &BranchResponse{Tells: make([]Response, len(responses))}
 	var states []engine.State
 	var samples []*Sample
@@ -95,10 +95,10 @@
 			samples = append(samples, t.Sample)
 		}
 		t.State, t.Sample = engine.State{}, nil
-		if t.Group == word.Group {
+		if t.Group == announced.Group {
 			t.Group = engine.GroupID{}
 		}
-		if t.Term == word.Term {
+		if t.Term == announced.Term {
 			t.Term = 0
 		}
 		t.Answered = t.Answered || t.Known
@@ -110,24 +110,24 @@
 
 // Unpack returns the responses of count members, or false if the response does not match
 // the request. The sum of the samples remains in the branch's response.
-func (b *BranchResponse) Unpack(word lockstep.Announcement, count int) ([]Response, bool) {
+func (b *BranchResponse) Unpack(announced lockstep.Announcement, count int) ([]Response, bool) {
 	known := 0
 	for i := range b.Tells {
 		if b.Tells[i].Known {
 			known++
 		}
 	}
-	states, ok := b.States.Unpack(word.Group.Name, known)
+	states, ok := b.States.Unpack(announced.Group.Name, known)
 	if !ok || len(b.Tells) != count {
 		return nil, false
 	}
 	out := make([]Response, 0, count)
 	for _, t := range b.Tells {
 		if t.Answered && t.Group.Name == "" && t.Refused != lockstep.NoMembership {
-			t.Group = word.Group
+			t.Group = announced.Group
 		}
 		if t.Answered && t.Term == 0 {
-			t.Term = word.Term
+			t.Term = announced.Term
 		}
 		if t.Known {
 			t.State, states = states[0], states[1:]
--- a/core/experts/rankpeer/branch_test.go
+++ b/core/experts/rankpeer/branch_test.go
@@ -72,18 +72,18 @@
 func TestResponsesOfABranch(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 1))
-	word := lockstep.Announcement{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
+	announced := lockstep.Announcement{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
 	one, two := randomState(rng, 5), randomState(rng, 7)
 	responses := []Response{
-		{Group: word.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
+		{Group: announced.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
 		{},
 		{Group: engine.GroupID{Name: "g", Epoch: 4}, Term: 40, Answered: true, Refused: lockstep.OlderEpoch},
 		{Answered: true, Refused: lockstep.NoMembership},
-		{Group: word.Group, Term: 41, Answered: true, Refused: lockstep.NewerCoordinator},
-		{Group: word.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
+		{Group: announced.Group, Term: 41, Answered: true, Refused: lockstep.NewerCoordinator},
+		{Group: announced.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
 	}
-	packed := PackResponses(word, responses)
-	got, ok := packed.Unpack(word, len(responses))
+	packed := PackResponses(announced, responses)
+	got, ok := packed.Unpack(announced, len(responses))
 	is.True(ok)
 	for i := range responses {
 		want := responses[i]
@@ -96,7 +96,7 @@
 	sum := make([]float64, 2)
 	packed.Sample.AddTo(sum)
 	is.True(sum[1] == 9 && sum[0] >= 3 && sum[0] <= 5) // 4, rounded to a fifteenth of 9
-	_, ok = packed.Unpack(word, len(responses)-1)
+	_, ok = packed.Unpack(announced, len(responses)-1)
 	is.True(!ok)
 }
 
--- a/core/membership/member/gossip.go
+++ b/core/membership/member/gossip.go
@@ -11,8 +11,8 @@
 
 // updateLifetime is how long a node sends a change as an update. Agents have it after
 // some ten rounds; an entry only pulls, and may pull from dead agents for a while, so
-// that the update must last longer than that. Limiting the number of sends instead of the
-// time expired after seven rounds and left one of 233 nodes unaware of a drain.
+// that the update must last longer than that. A limit on the number of sends instead of the
+// time was reached after seven rounds and left one of 233 nodes unaware of a drain.
 const updateLifetime = 20 * time.Second
 
 // Received is the content of a digest other than its records.
--- a/sidecar/agent.go
+++ b/sidecar/agent.go
@@ -86,13 +86,13 @@
 // setMembership records the membership that the rank reported to a read begun at the given time.
 // A new membership, or a restart of the rank's server, resets everything known of the group.
 // Responses may overtake each other: one to an earlier read is ignored.
-func (a *agent) setMembership(st *engine.State, asked time.Time) {
+func (a *agent) setMembership(st *engine.State, readAt time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if st.Group == "" || asked.Before(a.membershipAt) {
+	if st.Group == "" || readAt.Before(a.membershipAt) {
 		return
 	}
-	a.membershipAt = asked
+	a.membershipAt = readAt
 	before := a.follower.Membership()
 	if !a.follower.SetMembership(lockstep.MembershipOf(st)) {
 		return
@@ -183,11 +183,11 @@
 func (a *agent) predecessor(self int) *lockstep.Predecessor {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	heard := a.follower.Latest()
-	if heard.From == "" || heard.Rank == self {
+	latest := a.follower.Latest()
+	if latest.From == "" || latest.Rank == self {
 		return nil
 	}
-	return &lockstep.Predecessor{Rank: heard.Rank, Salt: heard.Salt}
+	return &lockstep.Predecessor{Rank: latest.Rank, Salt: latest.Salt}
 }
 
 // takeoverDue reports whether this agent should try to become the coordinator.
@@ -272,10 +272,10 @@
 func (a *agent) readRank(ctx context.Context) (engine.State, error) {
 	ctx, cancel := context.WithTimeout(ctx, readWait)
 	defer cancel()
-	asked := time.Now()
+	readAt := time.Now()
 	st, err := a.rank.State(ctx)
 	if err == nil {
-		a.setMembership(&st, asked)
+		a.setMembership(&st, readAt)
 	}
 	return st, err
 }
--- a/sidecar/claim.go
+++ b/sidecar/claim.go
@@ -53,9 +53,9 @@
 func (a *agent) claimedByUnknown(revision int64) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	heard := a.follower.Latest().Term
-	opens := a.firstByRank && heard == 0
-	fresh := revision > heard && revision != a.lastClaimRevision && !opens
+	latest := a.follower.Latest().Term
+	first := a.firstByRank && latest == 0
+	fresh := revision > latest && revision != a.lastClaimRevision && !first
 	a.lastClaimRevision = revision
 	return fresh
 }
--- a/sidecar/claim_test.go
+++ b/sidecar/claim_test.go
@@ -83,14 +83,14 @@
 	a, store := testAgent(t)
 	joinAndAccept(a, 0)
 	store.SetSilent(true)
-	heard := make(chan struct{})
+	announced := make(chan struct{})
 	go func() {
-		defer close(heard)
+		defer close(announced)
 		time.Sleep(claimGrace / 4)
 		a.acceptAnnouncement(rankpeer.Request{Word: lockstep.Announcement{Group: groupG, Term: 25, From: "side-0"}})
 	}()
 	_, ok := a.takeOver(t.Context(), groupG)
-	<-heard
+	<-announced
 	is.True(!ok)
 }
 
--- a/sidecar/members_test.go
+++ b/sidecar/members_test.go
@@ -136,9 +136,9 @@
 func TestLateReadingIsIgnored(t *testing.T) {
 	is := is.New(t)
 	a, _ := testAgent(t)
-	asked := time.Now()
-	a.setMembership(&engine.State{Group: "g", Epoch: 2, Rank: 1}, asked.Add(time.Millisecond))
-	a.setMembership(&engine.State{Group: "g", Epoch: 1, Rank: 1}, asked)
+	readAt := time.Now()
+	a.setMembership(&engine.State{Group: "g", Epoch: 2, Rank: 1}, readAt.Add(time.Millisecond))
+	a.setMembership(&engine.State{Group: "g", Epoch: 1, Rank: 1}, readAt)
 	is.Equal(a.membership().Group.Epoch, int64(2))
 }
 
--- a/sidecar/relay_test.go
+++ b/sidecar/relay_test.go
@@ -398,7 +398,7 @@
 // Guards against an agent that has to take over without the roster of its group.
 func TestRosterReachesEverybody(t *testing.T) {
 	s := newSide(t, sideRanks)
-	told := func() int {
+	informed := func() int {
 		n := 0
 		for _, a := range s.agents[1:] {
 			if r := a.lastRoster(); r != nil && len(r.Members) == sideRanks {
@@ -408,11 +408,11 @@
 		return n
 	}
 	s.query()
-	s.True(told() <= rostersAtOnce)
+	s.True(informed() <= rostersAtOnce)
 	for range sideRanks {
 		s.query()
 	}
-	s.Equal(told(), sideRanks-1)
+	s.Equal(informed(), sideRanks-1)
 }
 
 // Guards against counting gateways that have stopped polling, or missing some that poll.
--- a/sidecar/report.go
+++ b/sidecar/report.go
@@ -63,7 +63,7 @@
 	return d
 }
 
-// reportEvery is how often the state of the group is logged.
+// reportInterval is how often the state of the group is logged.
 const reportInterval = time.Second
 
 // report logs the state of the group for operators.
