--- a/core/experts/group/end_test.go
+++ b/core/experts/group/end_test.go
@@ -43,7 +43,7 @@
 // The coordinator stops between arming the ranks and sending the outcome, and the store is
 // unavailable, so that nobody can take over its role. The callers of the group would wait for
 // the whole outage; the members count the votes themselves.
-func TestSwitchEndsWithoutStewardAndStore(t *testing.T) {
+func TestSwitchEndsWithoutCoordinatorAndStore(t *testing.T) {
 	is := is.New(t)
 	w := settledWorld(t, 2)
 	w.want = 2
@@ -58,7 +58,7 @@
 	})
 	w.store.down = true
 	st.role = &Role{} // its process continues without its coordinator and lease
-	st.holder = lease.NewHolder(lease.Config{Role: simDuty, Owner: "again"})
+	st.holder = lease.NewHolder(lease.Config{Role: simRole, Owner: "again"})
 	epoch := st.rank.State.Epoch
 	w.rounds(t, "no rank waits", func() bool {
 		for _, n := range w.nodes {
--- a/core/experts/group/member.go
+++ b/core/experts/group/member.go
@@ -9,8 +9,8 @@
 
 // MemberConfig configures a Member. Zero values take the defaults.
 type MemberConfig struct {
-	Name  string
-	Habit lease.FencingSupport
+	Name    string
+	Fencing lease.FencingSupport
 	// Lifetime bounds how long an order can take to reach the rank.
 	Lifetime time.Duration
 	// Timeout is how long to wait for the rank's answer.
@@ -35,14 +35,14 @@
 
 // The defaults of MemberConfig, for steps of a few milliseconds.
 const (
-	defaultLifetime   = time.Second
-	defaultTimeout    = 500 * time.Millisecond
-	defaultPoll       = 50 * time.Millisecond
-	defaultPatience   = 30 * time.Millisecond
-	defaultStagger    = 10 * time.Millisecond
-	defaultStallAfter = 500 * time.Millisecond
-	defaultDeadAfter  = 3 * time.Second
-	defaultOrphan     = 2 * time.Second
+	defaultLifetime       = time.Second
+	defaultTimeout        = 500 * time.Millisecond
+	defaultPollInterval   = 50 * time.Millisecond
+	defaultOutcomeTimeout = 30 * time.Millisecond
+	defaultStagger        = 10 * time.Millisecond
+	defaultStallAfter     = 500 * time.Millisecond
+	defaultDeadAfter      = 3 * time.Second
+	defaultOrphanTimeout  = 2 * time.Second
 )
 
 func (c MemberConfig) withDefaults() MemberConfig {
@@ -52,12 +52,12 @@
 	}{
 		{&c.Lifetime, defaultLifetime},
 		{&c.Timeout, defaultTimeout},
-		{&c.PollInterval, defaultPoll},
-		{&c.OutcomeTimeout, defaultPatience},
+		{&c.PollInterval, defaultPollInterval},
+		{&c.OutcomeTimeout, defaultOutcomeTimeout},
 		{&c.Stagger, defaultStagger},
 		{&c.StallAfter, defaultStallAfter},
 		{&c.DeadAfter, defaultDeadAfter},
-		{&c.OrphanTimeout, defaultOrphan},
+		{&c.OrphanTimeout, defaultOrphanTimeout},
 	} {
 		if *f.field <= 0 {
 			*f.field = f.def
@@ -114,7 +114,7 @@
 	cfg = cfg.withDefaults()
 	return &Member{
 		cfg:          cfg,
-		guard:        lease.NewGuard(cfg.Habit, cfg.Lifetime),
+		guard:        lease.NewGuard(cfg.Fencing, cfg.Lifetime),
 		incarnation:  incarnation,
 		progress:     progress{lastAnswer: now},
 		lastReceived: now,
@@ -142,7 +142,7 @@
 }
 
 // Orphaned reports whether a candidate should take over the role without waiting for the
-// coordinator's usual silence: the coordinator has handed it over, or the rank has stopped and
+// coordinator's normal silence: the coordinator has handed it over, or the rank has stopped and
 // no message from a coordinator has been received for a while.
 func (m *Member) Orphaned(now time.Duration) bool {
 	if m.handedOver {
--- a/core/experts/group/member_test.go
+++ b/core/experts/group/member_test.go
@@ -16,7 +16,7 @@
 
 // formedRank returns a rank of epoch 1.4 at step 10 on map 1 with map 2 loaded.
 func formedRank() *Rank {
-	return &Rank{Habit: lease.HonoursFencing, State: RankState{
+	return &Rank{Fencing: lease.HonoursFencing, State: RankState{
 		Incarnation: 1, Epoch: num(1, 4), Since: num(1, 4), Members: []string{"a", "b"},
 		Version: 1, Loaded: 2, Next: 10, Last: num(1, 9),
 	}}
@@ -124,7 +124,7 @@
 			is := is.New(t)
 			r := formedRank()
 			is.NoErr(r.Apply(tt.order))
-			m := NewMember(MemberConfig{Name: "a", Habit: r.Habit}, 2, time.Second)
+			m := NewMember(MemberConfig{Name: "a", Fencing: r.Fencing}, 2, time.Second)
 			acts := m.Receive(time.Second, "b", Arm{Switch: sw})
 			read := acts[0].(Read) // it sends nothing before it has read the rank
 			is.Equal(len(acts), 1)
@@ -136,10 +136,10 @@
 
 // A coordinator is paused past its lease while a new one forms the group again. Its delayed
 // Form must not bring a rank back, and it must learn that it is superseded.
-func TestDelayedFormOfOldSteward(t *testing.T) {
+func TestDelayedFormOfOldCoordinator(t *testing.T) {
 	is := is.New(t)
 	r := formedRank()
-	m := NewMember(MemberConfig{Name: "a", Habit: r.Habit}, 1, time.Second)
+	m := NewMember(MemberConfig{Name: "a", Fencing: r.Fencing}, 1, time.Second)
 	read := m.Tick(time.Second)[0].(Read)
 	m.Observed(time.Second, read.ID, r.State, true)
 	m.Receive(time.Second, "b", Probe{Fence: 3})
@@ -169,7 +169,7 @@
 // An instance is replaced by one with another name while its group runs. Without a new epoch
 // the group would wait for the old name forever. A coordinator that finds a name in the epoch
 // that its settings lack must accept it until enough ranks answer.
-func TestReplacedMemberIsTakenIn(t *testing.T) {
+func TestReplacedMemberJoins(t *testing.T) {
 	is := is.New(t)
 	now := time.Second
 	s := NewCoordinator(CoordinatorConfig{Members: []string{"a", "c"}}, 5, now)
@@ -207,7 +207,7 @@
 // A renewal is late, so that the lease is invalid for a moment and then valid again. A new
 // coordinator under the same fencing token would number its orders from the start, and two
 // different epochs would have one number.
-func TestOneStewardForEachFence(t *testing.T) {
+func TestOneCoordinatorForEachFence(t *testing.T) {
 	is := is.New(t)
 	var d Role
 	cfg := CoordinatorConfig{Members: []string{"a"}}
--- a/core/experts/group/refusal_test.go
+++ b/core/experts/group/refusal_test.go
@@ -32,7 +32,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			m := NewMember(MemberConfig{Name: "a", Habit: lease.HonoursFencing}, 1, 0)
+			m := NewMember(MemberConfig{Name: "a", Fencing: lease.HonoursFencing}, 1, 0)
 			m.rank, m.known, m.pendingVote = formedRank().State, true, &pendingVote{sw: sw}
 			tt.change(m)
 			order, _ := m.choose()
@@ -45,7 +45,7 @@
 // have switched since: it reports at once and does not begin the epoch again.
 func TestRepeatedFormIsAnswered(t *testing.T) {
 	is := is.New(t)
-	m := NewMember(MemberConfig{Name: "a", Habit: lease.HonoursFencing}, 1, 0)
+	m := NewMember(MemberConfig{Name: "a", Fencing: lease.HonoursFencing}, 1, 0)
 	m.rank, m.known = formedRank().State, true
 	acts := m.Receive(0, "b", Form{Number: num(1, 4), Version: 1, Step: 1, Incarnation: 1})
 	is.Equal(sends[Report](acts)["b"].Rank.Version, Version(1))
@@ -55,7 +55,7 @@
 // An agent restarts beside a rank that carries out any order, and an order of its earlier
 // process may still be on its way. Until then a reading proves nothing, and the member sends
 // no report, or the group would be formed again.
-func TestMemberSaysNothingUnread(t *testing.T) {
+func TestMemberReportsNothingBeforeReading(t *testing.T) {
 	is := is.New(t)
 	m := NewMember(MemberConfig{Name: "a"}, 2, 0)
 	acts := m.Receive(0, "b", Probe{Fence: 1})
@@ -79,7 +79,7 @@
 // A new coordinator has a report of one empty rank and none yet of the other, whose reports
 // then arrive out of order; later that one stalls for a minute. Forming the group at any of
 // these points would break every request in it for nothing.
-func TestStewardBidesItsTime(t *testing.T) {
+func TestCoordinatorDoesNotFormTooEarly(t *testing.T) {
 	is := is.New(t)
 	s := NewCoordinator(CoordinatorConfig{Members: []string{"a", "b"}, MinRanks: 1}, 5, 0)
 	is.Equal(len(sends[Form](s.Receive(0, "a", Report{Sequence: 1, Health: Empty}))), 0)
--- a/core/experts/rankpeer/branch_test.go
+++ b/core/experts/rankpeer/branch_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestStatesSurviveTheWay(t *testing.T) {
+func TestStatesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	for n := range 40 {
@@ -40,7 +40,7 @@
 }
 
 // Guards against taking the state of one rank for that of another.
-func TestStatesThatDoNotFit(t *testing.T) {
+func TestMalformedStates(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(2, 1))
 	packed := PackStates([]engine.State{randomState(rng, 0), randomState(rng, 1)})
@@ -55,7 +55,7 @@
 }
 
 // Guards against states that saturate the coordinator's link in a large group.
-func TestStatesOfACalmGroupAreSmall(t *testing.T) {
+func TestStatesOfAStableGroupAreSmall(t *testing.T) {
 	is := is.New(t)
 	var states []engine.State
 	for r := range 192 {
@@ -69,21 +69,21 @@
 }
 
 // Guards against losing or confusing the responses of the members of a branch.
-func TestTellsOfABranch(t *testing.T) {
+func TestResponsesOfABranch(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 1))
-	word := lockstep.Announcement{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
+	announced := lockstep.Announcement{Group: engine.GroupID{Name: "g", Epoch: 3}, Term: 40}
 	one, two := randomState(rng, 5), randomState(rng, 7)
 	responses := []Response{
-		{Group: word.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
+		{Group: announced.Group, Term: 40, Answered: true, Known: true, State: one, Status: 202, Sample: NewSample(nil, []int64{3, 0})},
 		{},
 		{Group: engine.GroupID{Name: "g", Epoch: 4}, Term: 40, Answered: true, Refused: lockstep.OlderEpoch},
 		{Answered: true, Refused: lockstep.NoMembership},
-		{Group: word.Group, Term: 41, Answered: true, Refused: lockstep.NewerCoordinator},
-		{Group: word.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
+		{Group: announced.Group, Term: 41, Answered: true, Refused: lockstep.NewerCoordinator},
+		{Group: announced.Group, Term: 40, Answered: true, Known: true, State: two, NeedMap: true, Sample: NewSample(nil, []int64{1, 9})},
 	}
-	packed := PackResponses(word, responses)
-	got, ok := packed.Unpack(word, len(responses))
+	packed := PackResponses(announced, responses)
+	got, ok := packed.Unpack(announced, len(responses))
 	is.True(ok)
 	for i := range responses {
 		want := responses[i]
@@ -96,12 +96,12 @@
 	sum := make([]float64, 2)
 	packed.Sample.AddTo(sum)
 	is.True(sum[1] == 9 && sum[0] >= 3 && sum[0] <= 5) // 4, rounded to a fifteenth of 9
-	_, ok = packed.Unpack(word, len(responses)-1)
+	_, ok = packed.Unpack(announced, len(responses)-1)
 	is.True(!ok)
 }
 
 // Guards against sums of counts that are biased by the rounding at relays.
-func TestSumsOfSamplesAreRightInTheMean(t *testing.T) {
+func TestSumsOfSamplesAreUnbiased(t *testing.T) {
 	is := is.New(t)
 	counts := [][]int64{{10, 1, 0, 300}, {7, 0, 2, 20}, {1, 1, 1, 1}}
 	want := []float64{18, 2, 3, 321}
