--- a/tools/guards/check.go
+++ b/tools/guards/check.go
@@ -17,35 +17,35 @@
 	"time"
 )
 
-// A test that found its addresses taken is run again, after a pause.
+// A test run that fails because its addresses are in use is retried after a pause.
 const (
-	disturbedTries = 5
-	disturbedPause = 10 * time.Second
+	addressRetries    = 5
+	addressRetryDelay = 10 * time.Second
 )
 
-// testTimeout ends a test that hangs without its guard.
+// testTimeout limits a test, which may hang once its guard is disabled.
 const testTimeout = "60s"
 
-// Verdict is what became of a guard.
+// Verdict is the outcome of checking a guard.
 type Verdict string
 
 // The verdicts.
 const (
-	// Killed guards have a test that fails without them.
+	// Killed means that the named test fails once the guard is disabled.
 	Killed Verdict = "killed"
-	// Survived guards can be switched off unnoticed.
+	// Survived means that the test passes with the guard disabled.
 	Survived Verdict = "survived"
-	// DidNotBuild patches are no Go.
+	// DidNotBuild means that the patched code does not compile.
 	DidNotBuild Verdict = "did-not-build"
-	// DoesNotApply patches do not fit the code any more.
+	// DoesNotApply means that the patch no longer matches the code.
 	DoesNotApply Verdict = "patch-does-not-apply"
-	// FailsUnpatched tests fail with the guard in place, so that they show
-	// nothing about it.
+	// FailsUnpatched means that the test fails with the guard in place, so it
+	// shows nothing about the guard.
 	FailsUnpatched Verdict = "fails-unpatched"
-	// Disturbed tests found their addresses taken by another run of theirs on
-	// this machine, which says nothing about the guard.
+	// Disturbed means that the addresses of the test were in use by another run
+	// of it on this machine, which shows nothing about the guard.
 	Disturbed Verdict = "disturbed"
-	// NoTest patterns match no test.
+	// NoTest means that the pattern matches no test.
 	NoTest Verdict = "no-test"
 )
 
@@ -58,31 +58,32 @@
 	order  int
 }
 
-// checker checks guards against one copy of the tree. Patched files are laid
-// over the copy for the go command alone, so that checks don't disturb each
-// other.
+// checker checks guards against one copy of the tree. A patched file replaces
+// the file in the copy through the -overlay flag of the go command only, so that
+// concurrent checks don't affect each other.
 type checker struct {
 	tree, scratch string
-	// alone is held by a test that can't run beside others of its kind.
+	// alone serializes the tests of guards that are marked alone.
 	alone sync.Mutex
 }
 
-// checkAll first runs the tests on the unpatched copy, then the guards. It
-// prints each result as it comes and returns them in the order of the list.
+// checkAll first runs the tests on the unpatched copy, then checks the guards.
+// It prints each result once it is known and returns the results in the order of
+// the list.
 func (c *checker) checkAll(ctx context.Context, guards []Guard, parallel int, out io.Writer) []Result {
 	var mu sync.Mutex
-	sound := make(map[suite]testRun)
+	baseline := make(map[suite]testRun)
 	suites := suitesOf(guards)
-	each(parallel, len(suites), func(i int) {
+	forEach(parallel, len(suites), func(i int) {
 		r := c.test(ctx, suites[i], "")
 		mu.Lock()
 		defer mu.Unlock()
-		sound[suites[i]] = r
+		baseline[suites[i]] = r
 	})
 	results := make([]Result, 0, len(guards))
-	each(parallel, len(guards), func(i int) {
+	forEach(parallel, len(guards), func(i int) {
 		r := Result{Guard: guards[i], order: i}
-		r.Verdict, r.Detail = c.check(ctx, guards[i], sound[suiteOf(guards[i])])
+		r.Verdict, r.Detail = c.check(ctx, guards[i], baseline[suiteOf(guards[i])])
 		mu.Lock()
 		defer mu.Unlock()
 		results = append(results, r)
@@ -94,7 +95,7 @@
 	return results
 }
 
-// suite names some tests of a package.
+// suite selects tests of a package.
 type suite struct {
 	pkg, tests string
 	alone      bool
@@ -102,7 +103,7 @@
 
 func suiteOf(g Guard) suite { return suite{g.Package, g.Tests, g.Alone} }
 
-// suitesOf lists the tests that the guards name, each once.
+// suitesOf returns the distinct suites that the guards name.
 func suitesOf(guards []Guard) []suite {
 	var suites []suite
 	for _, g := range guards {
@@ -113,25 +114,27 @@
 	return suites
 }
 
-// each calls do for 0 to n-1, a few at a time.
-func each(parallel, n int, do func(int)) {
+// forEach calls fn with 0 to n-1, with at most parallel calls at a time.
+func forEach(parallel, n int, fn func(int)) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, parallel)
 	for i := range n {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			do(i)
+			fn(i)
 		})
 	}
 	wg.Wait()
 }
 
+// check runs the test of a guard on the patched tree, if it passes on the
+// unpatched one, and returns the verdict with an explanation.
 func (c *checker) check(ctx context.Context, g Guard, unpatched testRun) (Verdict, string) {
-	if unpatched.empty() {
+	if unpatched.noTests() {
 		return NoTest, g.Tests
 	}
-	if unpatched.disturbed() {
+	if unpatched.addressInUse() {
 		return Disturbed, g.Tests
 	}
 	if !unpatched.passed {
@@ -143,21 +146,21 @@
 	}
 	r := c.test(ctx, suiteOf(g), overlay)
 	switch {
-	case r.notBuilt():
+	case r.buildFailed():
 		return DidNotBuild, r.buildError()
-	case r.disturbed():
+	case r.addressInUse():
 		return Disturbed, g.Tests
 	case r.passed:
 		return Survived, g.Tests
 	}
 	if bytes.Contains(r.output, []byte("panic: test timed out")) {
-		return Killed, "by the timeout"
+		return Killed, "test timed out"
 	}
 	return Killed, ""
 }
 
-// overlay writes the patched file beside the tree, and the description that has
-// the go command read it in place of the file in the tree.
+// overlay writes the patched file outside the tree and returns the path of the
+// overlay description that makes the go command read it instead of the original.
 func (c *checker) overlay(g Guard) (string, error) {
 	file := filepath.Join(c.tree, filepath.FromSlash(g.File))
 	src, err := os.ReadFile(file)
@@ -168,11 +171,11 @@
 	if err != nil {
 		return "", err
 	}
-	place := filepath.Join(c.scratch, g.Name+".go")
-	if err := os.WriteFile(place, patched, 0o644); err != nil {
+	patchedFile := filepath.Join(c.scratch, g.Name+".go")
+	if err := os.WriteFile(patchedFile, patched, 0o644); err != nil {
 		return "", err
 	}
-	raw, err := json.Marshal(map[string]map[string]string{"Replace": {file: place}})
+	raw, err := json.Marshal(map[string]map[string]string{"Replace": {file: patchedFile}})
 	if err != nil {
 		return "", err
 	}
@@ -180,25 +183,25 @@
 	return overlay, os.WriteFile(overlay, raw, 0o644)
 }
 
-// testRun is a finished go test.
+// testRun is the result of a go test command.
 type testRun struct {
 	passed bool
 	output []byte
 }
 
-// test runs a suite. One that was disturbed is tried again.
+// test runs a suite, and retries it while its addresses are in use.
 func (c *checker) test(ctx context.Context, s suite, overlay string) testRun {
 	if s.alone {
 		c.alone.Lock()
 		defer c.alone.Unlock()
 	}
 	r := c.run(ctx, s, overlay)
-	for range disturbedTries {
-		if !r.disturbed() || ctx.Err() != nil {
+	for range addressRetries {
+		if !r.addressInUse() || ctx.Err() != nil {
 			break
 		}
 		select {
-		case <-time.After(disturbedPause):
+		case <-time.After(addressRetryDelay):
 		case <-ctx.Done():
 		}
 		r = c.run(ctx, s, overlay)
@@ -206,8 +209,8 @@
 	return r
 }
 
-// run runs a suite once. The overlay is given in the environment, so that
-// programs which a test builds have it too.
+// run runs a suite once. The overlay is passed in GOFLAGS, so that it also applies
+// to programs that a test builds.
 func (c *checker) run(ctx context.Context, s suite, overlay string) testRun {
 	cmd := exec.CommandContext(ctx, "go", "test", "-count=1", "-vet=off", "-timeout="+testTimeout, "-run=^("+s.tests+")$", s.pkg)
 	cmd.Dir = c.tree
@@ -216,12 +219,13 @@
 		flags += " -overlay=" + overlay
 	}
 	cmd.Env = append(os.Environ(), "GOTOOLCHAIN=local", "GOFLAGS="+flags, "TMPDIR="+c.scratch, "GOWORK="+filepath.Join(c.tree, "go.work"))
-	// A test that is ended by its timeout leaves the processes that it has started; they would
-	// keep their addresses, and the next run of the same test would find them taken.
+	// A test that times out leaves its child processes running. They would keep their addresses,
+	// and the next run of the same test would fail to listen on them, so the whole process group
+	// is killed.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	output, err := cmd.CombinedOutput()
 	if cmd.Process != nil {
-		// Most of the time nothing is left of the group, which is no error here.
+		// An error is expected: usually no process of the group is left.
 		_ = syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL)
 	}
 	if err != nil && !errors.As(err, new(*exec.ExitError)) {
@@ -230,15 +234,15 @@
 	return testRun{passed: err == nil, output: output}
 }
 
-func (r testRun) notBuilt() bool {
+func (r testRun) buildFailed() bool {
 	return bytes.Contains(r.output, []byte("[build failed]")) || bytes.Contains(r.output, []byte("[setup failed]"))
 }
 
-func (r testRun) disturbed() bool {
+func (r testRun) addressInUse() bool {
 	return !r.passed && bytes.Contains(r.output, []byte("address already in use"))
 }
 
-func (r testRun) empty() bool {
+func (r testRun) noTests() bool {
 	return bytes.Contains(r.output, []byte("[no tests to run]")) || bytes.Contains(r.output, []byte("[no test files]"))
 }
 
@@ -246,10 +250,11 @@
 
 func (r testRun) buildError() string { return r.line(".go:") }
 
-// line returns the first line of the output that has the mark in it.
-func (r testRun) line(mark string) string {
+// line returns the first line of the output that contains substr, or the last line
+// if there is none.
+func (r testRun) line(substr string) string {
 	for line := range strings.Lines(string(r.output)) {
-		if strings.Contains(line, mark) {
+		if strings.Contains(line, substr) {
 			return strings.TrimSpace(line)
 		}
 	}
--- a/tools/guards/guards_test.go
+++ b/tools/guards/guards_test.go
@@ -24,8 +24,8 @@
 }
 `
 
-// A patch that hits another place than the guard would report a guard as held
-// that nothing holds: it must find its text once, in its function.
+// Guards against a patch that changes other code than the guard, which would report
+// an untested guard as killed: the text must occur once, in the named function.
 func TestPatch(t *testing.T) {
 	for _, tt := range []struct {
 		function, old string
@@ -52,25 +52,26 @@
 	}
 }
 
-// A run that ends early, as by a build error, must not count as a killed guard.
+// A run that ends before the test, for example with a build error, must not count
+// as a killed guard.
 func TestTestRun(t *testing.T) {
-	if r := (testRun{output: []byte("FAIL\tp [build failed]\n")}); !r.notBuilt() {
-		t.Error("build error not seen")
+	if r := (testRun{output: []byte("FAIL\tp [build failed]\n")}); !r.buildFailed() {
+		t.Error("build error not detected")
 	}
-	if r := (testRun{passed: true, output: []byte("ok  p 0.1s [no tests to run]\n")}); !r.empty() {
-		t.Error("missing test not seen")
+	if r := (testRun{passed: true, output: []byte("ok  p 0.1s [no tests to run]\n")}); !r.noTests() {
+		t.Error("missing test not detected")
 	}
 }
 
-// An entry without a test, or one that stands twice, would be a guard that
-// nobody checks.
+// Guards against an entry without a test and against a duplicate entry, which would
+// never be checked.
 func TestParseList(t *testing.T) {
-	whole := `{"name":"a","promise":"p","failure":"f","shows":"s","file":"x.go","function":"F","old":"o","new":"","package":"p","tests":"T"}`
+	complete := `{"name":"a","promise":"p","failure":"f","shows":"s","file":"x.go","function":"F","old":"o","new":"","package":"p","tests":"T"}`
 	for list, ok := range map[string]bool{
-		"[" + whole + "]":                                          true,
-		"[" + whole + "," + whole + "]":                            false,
-		"[" + strings.Replace(whole, `"T"`, `""`, 1) + "]":         false,
-		"[" + strings.Replace(whole, `"tests"`, `"test"`, 1) + "]": false,
+		"[" + complete + "]":                                          true,
+		"[" + complete + "," + complete + "]":                         false,
+		"[" + strings.Replace(complete, `"T"`, `""`, 1) + "]":         false,
+		"[" + strings.Replace(complete, `"tests"`, `"test"`, 1) + "]": false,
 	} {
 		if _, err := parseList([]byte(list)); (err == nil) != ok {
 			t.Errorf("%s: error %v", list, err)
@@ -78,8 +79,8 @@
 	}
 }
 
-// The page stands in the repository, so that two runs of one tree must give the
-// same text: guards of one promise together, and each survivor with its reason.
+// The page is kept in the repository, so that two runs on the same tree must produce
+// the same text: guards grouped by promise, and each survivor with its reason.
 func TestPage(t *testing.T) {
 	text := string(page([]Result{
 		{Guard: Guard{Name: "a", Promise: "one"}, Verdict: Killed},
@@ -87,9 +88,9 @@
 		{Guard: Guard{Name: "c", Promise: "one", Surviving: "it is shy"}, Verdict: Survived, order: 2},
 	}))
 	if strings.Count(text, "## One") != 1 || strings.Index(text, "| c |") > strings.Index(text, "## Two") {
-		t.Error("a promise stands in two places")
+		t.Error("the guards of a promise are not grouped")
 	}
 	if !strings.Contains(text, "- c (survived): it is shy.") {
-		t.Error("a survivor has no reason")
+		t.Error("the reason of a survivor is missing")
 	}
 }
--- a/tools/guards/list.go
+++ b/tools/guards/list.go
@@ -7,35 +7,37 @@
 	"os"
 )
 
-// Guard is an entry of the list.
+// Guard is an entry of guards.json: a check in the code that prevents one failure,
+// and the test that must fail without it.
 type Guard struct {
 	Name string `json:"name"`
-	// Promise is the promise of the design that the guard carries, or the matter
-	// it belongs to.
+	// Promise is the guarantee of the design that the guard protects, or the topic
+	// that it belongs to.
 	Promise string `json:"promise"`
-	// CI says that the bounded run of the checks includes the guard.
+	// CI reports whether the guard is checked in CI, which runs only some of them.
 	CI bool `json:"ci,omitempty"`
-	// Failure is the failure it is for, and Shows what a user sees without it.
+	// Failure is the failure that the guard prevents, Shows its visible effect
+	// without the guard.
 	Failure string `json:"failure"`
 	Shows   string `json:"shows"`
 	// File is relative to the root; Function is Name or Type.Name in it.
 	File     string `json:"file"`
 	Function string `json:"function"`
-	// Old stands once in the function and New takes its place.
+	// Old occurs exactly once in the function; New replaces it.
 	Old string `json:"old"`
 	New string `json:"new"`
 	// Package is the import path whose tests matching Tests must then fail.
 	Package string `json:"package"`
 	Tests   string `json:"tests"`
-	// Alone says that the test starts processes on addresses of its own, so
-	// that it can't run beside others of its kind.
+	// Alone reports whether the test starts processes on fixed addresses, so that
+	// it can't run at the same time as others that do.
 	Alone bool `json:"alone,omitempty"`
-	// Surviving says why no test fails yet.
+	// Surviving explains why no test fails without the guard.
 	Surviving string `json:"surviving,omitempty"`
 }
 
-// readList reads the guards and refuses an entry that is not whole or whose
-// name is taken.
+// readList reads the guards from a file. An incomplete entry or a duplicate name
+// is an error.
 func readList(file string) ([]Guard, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -55,11 +57,11 @@
 	for i, g := range guards {
 		for _, field := range []string{g.Name, g.Promise, g.Failure, g.Shows, g.File, g.Function, g.Old, g.Package, g.Tests} {
 			if field == "" {
-				return nil, fmt.Errorf("guard %d %q: a field is missing", i+1, g.Name)
+				return nil, fmt.Errorf("guard %d %q: a required field is empty", i+1, g.Name)
 			}
 		}
 		if names[g.Name] {
-			return nil, fmt.Errorf("guard %q stands twice", g.Name)
+			return nil, fmt.Errorf("duplicate guard name %q", g.Name)
 		}
 		names[g.Name] = true
 	}
--- a/tools/guards/main.go
+++ b/tools/guards/main.go
@@ -1,6 +1,6 @@
-// Guards shows that each guard of the tree is held by a test. For each entry of
-// guards.json it patches the guard off in a scratch copy and runs the test that
-// must then fail.
+// Guards verifies by mutation testing that each guard of the tree is covered by a
+// test. For each entry of guards.json it disables the guard in a scratch copy and
+// runs the test that must then fail.
 //
 // # Usage
 //
@@ -10,8 +10,9 @@
 //
 // It prints one line for each guard and a summary, and exits with status 1 if a
 // guard survives, its patch does not apply or does not build, or its test fails
-// on the tree as it is. With -promises it runs only the guards of the promises;
-// with -table it writes the page of a whole run to FILE.
+// on the unpatched tree. With -promises it checks only the guards that are marked
+// for CI; with -table, which needs a run of all guards, it writes the page with the
+// results to FILE.
 package main
 
 import (
@@ -27,17 +28,17 @@
 	"slices"
 )
 
-// maxParallel bounds how many tests run at the same time.
+// maxParallel is the maximum number of concurrent test runs.
 const maxParallel = 3
 
 func main() {
 	var opt options
-	flag.StringVar(&opt.root, "root", "../..", "root of the tree")
-	flag.StringVar(&opt.list, "list", "guards.json", "list of the guards")
-	flag.StringVar(&opt.table, "table", "", "file to write the page to")
-	flag.StringVar(&opt.only, "only", "", "regular expression of the names to run")
-	flag.BoolVar(&opt.promises, "promises", false, "run only the guards of the promises")
-	flag.IntVar(&opt.parallel, "parallel", maxParallel, "tests at the same time, at most 3")
+	flag.StringVar(&opt.root, "root", "../..", "root directory of the source tree")
+	flag.StringVar(&opt.list, "list", "guards.json", "file with the list of guards")
+	flag.StringVar(&opt.table, "table", "", "write the page with the results to this file")
+	flag.StringVar(&opt.only, "only", "", "check only the guards whose names match this regular expression")
+	flag.BoolVar(&opt.promises, "promises", false, "check only the guards that are marked for CI")
+	flag.IntVar(&opt.parallel, "parallel", maxParallel, "number of concurrent tests, at most 3")
 	flag.Parse()
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	ok, err := run(ctx, opt, os.Stdout)
@@ -51,14 +52,14 @@
 	}
 }
 
-// options are the flags of the program.
+// options holds the command-line flags.
 type options struct {
 	root, list, table, only string
 	promises                bool
 	parallel                int
 }
 
-// run checks the chosen guards and reports whether all are killed.
+// run checks the selected guards and reports whether all were killed.
 func run(ctx context.Context, opt options, out io.Writer) (bool, error) {
 	all, err := readList(opt.list)
 	if err != nil {
@@ -68,10 +69,10 @@
 	if err != nil {
 		return false, err
 	}
-	chosen := slices.DeleteFunc(slices.Clone(all), func(g Guard) bool {
+	selected := slices.DeleteFunc(slices.Clone(all), func(g Guard) bool {
 		return opt.promises && !g.CI || !only.MatchString(g.Name)
 	})
-	if opt.table != "" && len(chosen) < len(all) {
+	if opt.table != "" && len(selected) < len(all) {
 		return false, fmt.Errorf("-table needs a run of all guards")
 	}
 	scratch, err := os.MkdirTemp("", "guards-")
@@ -87,7 +88,7 @@
 		return false, err
 	}
 	c := &checker{tree: filepath.Join(tree, "tree"), scratch: tree}
-	results := c.checkAll(ctx, chosen, min(max(opt.parallel, 1), maxParallel), out)
+	results := c.checkAll(ctx, selected, min(max(opt.parallel, 1), maxParallel), out)
 	if err := ctx.Err(); err != nil {
 		return false, err
 	}
@@ -100,5 +101,5 @@
 	return !slices.ContainsFunc(results, func(r Result) bool { return r.Verdict != Killed }), nil
 }
 
-// byOrder sorts results as they stand in the list.
+// byOrder compares results by their position in the list.
 func byOrder(a, b Result) int { return cmp.Compare(a.order, b.order) }
--- a/tools/guards/page.go
+++ b/tools/guards/page.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// summary counts the verdicts.
+// summary returns a line with the number of guards for each verdict.
 func summary(results []Result) string {
 	counts := make(map[Verdict]int)
 	for _, r := range results {
@@ -39,8 +39,8 @@
 
 `
 
-// page writes the table. It depends on the results alone, so that two runs of
-// the same tree give the same page.
+// page returns the Markdown page with the results. It depends on nothing else, so
+// that two runs on the same tree produce the same page.
 func page(results []Result) []byte {
 	var b bytes.Buffer
 	b.WriteString(head)
@@ -59,12 +59,12 @@
 		fmt.Fprintf(&b, "| %s | %s | %s | `%s`: `%s` | `%s` in `%s` | %s |\n", name, cell(r.Failure), cell(r.Shows),
 			r.File, r.Function, cell(r.Tests), strings.TrimPrefix(r.Package, "verbenashift/"), r.Verdict)
 	}
-	surviving(&b, results)
+	writeSurviving(&b, results)
 	return b.Bytes()
 }
 
-// byPromise returns the results with those of one promise together, promises and
-// guards in the order of the list.
+// byPromise groups the results by promise, and keeps promises and guards in the
+// order of the list.
 func byPromise(results []Result) []Result {
 	first := make(map[string]int)
 	for _, r := range results {
@@ -77,8 +77,8 @@
 	})
 }
 
-// surviving lists the guards that no test is seen to hold.
-func surviving(b *bytes.Buffer, results []Result) {
+// writeSurviving writes the section of the guards that were not killed.
+func writeSurviving(b *bytes.Buffer, results []Result) {
 	b.WriteString("\n## Surviving\n\n")
 	none := true
 	for _, r := range results {
@@ -97,5 +97,5 @@
 	}
 }
 
-// cell makes a text safe in a table.
+// cell escapes a text for a table cell.
 func cell(s string) string { return strings.ReplaceAll(s, "|", `\|`) }
--- a/tools/guards/patch.go
+++ b/tools/guards/patch.go
@@ -13,10 +13,10 @@
 	"strings"
 )
 
-// skipped are directories that hold no source.
-var skipped = []string{".git", "bin", ".ci"}
+// skippedDirs are the directories that contain no source.
+var skippedDirs = []string{".git", "bin", ".ci"}
 
-// copyTree copies the source files below from.
+// copyTree copies the regular files below from, except those of skippedDirs.
 func copyTree(from, to string) error {
 	return filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
@@ -27,7 +27,7 @@
 			return err
 		}
 		if d.IsDir() {
-			if slices.Contains(skipped, rel) {
+			if slices.Contains(skippedDirs, rel) {
 				return filepath.SkipDir
 			}
 			return os.MkdirAll(filepath.Join(to, rel), 0o755)
@@ -44,23 +44,23 @@
 	})
 }
 
-// patch returns the source with the guard switched off. The old text must stand
-// exactly once in the function, so that a patch never hits another place after
-// the code has changed.
+// patch returns the source with the guard disabled. The old text must occur exactly
+// once in the function, so that a patch never hits other code after a change.
 func patch(src []byte, g Guard) ([]byte, error) {
-	start, end, err := span(src, g.Function)
+	start, end, err := funcRange(src, g.Function)
 	if err != nil {
 		return nil, err
 	}
 	body := src[start:end]
 	if n := bytes.Count(body, []byte(g.Old)); n != 1 {
-		return nil, fmt.Errorf("the old text stands %d times in %s", n, g.Function)
+		return nil, fmt.Errorf("old text found %d times in %s, want once", n, g.Function)
 	}
 	return slices.Concat(src[:start], bytes.Replace(body, []byte(g.Old), []byte(g.New), 1), src[end:]), nil
 }
 
-// span finds where a function, Name or Type.Name, begins and ends.
-func span(src []byte, function string) (start, end int, err error) {
+// funcRange returns the byte offsets of the start and end of a function, which is
+// given as Name or Type.Name.
+func funcRange(src []byte, function string) (start, end int, err error) {
 	set := token.NewFileSet()
 	file, err := parser.ParseFile(set, "", src, parser.SkipObjectResolution)
 	if err != nil {
@@ -71,9 +71,10 @@
 			return set.Position(f.Pos()).Offset, set.Position(f.End()).Offset, nil
 		}
 	}
-	return 0, 0, fmt.Errorf("no function %s", function)
+	return 0, 0, fmt.Errorf("function %s not found", function)
 }
 
+// nameOf returns the name of a function, or Type.Name of a method.
 func nameOf(f *ast.FuncDecl) string {
 	if f.Recv == nil || len(f.Recv.List) == 0 {
 		return f.Name.Name
