--- a/agent/dispatch.go
+++ b/agent/dispatch.go
@@ -6,7 +6,7 @@
 	"sync/atomic"
 	"time"
 
-	"verbenashift/core/plumbing/duty"
+	"verbenashift/core/plumbing/eventloop"
 	"verbenashift/core/request/outcome"
 	"verbenashift/core/request/permit"
 	"verbenashift/core/request/queue"
@@ -18,7 +18,7 @@
 // dispatcher owns the queue of the target: it starts requests when the target has
 // a free slot and refuses those that cannot wait or run.
 type dispatcher struct {
-	loop    *duty.Loop
+	loop    *eventloop.Loop
 	queue   *queue.Queue
 	waiters map[string]*waiter
 	shed    []queue.Shed
@@ -58,7 +58,7 @@
 
 func newDispatcher(cfg Settings) *dispatcher {
 	d := &dispatcher{
-		loop: duty.New(dispatchQueueSize),
+		loop: eventloop.New(dispatchQueueSize),
 		queue: queue.New(queue.Limits{
 			Slots: cfg.Slots, Items: cfg.QueueItems, Tokens: int64(cfg.QueueTokens), Rate: float64(cfg.Rate),
 		}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))),
--- a/agent/register.go
+++ b/agent/register.go
@@ -14,7 +14,7 @@
 	"verbenashift/core/configuration/store"
 	"verbenashift/core/peer"
 	"verbenashift/core/peer/wire"
-	"verbenashift/core/plumbing/duty"
+	"verbenashift/core/plumbing/eventloop"
 	"verbenashift/core/request/booking"
 )
 
@@ -34,7 +34,7 @@
 // register owns this agent's state for running a key at most once: as the home of
 // the keys that hash to it, and as the executor of the keys that its target runs.
 type register struct {
-	loop      *duty.Loop
+	loop      *eventloop.Loop
 	home      booking.Home
 	executor  booking.Executor
 	backups   booking.Backups
@@ -55,7 +55,7 @@
 func newRegister(cfg Settings, id identity, s *store.Client, d *peer.Dialer, f *follow.Follower, log *slog.Logger) *register {
 	lim := booking.Limits{Retention: cfg.Retention, MaxRun: cfg.MaxRun, ConfigLag: cfg.ConfigLag}
 	return &register{
-		loop:     duty.New(registerQueueSize),
+		loop:     eventloop.New(registerQueueSize),
 		home:     booking.Home{Name: cfg.Name, Incarnation: id.incarnation, First: id.first, Limits: lim},
 		executor: booking.Executor{Name: cfg.Name, Incarnation: id.incarnation, First: id.first, Limits: lim},
 		backups:  booking.Backups{Limits: lim},
--- a/agent/steering/part.go
+++ b/agent/steering/part.go
@@ -23,7 +23,7 @@
 	"verbenashift/core/experts/group"
 	"verbenashift/core/experts/rank"
 	"verbenashift/core/membership/lease"
-	"verbenashift/core/plumbing/duty"
+	"verbenashift/core/plumbing/eventloop"
 )
 
 // tickInterval is the time between two checks of a group's timers.
@@ -73,7 +73,7 @@
 	started time.Time
 	ctx     context.Context
 	stop    context.CancelFunc
-	loop    *duty.Loop
+	loop    *eventloop.Loop
 	ops     chan rankOp
 	sends   chan struct{}
 	// currentOp is the number of the pending operation at the rank.
@@ -116,7 +116,7 @@
 	g := &Participant{
 		self: d.Self, cfg: d.Settings, log: d.Log.With("group", shape.name), metrics: d.Metrics,
 		rank: d.Rank, peers: d.Peers, store: d.Store, started: time.Now(), fencing: shape.fencing,
-		loop: duty.New(eventQueueSize), ops: make(chan rankOp, 1), sends: make(chan struct{}, maxSends),
+		loop: eventloop.New(eventQueueSize), ops: make(chan rankOp, 1), sends: make(chan struct{}, maxSends),
 		placements: newPlacementCache(),
 		member:     group.NewMember(group.MemberConfig{Name: d.Self, Habit: shape.fencing}, d.Incarnation, 0),
 		holder: lease.NewHolder(lease.Config{
--- a/core/plumbing/duty/duty.go
+++ b/core/plumbing/eventloop/eventloop.go
@@ -1,4 +1,4 @@
-// Package duty implements an event loop that runs functions on one goroutine.
+// Package eventloop implements an event loop that runs functions on one goroutine.
 //
 // State that decisions depend on is owned by one Loop. Other goroutines submit
 // functions through a bounded ring and the loop runs them one after the other, so
@@ -7,10 +7,10 @@
 //
 // # Usage
 //
-//	l := duty.New(256)
+//	l := eventloop.New(256)
 //	go l.Run(ctx)
 //	err := l.Do(ctx, func() { verdict = register.Accept(submission) })
-package duty
+package eventloop
 
 import (
 	"context"
--- a/core/plumbing/duty/duty_test.go
+++ b/core/plumbing/eventloop/eventloop_test.go
@@ -1,4 +1,4 @@
-package duty_test
+package eventloop_test
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/matryer/is"
 
-	"verbenashift/core/plumbing/duty"
+	"verbenashift/core/plumbing/eventloop"
 )
 
 // Guards against functions that run concurrently: two requests that decide on the same
@@ -17,12 +17,12 @@
 func TestTasksRunOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		d := duty.New(4)
-		go d.Run(t.Context())
+		l := eventloop.New(4)
+		go l.Run(t.Context())
 		n := 0
 		var wg sync.WaitGroup
 		for range 50 {
-			wg.Go(func() { is.NoErr(d.Do(t.Context(), func() { n++ })) })
+			wg.Go(func() { is.NoErr(l.Do(t.Context(), func() { n++ })) })
 		}
 		wg.Wait()
 		is.Equal(n, 50)
@@ -37,13 +37,13 @@
 		start := time.Now()
 		at := start.Add(time.Minute)
 		var ran []time.Duration
-		d := duty.New(4)
-		d.After(func() {
+		l := eventloop.New(4)
+		l.After(func() {
 			ran = append(ran, time.Since(start))
 			at = start.Add(time.Hour)
 		}, func() (time.Time, bool) { return at, true })
 		ctx, cancel := context.WithCancel(t.Context())
-		go d.Run(ctx)
+		go l.Run(ctx)
 		time.Sleep(2 * time.Minute)
 		cancel()
 		synctest.Wait()
@@ -55,6 +55,6 @@
 	is := is.New(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	d := duty.New(1)
-	is.Equal(d.Do(ctx, func() {}), context.Canceled)
+	l := eventloop.New(1)
+	is.Equal(l.Do(ctx, func() {}), context.Canceled)
 }
--- a/core/plumbing/story/groups.go
+++ b/core/plumbing/logreader/groups.go
@@ -1,4 +1,4 @@
-package story
+package logreader
 
 import (
 	"cmp"
--- a/core/plumbing/story/groups_test.go
+++ b/core/plumbing/logreader/groups_test.go
@@ -1,4 +1,4 @@
-package story
+package logreader
 
 import (
 	"fmt"
@@ -18,7 +18,7 @@
 // Guards against logs that do not show a gap without a coordinator or two coordinators at
 // once: in one group the coordinator is killed and another agent takes over two seconds
 // later; in the other group two act at the same time for a moment.
-func TestHowGroupsWereSteered(t *testing.T) {
+func TestGroupSummariesShowMissingAndConcurrentCoordinators(t *testing.T) {
 	is := is.New(t)
 	got := GroupSummaries(Read(strings.NewReader(strings.Join([]string{
 		groupLine(0, "steward begins", "a", "g0", ""),
--- a/core/plumbing/story/story.go
+++ b/core/plumbing/logreader/logreader.go
@@ -1,4 +1,4 @@
-// Package story reconstructs from log files alone how a request ended, and why.
+// Package logreader reconstructs from log files alone how a request ended, and why.
 //
 // Programs log a line for each decision that affects a request and for each change
 // of the state that decisions depend on. The trace of a request consists of its own
@@ -8,10 +8,10 @@
 //
 // # Usage
 //
-//	lines := story.Read(file)
-//	own := story.RequestTrace(id, lines)
-//	fmt.Println(story.CauseOf(id, own))
-package story
+//	lines := logreader.Read(file)
+//	own := logreader.RequestTrace(id, lines)
+//	fmt.Println(logreader.CauseOf(id, own))
+package logreader
 
 import (
 	"bufio"
--- a/core/plumbing/story/doubts.go
+++ b/core/plumbing/logreader/suspicions.go
@@ -1,4 +1,4 @@
-package story
+package logreader
 
 import (
 	"cmp"
@@ -41,39 +41,39 @@
 	}
 }
 
-func (d *suspicionBuilder) add(l Line) {
+func (b *suspicionBuilder) add(l Line) {
 	if l.Message == "target health" {
 		if l.Field("state") == "ejected" {
-			d.ejected[l.Instance] = true
+			b.ejected[l.Instance] = true
 		}
 		return
 	}
-	if d.First.IsZero() {
-		d.First = l.At
+	if b.First.IsZero() {
+		b.First = l.At
 	}
-	d.Last = l.At
-	d.Service = l.Field("service")
+	b.Last = l.At
+	b.Service = l.Field("service")
 	own := strings.Trim(l.Field("by"), `"`) == "own requests"
 	if own {
-		d.Observations++
-		d.observers[l.Instance] = true
-		d.causes[l.Field("cause")] = true
+		b.Observations++
+		b.observers[l.Instance] = true
+		b.causes[l.Field("cause")] = true
 	} else {
-		d.informed[l.Instance] = true
+		b.informed[l.Instance] = true
 	}
-	if acts := own || number(l, "reports") >= reportsNeeded; acts && !d.acting[l.Instance] {
-		d.acting[l.Instance] = true
-		d.Propagation = l.At.Sub(d.First)
+	if acts := own || number(l, "reports") >= reportsNeeded; acts && !b.acting[l.Instance] {
+		b.acting[l.Instance] = true
+		b.Propagation = l.At.Sub(b.First)
 	}
 }
 
-func (d *suspicionBuilder) finish() Suspicion {
-	d.Observers, d.Informed, d.Ejected = len(d.observers), len(d.informed), len(d.ejected)
-	for cause := range d.causes {
-		d.Causes = append(d.Causes, cause)
+func (b *suspicionBuilder) finish() Suspicion {
+	b.Observers, b.Informed, b.Ejected = len(b.observers), len(b.informed), len(b.ejected)
+	for cause := range b.causes {
+		b.Causes = append(b.Causes, cause)
 	}
-	slices.Sort(d.Causes)
-	return d.Suspicion
+	slices.Sort(b.Causes)
+	return b.Suspicion
 }
 
 // Suspicions returns the targets that the gateways suspected, in the order of the first suspicions.
@@ -92,9 +92,9 @@
 		targets[target].add(l)
 	}
 	var out []Suspicion
-	for _, d := range targets {
-		if !d.First.IsZero() {
-			out = append(out, d.finish())
+	for _, b := range targets {
+		if !b.First.IsZero() {
+			out = append(out, b.finish())
 		}
 	}
 	slices.SortFunc(out, func(a, b Suspicion) int { return cmp.Or(a.First.Compare(b.First), cmp.Compare(a.Target, b.Target)) })
--- a/core/plumbing/story/doubts_test.go
+++ b/core/plumbing/logreader/suspicions_test.go
@@ -1,4 +1,4 @@
-package story
+package logreader
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 // Guards against logs that do not show why a target is avoided, which gateways observed it
 // failing, and since when.
-func TestHowTargetsWereDoubted(t *testing.T) {
+func TestSuspicionsCountWhoObservedATarget(t *testing.T) {
 	is := is.New(t)
 	begin := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	line := func(ms int, instance, message, more string) string {
--- a/ctl/doubts.go
+++ b/ctl/doubts.go
@@ -8,7 +8,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"verbenashift/core/plumbing/story"
+	"verbenashift/core/plumbing/logreader"
 )
 
 func (p *program) doubtsCommand() *cli.Command {
@@ -37,9 +37,9 @@
 	if _, err := fmt.Fprintln(w, "target\tservice\tcauses\town\tgateways\ttold\tfrom\tuntil\tall-act-ms\tejected\t"); err != nil {
 		return err
 	}
-	for _, d := range story.Suspicions(lines) {
-		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%d\t%d\t\n", d.Target, d.Service, strings.Join(d.Causes, ","),
-			d.Observations, d.Observers, d.Informed, d.First.Format(timeOfDay), d.Last.Format(timeOfDay), d.Propagation.Milliseconds(), d.Ejected); err != nil {
+	for _, s := range logreader.Suspicions(lines) {
+		if _, err := fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%s\t%s\t%d\t%d\t\n", s.Target, s.Service, strings.Join(s.Causes, ","),
+			s.Observations, s.Observers, s.Informed, s.First.Format(timeOfDay), s.Last.Format(timeOfDay), s.Propagation.Milliseconds(), s.Ejected); err != nil {
 			return err
 		}
 	}
--- a/ctl/explain.go
+++ b/ctl/explain.go
@@ -8,7 +8,7 @@
 	"github.com/go-faster/errors"
 	"github.com/urfave/cli/v3"
 
-	"verbenashift/core/plumbing/story"
+	"verbenashift/core/plumbing/logreader"
 )
 
 func (p *program) explainCommand() *cli.Command {
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	own := story.RequestTrace(id, lines)
+	own := logreader.RequestTrace(id, lines)
 	if len(own) == 0 {
 		return errors.Errorf("no line of request %s", id)
 	}
@@ -40,22 +40,22 @@
 			return err
 		}
 	}
-	_, err = fmt.Fprintln(p.out, "cause:", story.CauseOf(id, own))
+	_, err = fmt.Fprintln(p.out, "cause:", logreader.CauseOf(id, own))
 	return err
 }
 
 // readLogs reads the lines of all files, or of standard input if there are none.
-func (p *program) readLogs(files []string) ([]story.Line, error) {
+func (p *program) readLogs(files []string) ([]logreader.Line, error) {
 	if len(files) == 0 {
-		return story.Read(p.in), nil
+		return logreader.Read(p.in), nil
 	}
-	var lines []story.Line
+	var lines []logreader.Line
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, errors.Wrap(err, "open log")
 		}
-		lines = append(lines, story.Read(f)...)
+		lines = append(lines, logreader.Read(f)...)
 		// The file was only read, so that an error of Close can be ignored.
 		_ = f.Close()
 	}
--- a/ctl/shares.go
+++ b/ctl/shares.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"verbenashift/core/plumbing/story"
+	"verbenashift/core/plumbing/logreader"
 )
 
 func (p *program) sharesCommand() *cli.Command {
@@ -28,16 +28,16 @@
 	if err != nil {
 		return err
 	}
-	var group func(story.Line) string
+	var group func(logreader.Line) string
 	switch by {
 	case "workspace", "route":
-		group = story.ByField(by)
+		group = logreader.ByField(by)
 	case "instance":
-		group = func(l story.Line) string { return l.Instance }
+		group = func(l logreader.Line) string { return l.Instance }
 	case "size":
-		group = story.BySize(lines)
+		group = logreader.BySize(lines)
 	case "reason":
-		group = story.ByReason(lines)
+		group = logreader.ByReason(lines)
 	default:
 		return usagef("shares: -by %s: want workspace, route, size, instance or reason", by)
 	}
@@ -45,7 +45,7 @@
 	if _, err := fmt.Fprintln(w, by+"\ttries\ton-time\tlate\trefused\tfailed\tleft\tserved\t"); err != nil {
 		return err
 	}
-	for _, s := range story.Shares(lines, group) {
+	for _, s := range logreader.Shares(lines, group) {
 		if _, err := fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%.3f\t\n", s.Group, s.Tries, s.OnTime, s.Late, s.Refused, s.Failed, s.Disconnected, s.Served()); err != nil {
 			return err
 		}
--- a/ctl/stewards.go
+++ b/ctl/stewards.go
@@ -7,7 +7,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"verbenashift/core/plumbing/story"
+	"verbenashift/core/plumbing/logreader"
 )
 
 func (p *program) stewardsCommand() *cli.Command {
@@ -33,7 +33,7 @@
 	if _, err := fmt.Fprintln(w, "group\tstewards\tat-once\twithout-ms\tchanges\tskew\tskew-p95\tpass-ms\t"); err != nil {
 		return err
 	}
-	for _, g := range story.GroupSummaries(lines) {
+	for _, g := range logreader.GroupSummaries(lines) {
 		if _, err := fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%.2f\t%.2f\t%.0f\t\n", g.Group, g.Coordinators, g.MaxConcurrent,
 			g.Uncoordinated.Milliseconds(), g.MapChanges, g.Skew, g.WorstSkew, g.PassMillis); err != nil {
 			return err
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -15,22 +15,22 @@
 	"verbenashift/core/configuration/deployment"
 	"verbenashift/core/experts/rankpeer"
 	"verbenashift/core/plumbing/eventlog"
-	"verbenashift/core/plumbing/story"
+	"verbenashift/core/plumbing/logreader"
 	"verbenashift/platform"
 	"verbenashift/standin/scripted"
 )
 
 // logged gives a rig a log and returns a function that reads it.
-func (r *rig) logged() func() []story.Line {
+func (r *rig) logged() func() []logreader.Line {
 	var out bytes.Buffer
 	log, stop := eventlog.New(&out, "gateway", "front-1", slog.LevelInfo)
 	r.gateway.log, r.gateway.fleet.log = log, log
-	return func() []story.Line {
+	return func() []logreader.Line {
 		stop()
 		if strings.Contains(out.String(), rigKey) || strings.Contains(out.String(), rigBody) {
 			r.t.Error("a key or a body is in the log")
 		}
-		return story.Read(&out)
+		return logreader.Read(&out)
 	}
 }
 
@@ -42,7 +42,7 @@
 	change func(*rig, *scripted.Call)
 	// group is a log line that the coordinator has written meanwhile.
 	group string
-	want  story.Kind
+	want  logreader.Kind
 }
 
 func failures() map[string]failureCase {
@@ -54,19 +54,19 @@
 	}
 	short := func(_ *rig, c *scripted.Call) { c.Timeout = 100 * time.Millisecond }
 	return map[string]failureCase{
-		"served":              {kind: deployment.Safe, script: ok, want: story.Served},
-		"no such route":       {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Path = "/none/" }, want: story.NotAllowed},
-		"key taken away":      {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Key = "old" }, want: story.NotAllowed},
-		"gateway just begun":  {kind: deployment.Safe, script: ok, change: func(r *rig, _ *scripted.Call) { r.restart(); r.gateway.startup.Unreachable() }, want: story.NoConfiguration},
-		"failed by servers":   {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Respond(500, "no") }, want: story.ServerFailed},
-		"refused by servers":  {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, want: story.Refused},
-		"answer lost":         {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Close() }, want: story.ConnectionLost},
-		"stream broken off":   {kind: deployment.Stream, script: breakOff, want: story.ConnectionLost},
-		"server hangs":        {kind: deployment.Unsafe, script: hang, change: short, want: story.DeadlineExceeded},
-		"a rank is gone":      {kind: deployment.Stream, script: func(x *scripted.Exchange) { x.Refuse() }, group: group(15, 1, 1.1), want: story.RankMissing},
-		"a slow server":       {kind: deployment.Stream, script: hang, change: short, group: group(16, 4, 1.1), want: story.SlowServer},
-		"uneven experts":      {kind: deployment.Stream, script: hang, change: short, group: group(16, 1, 3.2), want: story.ImbalancedExperts},
-		"another group's ill": {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, group: strings.Replace(group(3, 9, 9), `"pool"`, `"other"`, 1), want: story.Refused},
+		"served":              {kind: deployment.Safe, script: ok, want: logreader.Served},
+		"no such route":       {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Path = "/none/" }, want: logreader.NotAllowed},
+		"key taken away":      {kind: deployment.Safe, script: ok, change: func(_ *rig, c *scripted.Call) { c.Key = "old" }, want: logreader.NotAllowed},
+		"gateway just begun":  {kind: deployment.Safe, script: ok, change: func(r *rig, _ *scripted.Call) { r.restart(); r.gateway.startup.Unreachable() }, want: logreader.NoConfiguration},
+		"failed by servers":   {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Respond(500, "no") }, want: logreader.ServerFailed},
+		"refused by servers":  {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, want: logreader.Refused},
+		"answer lost":         {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Close() }, want: logreader.ConnectionLost},
+		"stream broken off":   {kind: deployment.Stream, script: breakOff, want: logreader.ConnectionLost},
+		"server hangs":        {kind: deployment.Unsafe, script: hang, change: short, want: logreader.DeadlineExceeded},
+		"a rank is gone":      {kind: deployment.Stream, script: func(x *scripted.Exchange) { x.Refuse() }, group: group(15, 1, 1.1), want: logreader.RankMissing},
+		"a slow server":       {kind: deployment.Stream, script: hang, change: short, group: group(16, 4, 1.1), want: logreader.SlowServer},
+		"uneven experts":      {kind: deployment.Stream, script: hang, change: short, group: group(16, 1, 3.2), want: logreader.ImbalancedExperts},
+		"another group's ill": {kind: deployment.Unsafe, script: func(x *scripted.Exchange) { x.Refuse() }, group: strings.Replace(group(3, 9, 9), `"pool"`, `"other"`, 1), want: logreader.Refused},
 	}
 }
 
@@ -91,8 +91,8 @@
 			}
 			c.Do(t.Context())
 			lines := read()
-			lines = append(lines, story.Read(strings.NewReader(tt.group))...)
-			is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, lines)).Kind, tt.want)
+			lines = append(lines, logreader.Read(strings.NewReader(tt.group))...)
+			is.Equal(logreader.CauseOf(c.ID, logreader.RequestTrace(c.ID, lines)).Kind, tt.want)
 		})
 	}
 }
@@ -111,7 +111,7 @@
 	c.Do(ctx)
 	<-s.Disconnects()
 	time.Sleep(20 * time.Millisecond) // The line is written after the connection is closed.
-	is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, read())).Kind, story.CallerDisconnected)
+	is.Equal(logreader.CauseOf(c.ID, logreader.RequestTrace(c.ID, read())).Kind, logreader.CallerDisconnected)
 }
 
 // Guards against a refusal that does not name its queue.
@@ -142,7 +142,7 @@
 	is.Equal(got.Status, platform.StatusNotRun)
 	close(hold)
 	is.Equal((<-answer).Status, http.StatusOK)
-	is.Equal(story.CauseOf(c.ID, story.RequestTrace(c.ID, read())).Kind, story.Overload)
+	is.Equal(logreader.CauseOf(c.ID, logreader.RequestTrace(c.ID, read())).Kind, logreader.Overload)
 }
 
 // Guards against a request history that lacks the reason why a stream was moved.
@@ -162,9 +162,9 @@
 	r.gateway.fleet.mu.Unlock()
 	c := &call{gateway: r.gateway, request: request{req: platform.Request{ID: "r1"}, arrived: now}}
 	c.logOutcome("outcome", "broken-off", "reason", "answer broken in body: i/o timeout")
-	own := story.RequestTrace("r1", read())
+	own := logreader.RequestTrace("r1", read())
 	is.Equal(own[0].Message, "target silent")
-	is.Equal(story.CauseOf("r1", own).Kind, story.ServerSilent)
+	is.Equal(logreader.CauseOf("r1", own).Kind, logreader.ServerSilent)
 }
 
 // Guards against log lines without the age of the load report by which a target was picked.
@@ -175,7 +175,7 @@
 	read := r.logged()
 	r.gateway.digest(&rankpeer.Digest{Targets: []string{"t0"}, Running: []uint16{1}, Queued: []uint16{0}, Pace: []uint16{10}}, time.Now().Add(-700*time.Millisecond))
 	c, _ := r.ask()
-	for _, l := range story.RequestTrace(c.ID, read()) {
+	for _, l := range logreader.RequestTrace(c.ID, read()) {
 		if l.Message != "request" {
 			continue
 		}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -10,7 +10,7 @@
 
 	"verbenashift/core/configuration/deployment"
 	"verbenashift/core/configuration/kv"
-	"verbenashift/core/plumbing/story"
+	"verbenashift/core/plumbing/logreader"
 	"verbenashift/core/request/quarantine"
 	"verbenashift/standin/scripted"
 )
@@ -134,8 +134,8 @@
 	r.True(answer.RetryAfter() > 9*time.Minute) // that of the hold, not of the queue
 	close(hold)
 	r.Equal((<-served).Status, http.StatusOK)
-	own := story.RequestTrace(c.ID, read())
-	r.Equal(story.CauseOf(c.ID, own), story.Cause{Kind: story.Quarantined, Detail: "print " + r.print().Short()})
+	own := logreader.RequestTrace(c.ID, read())
+	r.Equal(logreader.CauseOf(c.ID, own), logreader.Cause{Kind: logreader.Quarantined, Detail: "print " + r.print().Short()})
 }
 
 // Guards against the outcome "not run" for a request that has crashed a server.
