--- a/entry/settings.go
+++ b/entry/settings.go
@@ -63,7 +63,7 @@
 	c.Peer.Declare(&s)
 	s.Addresses("store", "addresses", &c.Store, "the platform's key-value service")
 	s.Duration("store", "timeout", &c.StoreTimeout, 2*time.Second, 10*time.Millisecond, time.Minute, "longest call to the store")
-	s.Duration("store", "refresh", &c.StoreRefresh, 30*time.Second, time.Second, time.Hour, "how often the head is read beside watches and peers")
+	s.Duration("store", "refresh", &c.StoreRefresh, 30*time.Second, time.Second, time.Hour, "time between reads of the configuration's head, in addition to watches and peers")
 	s.Address("instances", "address", &c.Instances, "none", "the platform's list of live and leaving instances; none disables it")
 	s.Duration("instances", "poll", &c.InstancesPoll, 2*time.Second, 100*time.Millisecond, time.Minute, "how often the list is read")
 	s.Addresses("peers", "seeds", &c.Seeds, "agents to ask for the configuration when the store is down")
