--- a/core/configuration/config/bench_test.go
+++ b/core/configuration/config/bench_test.go
@@ -9,9 +9,9 @@
 	"verbenashift/core/configuration/config"
 )
 
-// BenchmarkTakeInForce measures the cost of one new revision with 930
+// BenchmarkDecodeAndIndex measures the cost of one new revision with 930
 // workspaces and 670 targets: decompress, decode, validate and index it.
-func BenchmarkTakeInForce(b *testing.B) {
+func BenchmarkDecodeAndIndex(b *testing.B) {
 	packed, err := config.EncodeGzip(sized(930, 670))
 	is.New(b).NoErr(err)
 	b.ReportAllocs()
--- a/core/configuration/config/bootstrap_test.go
+++ b/core/configuration/config/bootstrap_test.go
@@ -11,10 +11,10 @@
 	"verbenashift/core/configuration/config"
 )
 
-func answersFrom(asked time.Time, revisions map[string]uint64) []config.PeerAnswer {
+func answersFrom(requestedAt time.Time, revisions map[string]uint64) []config.PeerAnswer {
 	var list []config.PeerAnswer
 	for name, r := range revisions {
-		list = append(list, config.PeerAnswer{From: name, Bootstrapped: true, Revision: r, RequestedAt: asked})
+		list = append(list, config.PeerAnswer{From: name, Bootstrapped: true, Revision: r, RequestedAt: requestedAt})
 	}
 	return list
 }
@@ -96,9 +96,9 @@
 	}
 }
 
-// ask gives a starting member the answer of a peer, and lets it finish its
+// query gives a starting member the answer of a peer, and lets it finish its
 // start if that suffices.
-func (e *electorate) ask(name, peer string) {
+func (e *electorate) query(name, peer string) {
 	m, p := e.members[name], e.members[peer]
 	if m.bootstrapped {
 		return
@@ -164,7 +164,7 @@
 			"ask": func(t *rapid.T) {
 				node := name.Draw(t, "node")
 				for _, peer := range rapid.Permutation(memberNames).Draw(t, "peers")[:3] {
-					e.ask(node, peer)
+					e.query(node, peer)
 				}
 			},
 			"wait": func(*rapid.T) { e.now = e.now.Add(time.Second) },
--- a/core/configuration/config/config_test.go
+++ b/core/configuration/config/config_test.go
@@ -251,7 +251,7 @@
 	is.Equal(len(tr.History()), config.MaxHistory)
 }
 
-func TestWatches(t *testing.T) {
+func TestIsWatcher(t *testing.T) {
 	is := is.New(t)
 	var zone []string
 	for i := range 118 {
--- a/core/configuration/follow/follow_test.go
+++ b/core/configuration/follow/follow_test.go
@@ -131,7 +131,7 @@
 // Guards against retries without backoff during a long outage of the store, after
 // which all nodes would call it at once. The pauses grow, and the store's
 // configuration is taken once it answers.
-func TestStoreIsAskedSeldomInAnOutage(t *testing.T) {
+func TestStoreIsQueriedSeldomInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &fakeStore{down: true, watch: make(chan config.Config)}
--- a/core/configuration/follow/spread.go
+++ b/core/configuration/follow/gossip.go
@@ -40,12 +40,12 @@
 }
 
 // Run exchanges until ctx ends.
-func (s *Gossip) Run(ctx context.Context) {
-	tick := time.NewTicker(s.Period)
+func (g *Gossip) Run(ctx context.Context) {
+	tick := time.NewTicker(g.Period)
 	defer tick.Stop()
 	for {
-		for _, t := range s.pickPeers() {
-			go s.exchange(ctx, t)
+		for _, t := range g.pickPeers() {
+			go g.exchange(ctx, t)
 		}
 		select {
 		case <-tick.C:
@@ -57,13 +57,13 @@
 
 // pickPeers picks the agents of one round: the seeds until there is a
 // configuration.
-func (s *Gossip) pickPeers() []config.Target {
-	x := s.Follower.Index()
+func (g *Gossip) pickPeers() []config.Target {
+	x := g.Follower.Index()
 	if x == nil {
-		return s.seeds()
+		return g.seeds()
 	}
 	var picked []config.Target
-	for _, name := range s.Members.Round() {
+	for _, name := range g.Members.Round() {
 		if t, ok := x.Target(name); ok {
 			picked = append(picked, *t)
 		}
@@ -71,71 +71,71 @@
 	return picked
 }
 
-func (s *Gossip) seeds() []config.Target {
-	targets := make([]config.Target, 0, len(s.Seeds))
-	for _, addr := range s.Seeds {
+func (g *Gossip) seeds() []config.Target {
+	targets := make([]config.Target, 0, len(g.Seeds))
+	for _, addr := range g.Seeds {
 		targets = append(targets, config.Target{Name: addr, Agent: addr})
 	}
 	return targets
 }
 
-func (s *Gossip) exchange(ctx context.Context, t config.Target) {
-	ctx, cancel := context.WithTimeout(ctx, s.Period+exchangeGrace)
+func (g *Gossip) exchange(ctx context.Context, t config.Target) {
+	ctx, cancel := context.WithTimeout(ctx, g.Period+exchangeGrace)
 	defer cancel()
 	requestedAt := time.Now()
-	fetched := s.Follower.FetchedRevision()
-	req := &wire.ExchangeRequest{From: s.Name, Revision: s.Follower.Revision(), Digest: s.Members.Digest(t.Name)}
-	if s.Describe != nil {
-		s.Describe(req)
+	fetched := g.Follower.FetchedRevision()
+	req := &wire.ExchangeRequest{From: g.Name, Revision: g.Follower.Revision(), Digest: g.Members.Digest(t.Name)}
+	if g.Describe != nil {
+		g.Describe(req)
 	}
-	resp, err := s.Dialer.Agent(t.Agent).Exchange(ctx, connect.NewRequest(req))
+	resp, err := g.Dialer.Agent(t.Agent).Exchange(ctx, connect.NewRequest(req))
 	if err != nil {
-		s.fail(t.Name)
+		g.fail(t.Name)
 		return
 	}
-	if err := s.Members.Merge(resp.Msg.Digest); err != nil {
-		s.Log.Info("digest of a peer not taken", "peer", t.Name, "error", err)
+	if err := g.Members.Merge(resp.Msg.Digest); err != nil {
+		g.Log.Info("membership digest of a peer not merged", "peer", t.Name, "error", err)
 	}
-	if s.OnResponse != nil {
-		s.OnResponse(t.Name, resp.Msg)
+	if g.OnResponse != nil {
+		g.OnResponse(t.Name, resp.Msg)
 	}
 	if resp.Msg.Revision > 0 {
-		s.Follower.MarkConfirmed()
-		s.Follower.AddAnswer(config.PeerAnswer{From: t.Agent, Revision: resp.Msg.Revision, RequestedAt: requestedAt})
+		g.Follower.MarkConfirmed()
+		g.Follower.AddAnswer(config.PeerAnswer{From: t.Agent, Revision: resp.Msg.Revision, RequestedAt: requestedAt})
 	}
 	if resp.Msg.Revision > fetched {
-		s.fetch(ctx, t)
+		g.fetch(ctx, t)
 	}
-	if resp.Msg.Revision < s.Follower.Revision() {
-		s.push(ctx, t)
+	if resp.Msg.Revision < g.Follower.Revision() {
+		g.push(ctx, t)
 	}
 }
 
-func (s *Gossip) fail(agent string) {
-	s.Members.RecordFailure(agent)
-	if s.OnFailure != nil {
-		s.OnFailure(agent)
+func (g *Gossip) fail(agent string) {
+	g.Members.RecordFailure(agent)
+	if g.OnFailure != nil {
+		g.OnFailure(agent)
 	}
 }
 
 // fetch gets the configuration of an agent that has a higher revision.
-func (s *Gossip) fetch(ctx context.Context, t config.Target) {
-	resp, err := s.Dialer.Agent(t.Agent).FetchConfig(ctx, connect.NewRequest(&wire.FetchConfigRequest{HaveRevision: s.Follower.FetchedRevision()}))
+func (g *Gossip) fetch(ctx context.Context, t config.Target) {
+	resp, err := g.Dialer.Agent(t.Agent).FetchConfig(ctx, connect.NewRequest(&wire.FetchConfigRequest{HaveRevision: g.Follower.FetchedRevision()}))
 	if err != nil || len(resp.Msg.Config) == 0 {
 		return
 	}
-	if _, err := s.Follower.OfferEncoded(resp.Msg.Config); err != nil {
-		s.Log.Warn("configuration of a peer is unreadable", "peer", t.Name, "error", err)
+	if _, err := g.Follower.OfferEncoded(resp.Msg.Config); err != nil {
+		g.Log.Warn("configuration of a peer is unreadable", "peer", t.Name, "error", err)
 	}
 }
 
 // push sends the configuration to an agent that has a lower revision.
-func (s *Gossip) push(ctx context.Context, t config.Target) {
-	revision, data := s.Follower.Encoded()
+func (g *Gossip) push(ctx context.Context, t config.Target) {
+	revision, data := g.Follower.Encoded()
 	if len(data) == 0 {
 		return
 	}
-	_, _ = s.Dialer.Agent(t.Agent).Exchange(ctx, connect.NewRequest(&wire.ExchangeRequest{
-		From: s.Name, Revision: revision, Config: data,
+	_, _ = g.Dialer.Agent(t.Agent).Exchange(ctx, connect.NewRequest(&wire.ExchangeRequest{
+		From: g.Name, Revision: revision, Config: data,
 	}))
 }
--- a/core/configuration/intent/intent_test.go
+++ b/core/configuration/intent/intent_test.go
@@ -297,12 +297,12 @@
 // updateDuringRead is a store during whose reads the node receives a newer revision.
 type updateDuringRead struct {
 	intent.Store
-	news func()
+	update func()
 }
 
 func (s updateDuringRead) Get(ctx context.Context, key string) (store.KV, error) {
 	kv, err := s.Store.Get(ctx, key)
-	s.news()
+	s.update()
 	return kv, err
 }
 
@@ -310,11 +310,11 @@
 // operators confirm conflicting plans, and while the second entry reads the head, it receives
 // by heartbeat the revision that the first has made. It was seen as "answer":"regressed" in the
 // entry's log, in the same millisecond as "configuration in force" with revision 2.
-func TestNewsDuringAReadIsNoRegress(t *testing.T) {
+func TestUpdateDuringAReadIsNotARegression(t *testing.T) {
 	p, f, is := start(t)
 	inForce := uint64(0)
 	p.Head.InForce = func() uint64 { return inForce }
-	p.Head.Store = updateDuringRead{Store: f, news: func() { inForce = 7 }}
+	p.Head.Store = updateDuringRead{Store: f, update: func() { inForce = 7 }}
 	_, _, err := p.Head.Read(t.Context())
 	is.NoErr(err)
 	var regressed *intent.RegressedError
--- a/core/configuration/intent/oracle_test.go
+++ b/core/configuration/intent/oracle_test.go
@@ -133,7 +133,7 @@
 // and abandon and the store loses answers, rejects writes and applies some long
 // after they seemed lost: "nothing was changed" would be reported of a plan that
 // is then applied, or a plan would be applied twice.
-func TestOperatorsAreToldTheTruth(t *testing.T) {
+func TestReportedOutcomesMatchTheHead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &flaky{fake: &fake{keys: map[string]store.KV{}}, t: t}
 		c := base()
--- a/core/configuration/mirror/follower_test.go
+++ b/core/configuration/mirror/follower_test.go
@@ -143,7 +143,7 @@
 
 // Guards against a call to the store for each of many changes, and against a delay of a single
 // change.
-func TestChangesThatKeepComingAreGathered(t *testing.T) {
+func TestFrequentChangesAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var revision, calls atomic.Int64
--- a/core/configuration/mirror/listen.go
+++ b/core/configuration/mirror/listen.go
@@ -12,7 +12,7 @@
 type listener struct {
 	prefix string
 	fn     func(items []kv.Item, complete bool)
-	// changesOnly says that it gets nothing but changesOnly.
+	// changesOnly reports whether it gets only changes, and no complete lists.
 	changesOnly bool
 }
 
--- a/core/configuration/mirror/listen_test.go
+++ b/core/configuration/mirror/listen_test.go
@@ -50,7 +50,7 @@
 }
 
 // Guards against a process that is not notified when the store stops answering.
-func TestLostStoreIsTold(t *testing.T) {
+func TestLostStoreIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		s := &script{rangeOf: func(string) (kv.Page, error) { return kv.Page{}, context.DeadlineExceeded }}
--- a/core/configuration/mirror/mirror_test.go
+++ b/core/configuration/mirror/mirror_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func gone(id string, revision int64) kv.Item {
+func deletedItem(id string, revision int64) kv.Item {
 	return kv.Item{Key: testTargetPrefix + id, Deleted: true, Revision: revision}
 }
 
@@ -64,7 +64,7 @@
 	v := m.Snapshot()
 	is.Equal(len(v.Targets), 1)
 	is.Equal(v.Targets["new"].ID, "new")
-	m.Apply([]kv.Item{gone("old", 10)}, 10)
+	m.Apply([]kv.Item{deletedItem("old", 10)}, 10)
 	is.Equal(len(m.Snapshot().Targets), 1)
 }
 
--- a/core/configuration/operator/operator_test.go
+++ b/core/configuration/operator/operator_test.go
@@ -162,7 +162,7 @@
 // how near a guess was, or which paths exist. Causes would be a check that returns
 // early, a router that responds before authentication, or a read of the store
 // (down here) for some tokens only.
-func TestStrangersSeeOneAnswer(t *testing.T) {
+func TestUnauthenticatedCallersGetOneAnswer(t *testing.T) {
 	d, is := started(t)
 	d.store.fail = &store.UnavailableError{Op: "get"}
 	want := ""
@@ -331,7 +331,7 @@
 	is.Equal(kindOf(err), operator.KindUnknown) // the change may have been made
 }
 
-func TestNothingLeaks(t *testing.T) {
+func TestSecretsAreNotDisclosed(t *testing.T) {
 	d, is := started(t)
 	hash := config.HashToken("caller")
 	_, body := get(is, d.url+"/admin/v1/config", "Bearer viewer")
--- a/core/configuration/store/store_test.go
+++ b/core/configuration/store/store_test.go
@@ -240,7 +240,7 @@
 
 // Guards against waiting without end for a store that accepts a watch and never
 // confirms it; the call's timeout ends it.
-func TestWatchThatNeverStands(t *testing.T) {
+func TestUnconfirmedWatchTimesOut(t *testing.T) {
 	is := is.New(t)
 	address, _ := server(t, func(w http.ResponseWriter, r *http.Request) {
 		_ = http.NewResponseController(w).Flush()
--- a/core/peer/peer.go
+++ b/core/peer/peer.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	d := peer.NewDialer(peer.DialConfig{})
-//	stream, err := d.Agent("127.0.0.1:7001").Submit(ctx, connect.NewRequest(req))
+//	stream, err := d.Submit(ctx, "127.0.0.1:7001", req)
 package peer
 
 import (
