--- a/agent/app.go
+++ b/agent/app.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// start opens the listeners and starts the event loops.
+// start opens the listeners and starts the event loops and the background tasks.
 func (a *Agent) start(lc fx.Lifecycle, shutdown fx.Shutdowner) error {
 	lc.Append(fx.Hook{
 		OnStart: func(context.Context) error { return a.listen(shutdown) },
@@ -183,12 +183,12 @@
 	go a.register.loop.Run(a.ctx)
 	go a.follower.Run(a.ctx)
 	go a.runMaintenance(shutdown)
-	spread := &follow.Gossip{
+	gossip := &follow.Gossip{
 		Name: a.cfg.Name, Follower: a.follower, Dialer: a.dialer, Log: a.log,
 		Members: a.members, Period: a.cfg.Heartbeat, Seeds: a.cfg.Seeds,
 		Describe: func(m *wire.ExchangeRequest) { m.Kind, m.Zone, m.Incarnation = "agent", a.cfg.Zone, a.id.incarnation },
 	}
-	go spread.Run(a.ctx)
+	go gossip.Run(a.ctx)
 	return nil
 }
 
--- a/agent/custody.go
+++ b/agent/backup.go
@@ -60,11 +60,11 @@
 	if err := json.Unmarshal(m.Register, &h); err != nil {
 		return errors.Wrap(err, "decode register")
 	}
-	taken := false
-	if err := r.do(ctx, func(now time.Duration) { taken = r.backups.Put(h, now) }); err != nil {
+	stored := false
+	if err := r.do(ctx, func(now time.Duration) { stored = r.backups.Put(h, now) }); err != nil {
 		return err
 	}
-	if !taken {
+	if !stored {
 		return errors.New("no place for another register")
 	}
 	return nil
--- a/agent/callers.go
+++ b/agent/entries.go
@@ -78,11 +78,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []*wire.NodeState
-	for _, h := range e.byName {
+	for _, r := range e.byName {
 		s := &wire.NodeState{
-			Name: h.state.Name, Zone: h.state.Zone, Revision: h.state.Revision,
-			Draining: h.state.Draining, Incarnation: h.state.Incarnation,
-			AgeMs: uint64(now.Sub(h.at).Milliseconds()),
+			Name: r.state.Name, Zone: r.state.Zone, Revision: r.state.Revision,
+			Draining: r.state.Draining, Incarnation: r.state.Incarnation,
+			AgeMs: uint64(now.Sub(r.at).Milliseconds()),
 		}
 		list = append(list, s)
 	}
@@ -103,8 +103,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.quota.SetVisibleFraction(visible)
-	for name, h := range e.byName {
-		if now.Sub(h.at) > entryExpiry {
+	for name, r := range e.byName {
+		if now.Sub(r.at) > entryExpiry {
 			delete(e.byName, name)
 		}
 	}
--- a/agent/orders_test.go
+++ b/agent/orders_test.go
@@ -47,7 +47,7 @@
 // successor, at a target that does not check the fencing token. And the answer to
 // an order is lost, after which the agent must not send another before it has read
 // the target's last order.
-func TestOrdersAreGuarded(t *testing.T) {
+func TestStaleOrRepeatedOrderIsRefused(t *testing.T) {
 	is := is.New(t)
 	o := &orderTarget{done: []target.Order{{Fence: 4, Sequence: 2, Kind: "drain"}}}
 	s := httptest.NewServer(o)
--- a/agent/run_test.go
+++ b/agent/run_test.go
@@ -20,7 +20,7 @@
 
 // A target refuses, breaks off or cannot be reached. The outcome may be NotRun
 // only if the request certainly did not run, because the caller then repeats it.
-func TestFailureIsTold(t *testing.T) {
+func TestNotRunOnlyIfTargetCertainlyDidNotRun(t *testing.T) {
 	for _, tt := range []struct {
 		err  error
 		want outcome.Outcome
--- a/agent/steering/lease.go
+++ b/agent/steering/lease.go
@@ -36,29 +36,29 @@
 
 // Call makes one call. If it is unknown whether the call took effect, the
 // answer is Lost.
-func (d *LeaseStore) Call(ctx context.Context, c lease.Call) lease.Answer {
+func (s *LeaseStore) Call(ctx context.Context, c lease.Call) lease.Answer {
 	switch c.Kind {
 	case lease.Acquire:
-		return d.acquire(ctx, c)
+		return s.acquire(ctx, c)
 	case lease.Renew:
-		return d.renew(ctx, c)
+		return s.renew(ctx, c)
 	case lease.Release:
-		return d.release(ctx, c)
+		return s.release(ctx, c)
 	default:
-		return d.read(ctx, c)
+		return s.read(ctx, c)
 	}
 }
 
 // read returns the holder of the role.
-func (d *LeaseStore) read(ctx context.Context, c lease.Call) lease.Answer {
-	kv, err := d.store.Get(ctx, c.Role)
+func (s *LeaseStore) read(ctx context.Context, c lease.Call) lease.Answer {
+	kv, err := s.store.Get(ctx, c.Role)
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
-	return d.holder(kv)
+	return s.holder(kv)
 }
 
-func (d *LeaseStore) holder(kv store.KV) lease.Answer {
+func (s *LeaseStore) holder(kv store.KV) lease.Answer {
 	var r leaseRecord
 	if kv.Version == 0 {
 		return lease.Answer{}
@@ -66,30 +66,30 @@
 	if json.Unmarshal(kv.Value, &r) != nil {
 		return lease.Answer{Owner: "unreadable", Fence: uint64(kv.Version)}
 	}
-	d.remember(uint64(kv.Version), r.Lease)
+	s.remember(uint64(kv.Version), r.Lease)
 	return lease.Answer{Owner: r.Owner, Fence: uint64(kv.Version)}
 }
 
-func (d *LeaseStore) remember(fence uint64, id int64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	clear(d.leases)
-	d.leases[fence] = id
+func (s *LeaseStore) remember(fence uint64, id int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.leases)
+	s.leases[fence] = id
 }
 
-func (d *LeaseStore) lease(fence uint64) int64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.leases[fence]
+func (s *LeaseStore) lease(fence uint64) int64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.leases[fence]
 }
 
 // acquire reads the key first, because a read is cheaper than a lease that is
 // granted and revoked for nothing.
-func (d *LeaseStore) acquire(ctx context.Context, c lease.Call) lease.Answer {
-	if a := d.read(ctx, c); a.Lost || a.Owner != "" {
+func (s *LeaseStore) acquire(ctx context.Context, c lease.Call) lease.Answer {
+	if a := s.read(ctx, c); a.Lost || a.Owner != "" {
 		return a
 	}
-	l, err := d.store.Grant(ctx, c.TTL)
+	l, err := s.store.Grant(ctx, c.TTL)
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
@@ -97,26 +97,26 @@
 	if err != nil {
 		return lease.Answer{Lost: true}
 	}
-	version, err := d.store.CompareAndSwap(ctx, c.Role, 0, value, l.ID)
+	version, err := s.store.CompareAndSwap(ctx, c.Role, 0, value, l.ID)
 	var conflict *store.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		_ = d.store.Revoke(ctx, l.ID)
-		return d.holder(conflict.Current)
+		_ = s.store.Revoke(ctx, l.ID)
+		return s.holder(conflict.Current)
 	case err != nil:
 		return lease.Answer{Lost: true}
 	}
-	d.remember(uint64(version), l.ID)
+	s.remember(uint64(version), l.ID)
 	return lease.Answer{Done: true, Owner: c.Owner, Fence: uint64(version)}
 }
 
 // renew extends the store's lease to which the key is attached; the key expires
 // with that lease.
-func (d *LeaseStore) renew(ctx context.Context, c lease.Call) lease.Answer {
-	_, err := d.store.KeepAlive(ctx, d.lease(c.Fence))
-	var gone *store.LeaseNotFoundError
+func (s *LeaseStore) renew(ctx context.Context, c lease.Call) lease.Answer {
+	_, err := s.store.KeepAlive(ctx, s.lease(c.Fence))
+	var notFound *store.LeaseNotFoundError
 	switch {
-	case errors.As(err, &gone):
+	case errors.As(err, &notFound):
 		return lease.Answer{}
 	case err != nil:
 		return lease.Answer{Lost: true}
@@ -124,10 +124,10 @@
 	return lease.Answer{Done: true, Owner: c.Owner, Fence: c.Fence}
 }
 
-func (d *LeaseStore) release(ctx context.Context, c lease.Call) lease.Answer {
-	err := d.store.Revoke(ctx, d.lease(c.Fence))
-	var gone *store.LeaseNotFoundError
-	if err != nil && !errors.As(err, &gone) {
+func (s *LeaseStore) release(ctx context.Context, c lease.Call) lease.Answer {
+	err := s.store.Revoke(ctx, s.lease(c.Fence))
+	var notFound *store.LeaseNotFoundError
+	if err != nil && !errors.As(err, &notFound) {
 		return lease.Answer{Lost: true}
 	}
 	return lease.Answer{}
--- a/agent/steering/watch_test.go
+++ b/agent/steering/mixedstep_test.go
@@ -12,7 +12,7 @@
 // One rank's engine continues with its old map after a switch for which it was
 // armed. No message shows this; callers get wrong answers until the ranks'
 // reports are compared.
-func TestWatchFindsMixedStep(t *testing.T) {
+func TestMixedStepIsDetected(t *testing.T) {
 	at := func(sequence uint64, v group.Version, next uint64) group.RankState {
 		n := lease.Number{Fence: 1, Sequence: sequence}
 		return group.RankState{Epoch: lease.Number{Fence: 1, Sequence: 1}, Since: n, Version: v, Next: next}
--- a/agent/steering/part.go
+++ b/agent/steering/participant.go
@@ -191,8 +191,8 @@
 	now := g.now()
 	g.placements.noteSender(m, from)
 	g.checkMixedSteps(from, m)
-	if st := g.coordinator(now); st != nil {
-		g.perform(st.Receive(now, from, m))
+	if coord := g.coordinator(now); coord != nil {
+		g.perform(coord.Receive(now, from, m))
 	}
 	g.perform(g.member.Receive(now, from, m))
 }
@@ -219,10 +219,10 @@
 	for _, c := range g.holder.Tick(now) {
 		go g.callStore(c)
 	}
-	if st := g.coordinator(now); st != nil {
-		st.SetMembers(now, g.shape.Load().members)
-		st.SetDesired(g.desiredVersion())
-		g.perform(st.Tick(now))
+	if coord := g.coordinator(now); coord != nil {
+		coord.SetMembers(now, g.shape.Load().members)
+		coord.SetDesired(g.desiredVersion())
+		g.perform(coord.Tick(now))
 	}
 	g.perform(g.member.Tick(now))
 }
--- a/agent/steering/part_test.go
+++ b/agent/steering/participant_test.go
@@ -87,7 +87,7 @@
 // itself, the group would run a step on two maps; if only the dead agent knew the
 // outcome, callers would wait forever. The others count the votes as soon as the
 // dead agent is back, with empty memory, and reads its rank's vote.
-func TestStewardDiesInSwitch(t *testing.T) {
+func TestCoordinatorDiesInSwitch(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		at   group.Kind
--- a/agent/steering/peers.go
+++ b/agent/steering/peers.go
@@ -62,8 +62,8 @@
 	if !resp.Msg.Found {
 		return nil, errPlacementNotFound
 	}
-	var content rank.Placement
-	return content, json.Unmarshal(resp.Msg.Placement, &content)
+	var placement rank.Placement
+	return placement, json.Unmarshal(resp.Msg.Placement, &placement)
 }
 
 // Loads implements peerClient.
--- a/agent/steering/plan.go
+++ b/agent/steering/plan.go
@@ -71,8 +71,8 @@
 	answer := make(chan groupState, 1)
 	err := g.loop.Do(ctx, func() {
 		now := g.now()
-		if st := g.coordinator(now); st != nil && !st.Superseded() {
-			answer <- groupState{fence: g.holder.Fence(), snapshot: st.Snapshot(now)}
+		if coord := g.coordinator(now); coord != nil && !coord.Superseded() {
+			answer <- groupState{fence: g.holder.Fence(), snapshot: coord.Snapshot(now)}
 		}
 	})
 	if err != nil {
--- a/agent/step_test.go
+++ b/agent/step_test.go
@@ -10,7 +10,7 @@
 // A target stalls for a moment and is idle afterwards. If its agent kept reporting
 // the slow step time with every heartbeat, entries would avoid the healthy target
 // as a straggler. An old sample must not count.
-func TestOldStepTimeSaysNothing(t *testing.T) {
+func TestOldStepTimeIsIgnored(t *testing.T) {
 	is := is.New(t)
 	now := time.Now()
 	var s stepTime
--- a/entry/flow_test.go
+++ b/entry/flow_test.go
@@ -94,7 +94,7 @@
 // A caller that waited for an answer was handed over and reads it at another
 // entry. It must get a document as the target produced it, and a stream must stay
 // a stream.
-func TestReadAgainKeepsItsForm(t *testing.T) {
+func TestResumedAnswerKeepsItsForm(t *testing.T) {
 	for form, want := range map[string]string{
 		"application/json":  "{\"a\":\n1}",
 		"text/event-stream": "id: 1\ndata: x\n\ndata: [DONE]\n\n",
