--- a/core/plumbing/logreader/suspicions.go
+++ b/core/plumbing/logreader/suspicions.go
@@ -92,9 +92,9 @@
 		targets[target].add(l)
 	}
 	var out []Suspicion
-	for _, b := range targets {
-		if !b.First.IsZero() {
-			out = append(out, b.finish())
+	for _, builder := range targets {
+		if !builder.First.IsZero() {
+			out = append(out, builder.finish())
 		}
 	}
 	slices.SortFunc(out, func(a, b Suspicion) int { return cmp.Or(a.First.Compare(b.First), cmp.Compare(a.Target, b.Target)) })
