--- a/core/configuration/config/index.go
+++ b/core/configuration/config/index.go
@@ -171,8 +171,8 @@
 
 // MayNotRepeat reports whether a call of a plain service runs at most once.
 // The route with the longest matching prefix decides; of two with equal
-// prefixes, the one that names the method. Where no route matches, a call may be repeated only if its
-// method is idempotent by RFC 9110, section 9.2.2.
+// prefixes, the one that names the method. Where no route matches, a call may be
+// repeated only if its method is idempotent by RFC 9110, section 9.2.2.
 func (x *Index) MayNotRepeat(service, method, urlPath string) bool {
 	s, ok := x.Service(service)
 	if !ok {
--- a/core/configuration/intent/head.go
+++ b/core/configuration/intent/head.go
@@ -122,7 +122,8 @@
 
 // Restore writes the configuration in force back to a store that holds an older
 // one, unchanged and with its own revision, so that nothing changes on the nodes
-// that have it in force. The caller ensures that no node has a later one. It is a *ConflictError if the store holds that revision or a later one.
+// that have it in force. The caller ensures that no node has a later one. It is a
+// *ConflictError if the store holds that revision or a later one.
 func (h Head) Restore(ctx context.Context, inForce config.Config) error {
 	value, err := config.Encode(inForce)
 	if err != nil {
--- a/core/configuration/mirror/hints.go
+++ b/core/configuration/mirror/hints.go
@@ -133,8 +133,9 @@
 // reported to others.
 const storeFresh = watchWait + responseTimeout + hintGrace
 
-// LastEventRevision returns the revision of the newest change that was seen, or 0 if the store has not
-// answered for a while: other processes rely on it to notice changes that they have missed.
+// LastEventRevision returns the revision of the newest change that was seen, or 0 if the
+// store has not answered for a while: other processes rely on it to notice changes that
+// they have missed.
 func (f *Follower) LastEventRevision() int64 {
 	if f.Age() > storeFresh {
 		return 0
--- a/core/configuration/operator/operator_test.go
+++ b/core/configuration/operator/operator_test.go
@@ -215,7 +215,8 @@
 }
 
 // Guards against a bootstrap token that is accepted long after the first
-// configuration by a node that has just started and knows no operators.
+// configuration by a node that has just started and knows no operators: it would give
+// the role of an administrator to whoever found the old token.
 func TestBootstrapTokenEndsWithTheFirstOperator(t *testing.T) {
 	d, is := started(t)
 	d.store.fail = &store.UnavailableError{Op: "get"}
