--- a/agent/steering/part.go
+++ b/agent/steering/participant.go
@@ -23,7 +23,7 @@
 	"verbenashift/core/experts/group"
 	"verbenashift/core/experts/rank"
 	"verbenashift/core/membership/lease"
-	"verbenashift/core/plumbing/duty"
+	"verbenashift/core/plumbing/eventloop"
 )
 
 // tickInterval is the time between two checks of a group's timers.
@@ -73,7 +73,7 @@
 	started time.Time
 	ctx     context.Context
 	stop    context.CancelFunc
-	loop    *duty.Loop
+	loop    *eventloop.Loop
 	ops     chan rankOp
 	sends   chan struct{}
 	// currentOp is the number of the pending operation at the rank.
@@ -116,7 +116,7 @@
 	g := &Participant{
 		self: d.Self, cfg: d.Settings, log: d.Log.With("group", shape.name), metrics: d.Metrics,
 		rank: d.Rank, peers: d.Peers, store: d.Store, started: time.Now(), fencing: shape.fencing,
-		loop: duty.New(eventQueueSize), ops: make(chan rankOp, 1), sends: make(chan struct{}, maxSends),
+		loop: eventloop.New(eventQueueSize), ops: make(chan rankOp, 1), sends: make(chan struct{}, maxSends),
 		placements: newPlacementCache(),
 		member:     group.NewMember(group.MemberConfig{Name: d.Self, Fencing: shape.fencing}, d.Incarnation, 0),
 		holder: lease.NewHolder(lease.Config{
@@ -191,8 +191,8 @@
 	now := g.now()
 	g.placements.noteSender(m, from)
 	g.checkMixedSteps(from, m)
-	if st := g.coordinator(now); st != nil {
-		g.perform(st.Receive(now, from, m))
+	if coord := g.coordinator(now); coord != nil {
+		g.perform(coord.Receive(now, from, m))
 	}
 	g.perform(g.member.Receive(now, from, m))
 }
@@ -219,10 +219,10 @@
 	for _, c := range g.holder.Tick(now) {
 		go g.callStore(c)
 	}
-	if st := g.coordinator(now); st != nil {
-		st.SetMembers(now, g.shape.Load().members)
-		st.SetDesired(g.desiredVersion())
-		g.perform(st.Tick(now))
+	if coord := g.coordinator(now); coord != nil {
+		coord.SetMembers(now, g.shape.Load().members)
+		coord.SetDesired(g.desiredVersion())
+		g.perform(coord.Tick(now))
 	}
 	g.perform(g.member.Tick(now))
 }
