--- a/core/request/admission/admission_test.go
+++ b/core/request/admission/admission_test.go
@@ -44,7 +44,7 @@
 }
 
 // Guards against starting requests that can only be late, since engines under load take longer.
-func TestWaitFollowsTheFirstEvents(t *testing.T) {
+func TestWaitFollowsFirstEventTimes(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"": 1}, start)
@@ -65,7 +65,7 @@
 
 // Guards against applying the load of one group to all groups, which refuses callers while
 // other groups have capacity.
-func TestLimitsAreOfEachGroup(t *testing.T) {
+func TestLimitsArePerGroup(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100, "g2": 100}, start)
@@ -80,7 +80,7 @@
 
 // Guards against callers that wait for a group with a lost rank while other groups have
 // capacity.
-func TestALostGroupTakesNothingFromTheOthers(t *testing.T) {
+func TestGroupWithLostRankDoesNotBlockOthers(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
@@ -117,7 +117,7 @@
 
 // Guards against sending new requests to a group whose coordinator reports a lost rank, before
 // any request is refused there.
-func TestAGroupThatHasJustLostARank(t *testing.T) {
+func TestGroupWithLostRankGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
@@ -132,7 +132,7 @@
 
 // Guards against sending new requests to a group that makes no forward passes although nothing
 // fails and its slots look free.
-func TestAStandingGroupIsLeft(t *testing.T) {
+func TestStalledGroupGetsNoNewRequests(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 100, "g1": 100}, start)
@@ -197,7 +197,7 @@
 
 // Guards against losing track of the requests of a group that was formed again under another
 // name.
-func TestAGroupThatIsNoMore(t *testing.T) {
+func TestRequestsOfARenamedGroup(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"old": 10}, start)
--- a/core/request/admission/outage_test.go
+++ b/core/request/admission/outage_test.go
@@ -12,7 +12,7 @@
 
 // Guards against the loss of requests at an entry that is back before the engines: each request
 // sent to probe them is refused, and few retries are available for all of them.
-func TestStartingEntryTriesOneAtATime(t *testing.T) {
+func TestStartingEntrySendsOneProbeAtATime(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.ColdStart()
@@ -48,7 +48,7 @@
 
 // Guards against sending requests that are refused while the coordinator reports a missing
 // rank, and against waiting any longer than that.
-func TestLostGroupIsTriedSeldom(t *testing.T) {
+func TestGroupWithLostRankIsProbedSeldom(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 200}, start)
@@ -158,7 +158,7 @@
 
 // Guards against pointless waits at a service whose groups have lacked a rank for long: all
 // requests but the probes are refused at once.
-func TestLostGroupsRefuseAtOnceAfterAWhile(t *testing.T) {
+func TestServiceDownForLongRefusesAtOnce(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.ColdStart()
@@ -186,7 +186,7 @@
 
 // Guards against refusing callers of a working group whose coordinator cannot read one of the
 // ranks and reports the group as incomplete.
-func TestStewardThatIsWrongStopsNobody(t *testing.T) {
+func TestWrongCoordinatorReportStopsNoRequests(t *testing.T) {
 	is := is.New(t)
 	p := newPool()
 	p.SetGroups(map[string]int{"g0": 200}, start)
--- a/core/request/booking/booking_test.go
+++ b/core/request/booking/booking_test.go
@@ -43,7 +43,7 @@
 // Guards against a second run when the answer to a granted claim is lost: the caller retries at
 // another entry while the first submission is still in transit. The second attempt must seal
 // the first.
-func TestSecondTrySealsTheFirst(t *testing.T) {
+func TestSecondAttemptSealsTheFirst(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(1, three)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
@@ -110,7 +110,7 @@
 // Guards against a second run after a home and the executor of its grant crashed together. The
 // empty list of the new executor process must not count as "never ran", and an attempt sealed
 // at another executor must not count as the last one.
-func TestExecutorLostItsMemory(t *testing.T) {
+func TestExecutorRestartsWithoutRecords(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(2, three)
 	young := &Executor{Name: "b", Incarnation: 2}
@@ -178,7 +178,7 @@
 // Guards against losing keys in a planned restart with one key granted, one queued and one
 // running: the next process must know all three. A register must not count as complete after a
 // process has run without it.
-func TestDrainHandsOver(t *testing.T) {
+func TestDrainHandsOverRegisters(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(1, three)
 	exec := &Executor{Name: "a", Incarnation: 1, First: true}
--- a/core/request/booking/late_test.go
+++ b/core/request/booking/stale_test.go
@@ -9,7 +9,7 @@
 // Guards against a second run when a request waits in the queue for as long as a run may take,
 // and against a false "never ran" when a request is shed after its start. A late copy of the
 // expired request must be refused.
-func TestQueueOutlastsTheKey(t *testing.T) {
+func TestKeyExpiresWhileQueued(t *testing.T) {
 	is := is.New(t)
 	home := newHome(1, three)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
@@ -40,7 +40,7 @@
 
 // Guards against a replaced home that was paused, resumes and seals again. If executors listed
 // keys to it, it would act as the home and grant beside its successor.
-func TestOldHomeSealsNothing(t *testing.T) {
+func TestSupersededHomeSealsNothing(t *testing.T) {
 	is := is.New(t)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
 	is.Equal(b.Accept(Submission{Grant: Grant{Key: Key{1}, Home: "a", HomeIncarnation: 2, Attempt: 1}, Incarnation: 1}, 0).Kind, Run)
@@ -71,7 +71,7 @@
 
 // Guards against importing a register after a later process has used the name, whose keys it
 // lacks, and against reporting an answer as available that ended with its process.
-func TestOldRegisterIsNotTaken(t *testing.T) {
+func TestOutdatedRegisterIsNotImported(t *testing.T) {
 	is := is.New(t)
 	home := newHome(2, three)
 	home.Import(HomeExport{Name: "a", Incarnation: 2, Keys: []BookedKey{{Key: Key{1}, Left: 1}}}, 0)
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -330,7 +330,7 @@
 // The simpler policies break the limit under loads that permits handle: senders that ignore
 // limits, that each enforce the limit by themselves, and that accumulate equal parts of it
 // until all have a request at once.
-func TestReplayOtherWays(t *testing.T) {
+func TestReplaySimplerPolicies(t *testing.T) {
 	many := scenario{senders: 390, limit: 1, wanted: 0.02}
 	saving := scenario{senders: 20, limit: 1, wanted: 0.02, rush: 22 * time.Second}
 	for _, c := range []struct {
@@ -360,7 +360,7 @@
 }
 
 // Guards against senders that still avoid a target which no longer sets a limit.
-func TestReplayLifted(t *testing.T) {
+func TestReplayClearedLimit(t *testing.T) {
 	for _, senders := range []int{6, 53, 390} {
 		r := newReplay(scenario{senders: senders, limit: 1, wanted: 4, clearedAfter: 20 * time.Second}, 3, withPermits)
 		r.run()
--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -52,7 +52,7 @@
 
 // Guards against clearing a limit because of a response to a request that was sent before the
 // limit was known.
-func TestOlderAnswerLiftsNothing(t *testing.T) {
+func TestOlderAnswerClearsNoLimit(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
 	none := Response{Target: "t", Service: "s", StartedAt: 5, Sent: start.Add(-time.Second)}
@@ -116,7 +116,7 @@
 }
 
 // Guards against permits that stay with senders which don't use them.
-func TestPermitsAreGivenBack(t *testing.T) {
+func TestUnusedPermitsAreReleased(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(time.Second)
 	tr := newTracker(1)
@@ -153,7 +153,7 @@
 }
 
 // Guards against malformed items that other writers stored under the keys of permits.
-func TestItemsThatAreNoPermits(t *testing.T) {
+func TestMalformedPermits(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
 	good := item(own(0), 3)
--- a/core/request/quarantine/print_test.go
+++ b/core/request/quarantine/fingerprint_test.go
@@ -12,7 +12,7 @@
 	return Content{Method: "POST", Host: "desk.example", Target: "/a/1?q=2", Workspace: "harbor", Body: []byte("words")}
 }
 
-func TestPrintTellsContentsApart(t *testing.T) {
+func TestFingerprintsDifferByContent(t *testing.T) {
 	for name, change := range map[string]func(*Content){
 		"method":                 func(c *Content) { c.Method = "PUT" },
 		"host":                   func(c *Content) { c.Host = "other.example" },
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestPrintAsText(t *testing.T) {
+func TestFingerprintAsText(t *testing.T) {
 	is := is.New(t)
 	c := content()
 	data, err := json.Marshal(c.Fingerprint())
--- a/core/request/quarantine/register_test.go
+++ b/core/request/quarantine/register_test.go
@@ -76,7 +76,7 @@
 	b.NoErr(err)
 }
 
-func TestWhoIsHeldBack(t *testing.T) {
+func TestWhichRequestsAreQuarantined(t *testing.T) {
 	for name, tt := range map[string]struct {
 		// crashes are the requests that were cut off with each target, in order.
 		crashes [][]int
@@ -111,7 +111,7 @@
 
 // Guards against counting a crash once per gateway: several report it, each with its own
 // requests.
-func TestCrashToldByMany(t *testing.T) {
+func TestCrashReportedByManyGateways(t *testing.T) {
 	b := newFixture(t)
 	for range 5 {
 		b.Report(&Report{Crashes: []Crash{{Target: "t1", StartedAt: 7, Requests: []Fingerprint{fingerprintOf(1)}}}}, b.now)
@@ -125,7 +125,7 @@
 }
 
 // Guards against quarantining a request before the other gateways can have reported theirs.
-func TestDecisionWaitsForTheOthers(t *testing.T) {
+func TestDecisionWaitsForOtherGateways(t *testing.T) {
 	b := newFixture(t)
 	for range 3 {
 		b.crash(1)
@@ -141,7 +141,7 @@
 
 // Guards against quarantining a frequent request that is in progress in every crash and that
 // targets answer completely.
-func TestWhatWasAnsweredHasNotCrashed(t *testing.T) {
+func TestAnsweredRequestIsNotQuarantined(t *testing.T) {
 	b := newFixture(t)
 	b.Equal(b.Completed(fingerprintOf(1)), false) // nobody suspects it
 	b.crash(1)
@@ -164,7 +164,7 @@
 }
 
 // Guards against probes without end, and refusals that don't say when the next one is due.
-func TestTrials(t *testing.T) {
+func TestProbes(t *testing.T) {
 	b := newFixture(t)
 	for range 3 {
 		b.crash(1)
@@ -190,7 +190,7 @@
 }
 
 // Guards against a long quarantine of a request that was in the same crashes as the cause.
-func TestTrialsTellCulpritFromNeighbour(t *testing.T) {
+func TestProbesReleaseRequestsOfTheSameCrash(t *testing.T) {
 	b := newFixture(t)
 	for range 3 {
 		b.crash(1, 2)
@@ -212,7 +212,7 @@
 }
 
 // Guards against an endless quarantine of a request whose probes are all inconclusive.
-func TestTrialThatTellsNothing(t *testing.T) {
+func TestInconclusiveProbes(t *testing.T) {
 	b := newFixture(t)
 	h := Hold{Crashes: 3, ProbeNow: true}
 	for probes := range len(probeDelays) {
@@ -230,7 +230,7 @@
 
 // A probe is answered completely: the request is released and its earlier crashes no longer
 // count.
-func TestTrialFrees(t *testing.T) {
+func TestCompleteProbeReleasesRequest(t *testing.T) {
 	b := newFixture(t)
 	for range 3 {
 		b.crash(1)
@@ -251,7 +251,7 @@
 
 // Guards against quarantining a request again because of reports from before an operator
 // released it.
-func TestFreedRequestStaysFree(t *testing.T) {
+func TestReleasedRequestStaysReleased(t *testing.T) {
 	var items [][2]string
 	put := func(n int, r Report) { items = append(items, [2]string{ReportKey("front-1", n), string(r.Bytes())}) }
 	for n := range 3 {
@@ -286,7 +286,7 @@
 }
 
 // Anyone may write into the store. Malformed items give errors and change nothing.
-func TestItemsNotUnderstood(t *testing.T) {
+func TestMalformedItems(t *testing.T) {
 	b := newFixture(t)
 	for key, value := range map[string]string{
 		Prefix + "other":              `{}`,
@@ -337,7 +337,7 @@
 	b.Equal(len(slots), reportSlots)
 }
 
-func TestSurplusOfReports(t *testing.T) {
+func TestExcessReports(t *testing.T) {
 	b := newFixture(t)
 	r := Report{}
 	for n := range maxReports + 2 {
--- a/core/request/quarantine/replay_test.go
+++ b/core/request/quarantine/replay_test.go
@@ -209,7 +209,7 @@
 // everything that runs there, and the rest of the group is cut off and retried too. The
 // crashing request must not be sent more than three times after the recovery that follows its
 // third crash, and none of the hundreds of other requests may be refused.
-func TestReplayOfAStorm(t *testing.T) {
+func TestReplayOfACrashLoop(t *testing.T) {
 	for name, sh := range map[string]scenario{
 		"a group of 16":    {targets: 16, gateways: 6, backlog: 160, copies: 4, seeds: 60},
 		"a group of 192":   {targets: 192, gateways: 53, backlog: 600, copies: 8, seeds: 2},
--- a/core/request/queue/gate_test.go
+++ b/core/request/queue/gate_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against passing on the refusals of a service that restarts as a whole.
-func TestGateOfAServiceThatStartsAgain(t *testing.T) {
+func TestGateOfARestartingService(t *testing.T) {
 	is := is.New(t)
 	var g Gate
 	is.True(g.Allow(start))
--- a/core/request/queue/queue_test.go
+++ b/core/request/queue/queue_test.go
@@ -73,7 +73,7 @@
 }
 
 // Guards against a workspace that holds every slot while the single request of another waits.
-func TestKeptSlots(t *testing.T) {
+func TestReservedSlots(t *testing.T) {
 	is := is.New(t)
 	q := newQueue(Limits{Slots: 16, Reserve: 2})
 	n := 0
--- a/core/request/quota/quota_test.go
+++ b/core/request/quota/quota_test.go
@@ -158,7 +158,7 @@
 // One entry carries all requests of a workspace when the home no longer knows the workspace,
 // after a restart with an older configuration. The entry must fall back as if it was cut off,
 // and must not refuse everything because of what it rightly admitted.
-func TestHomeThatKnowsNothing(t *testing.T) {
+func TestHomeWithoutTheWorkspace(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(3)
 	first := func(i int) float64 {
@@ -179,7 +179,7 @@
 
 // The traffic of an entry jumps. Guards against an allowance that grows more than twofold with
 // each reply of the home: the other entries' traffic jumps too.
-func TestLentAtMostDoubles(t *testing.T) {
+func TestAllowanceAtMostDoubles(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(4)
 	l, s := f.entries[0], f.entries[0].states["w"]
@@ -219,7 +219,7 @@
 
 // An entry that shares the limit with another stops without notice. Guards against charging the
 // other for longer than the report is valid with what the home expected of the stopped one.
-func TestDeadEntryIsForgiven(t *testing.T) {
+func TestStoppedEntryIsNotChargedToOthers(t *testing.T) {
 	is := is.New(t)
 	h, now := newTestHome(), time.Unix(1e9, 0)
 	r := record{id: ID("w"), offered: 0.8 * rate, admitted: 0.8 * rate, fraction: fractionUnit, span: time.Second}
@@ -247,7 +247,7 @@
 
 // Responses are shorter than declared. Guards against keeping the overcharge, with which the
 // workspace would get half of its limit.
-func TestSettleGivesBack(t *testing.T) {
+func TestOverchargeIsReturned(t *testing.T) {
 	is := is.New(t)
 	f := newFleet(1)
 	served := 0.0
--- a/core/request/retry/retry_test.go
+++ b/core/request/retry/retry_test.go
@@ -113,7 +113,7 @@
 }
 
 // Guards against refused callers that return together and overload the targets again.
-func TestReturnIsNoSecondWave(t *testing.T) {
+func TestReturningCallersAreSpread(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(1, 1))
 	r := &ReturnScheduler{}
--- a/core/request/retry/patience_test.go
+++ b/core/request/retry/return_detector_test.go
@@ -9,7 +9,7 @@
 
 // Guards against mistaking callers at their first attempt, whose timeouts differ, for returning
 // ones.
-func TestPatienceTellsWhoComesBack(t *testing.T) {
+func TestReturningCallersHaveLessTimeLeft(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
 		patience  []time.Duration
@@ -37,7 +37,7 @@
 
 // Guards against treating the callers of a process that has just started as being at their
 // first attempt: most of them have lost an attempt to the process before.
-func TestTimeoutTellsBeforeCallersDo(t *testing.T) {
+func TestReturningCallersAfterAStart(t *testing.T) {
 	const bound = 8 * time.Second
 	is := is.New(t)
 	var p ReturnDetector
--- a/core/request/retry/losses_test.go
+++ b/core/request/retry/target_crashes_test.go
@@ -11,7 +11,7 @@
 // although other targets are idle: the budget holds fewer retries than the crash breaks
 // attempts. Attempts that were in flight are retried outside the budget; attempts sent after
 // the crash, and those of a second crash soon after, draw on it.
-func TestDeathOfTargetGivesBackWhatWasInFlight(t *testing.T) {
+func TestTargetCrashExemptsAttemptsInFlight(t *testing.T) {
 	is := is.New(t)
 	var l TargetCrashes
 	sent := start
--- a/core/request/retry/window_test.go
+++ b/core/request/retry/window_test.go
@@ -39,7 +39,7 @@
 
 // Guards against more retries within a time span than its requests allow, wherever the span
 // begins.
-func TestNoSpanHoldsMore(t *testing.T) {
+func TestNoSpanExceedsTheWindowLimit(t *testing.T) {
 	is := is.New(t)
 	key := Key{Workspace: "pool", Hop: "pool"}
 	b := windowed()
--- a/core/request/route/leaving_test.go
+++ b/core/request/route/leaving_test.go
@@ -37,7 +37,7 @@
 
 // An agent restarts, and a load of its earlier process arrives late. It says
 // nothing about the current queue.
-func TestLoadOfEarlierLife(t *testing.T) {
+func TestLoadOfEarlierIncarnation(t *testing.T) {
 	is := is.New(t)
 	table := New(Options{})
 	table.Update([]Target{{Name: "a", Model: "m"}})
--- a/core/request/route/route_test.go
+++ b/core/request/route/route_test.go
@@ -217,7 +217,7 @@
 // An agent reports in the last frame of one stream that it drains. The last frame
 // of another stream, sent earlier, arrives after it without that report: requests
 // would still be sent there and refused.
-func TestDrainOutlastsOvertakenFrames(t *testing.T) {
+func TestDrainOutlastsLateFrames(t *testing.T) {
 	is := is.New(t)
 	table, rng := newTable(2, Options{})
 	q := &Query{Model: "caption"}
--- a/core/request/target/target_test.go
+++ b/core/request/target/target_test.go
@@ -62,7 +62,7 @@
 // that ended before the dial, or a connection that accepted no byte. If one
 // byte was sent, the target may have run the request and the agent must not
 // report that.
-func TestNotSentIsTold(t *testing.T) {
+func TestNotSentIsReported(t *testing.T) {
 	refused := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	dead := func(context.Context, string, string) (net.Conn, error) {
 		here, there := net.Pipe()
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -265,7 +265,7 @@
 }
 
 // Guards against refusing callers during a change of the expert map.
-func TestCallersWaitForAMoment(t *testing.T) {
+func TestCallersWaitForAMapChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
@@ -285,7 +285,7 @@
 }
 
 // Guards against a queue in which all requests are late because none that can only be late is refused.
-func TestWhoCannotBeOnTimeIsTold(t *testing.T) {
+func TestRequestThatCanOnlyBeLateIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a := testAdmitter(1)
--- a/gateway/crash/detector_test.go
+++ b/gateway/crash/detector_test.go
@@ -112,7 +112,7 @@
 }
 
 // Guards against missing a crash when answers break off after the target's entry was removed.
-func TestBreaksAfterTheEntryHasGone(t *testing.T) {
+func TestBreaksAfterTargetRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newHarness()
--- a/gateway/digests_test.go
+++ b/gateway/digests_test.go
@@ -14,7 +14,7 @@
 )
 
 // Guards against placing requests by the loads of an earlier epoch or of another group.
-func TestDigestsOfAnEarlierLife(t *testing.T) {
+func TestDigestsOfAnEarlierEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newDigests("front-1", slog.New(slog.DiscardHandler), nil)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -47,7 +47,7 @@
 }
 
 // Guards against holding callers whose expected wait is long, and against refusing others.
-func TestOnlyNearTurnsAreWaitedFor(t *testing.T) {
+func TestOnlyShortWaitsAreHeld(t *testing.T) {
 	is := is.New(t)
 	g := &gateway{fleet: newFleet("front-1", "z1", slog.New(slog.DiscardHandler))}
 	g.fleet.update(&mirror.Snapshot{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}}})
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -146,7 +146,7 @@
 }
 
 // Guards against a request history that lacks the reason why a stream was moved.
-func TestStoryOfAMovedStream(t *testing.T) {
+func TestHistoryOfAMovedStream(t *testing.T) {
 	is := is.New(t)
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Stream), s)
@@ -168,7 +168,7 @@
 }
 
 // Guards against log lines without the age of the load report by which a target was picked.
-func TestLineNamesTheAgeOfTheLoad(t *testing.T) {
+func TestLogLineHasTheAgeOfTheLoad(t *testing.T) {
 	is := is.New(t)
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -27,7 +27,7 @@
 }
 
 // Guards against requests to a server during the pause that it has requested.
-func TestTargetIsLeftAlone(t *testing.T) {
+func TestPausedTargetGetsNoRequests(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		var on atomic.Bool
 		on.Store(true)
@@ -137,7 +137,7 @@
 // Guards against new requests to a server that has announced its shutdown, also when it is the
 // only one or after a new view of the store, and against treating its next incarnation as
 // shutting down.
-func TestTargetThatSaysThatItLeaves(t *testing.T) {
+func TestTargetThatAnnouncesItsShutdown(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		leaving := scripted.Serve(t, func(x *scripted.Exchange) { x.Leaving("ok") })
 		r := newRig(t, routeOf(kind), leaving)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -85,7 +85,7 @@
 
 // Guards against queueing or sending a request that crashes servers, and against refusing
 // others.
-func TestHeldBackIsRefusedAtOnce(t *testing.T) {
+func TestQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe, deployment.Stream} {
 		t.Run(string(kind), func(t *testing.T) {
 			s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
@@ -110,7 +110,7 @@
 }
 
 // Guards against a request that crashes servers and waits for a slot.
-func TestHeldBackInAFullQueue(t *testing.T) {
+func TestQuarantineInAFullQueue(t *testing.T) {
 	hold := make(chan struct{})
 	s := scripted.Serve(t, func(x *scripted.Exchange) {
 		<-hold
@@ -139,7 +139,7 @@
 }
 
 // Guards against the outcome "not run" for a request that has crashed a server.
-func TestHeldBackAfterAnAttemptHasRun(t *testing.T) {
+func TestQuarantineAfterAnAttemptHasRun(t *testing.T) {
 	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
 		r.hold(quarantine.Hold{Crashes: 3})
@@ -154,7 +154,7 @@
 }
 
 // Guards against a partial stream that looks complete when its request is quarantined.
-func TestHeldBackInTheMiddleOfAStream(t *testing.T) {
+func TestQuarantineInTheMiddleOfAStream(t *testing.T) {
 	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
 		x.Stream()
@@ -171,7 +171,7 @@
 }
 
 // Guards against keeping a request in quarantine that one complete answer clears.
-func TestTrialIsServed(t *testing.T) {
+func TestProbeIsServed(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newQuarantineRig(t, deployment.Unsafe, s)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
@@ -186,7 +186,7 @@
 }
 
 // Guards against repeating a probe that has crashed its server.
-func TestTrialCrashes(t *testing.T) {
+func TestProbeCrashes(t *testing.T) {
 	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
 		r.gateway.isolator.crashed(quarantine.Crash{Target: x.Expect(), Requests: []quarantine.Fingerprint{r.print()}})
@@ -205,7 +205,7 @@
 }
 
 // Guards against treating an inconclusive probe as conclusive.
-func TestTrialWithoutAnAnswer(t *testing.T) {
+func TestProbeWithoutAnAnswer(t *testing.T) {
 	for name, script := range map[string]func(*scripted.Exchange){
 		"refused":    func(x *scripted.Exchange) { x.Refuse() },
 		"broken off": func(x *scripted.Exchange) { x.Close() },
@@ -252,7 +252,7 @@
 }
 
 // Guards against memory that grows with the crashes while the store is unavailable.
-func TestUntoldCrashesAreBounded(t *testing.T) {
+func TestUnreportedCrashesAreBounded(t *testing.T) {
 	r := newQuarantineRig(t, deployment.Safe)
 	for n := range 10 * maxUnwritten {
 		s := r.gateway.isolator
@@ -266,7 +266,7 @@
 }
 
 // Guards against a probe by each gateway.
-func TestOneGatewayTries(t *testing.T) {
+func TestOnlyOneGatewayProbes(t *testing.T) {
 	r := newQuarantineRig(t, deployment.Safe)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	other := newIsolator("front-2", r.store, r.gateway.log)
@@ -278,7 +278,7 @@
 }
 
 // Guards against quarantining a request again by old reports after an operator has cleared it.
-func TestOperatorFreesARequest(t *testing.T) {
+func TestOperatorClearsARequest(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newQuarantineRig(t, deployment.Safe, s)
 	r.hold(quarantine.Hold{Crashes: 3})
--- a/gateway/share_test.go
+++ b/gateway/retry_share_test.go
@@ -13,7 +13,7 @@
 
 // Guards against more retries of all gateways together than the platform allows, when all lose
 // streams at once.
-func TestSlackOfRetriesIsSharedByAll(t *testing.T) {
+func TestRetryBurstIsSharedByAllGateways(t *testing.T) {
 	const slack, all = 264, 53
 	r := newRig(t, routeOf(deployment.Safe), scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") }))
 	r.gateway.bounds = boot.Bounds{RetryRatio: 0.2, RetryBurst: slack, RetryWindow: 10 * time.Second}
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -144,7 +144,7 @@
 
 // Guards against an answer that broke off, lost its signature or belongs to another request and
 // looks complete to the caller of a lookup.
-func TestSpoiledLookupIsRepeated(t *testing.T) {
+func TestBrokenLookupIsRepeated(t *testing.T) {
 	for name, spoil := range broken() {
 		t.Run(name, func(t *testing.T) {
 			var answered atomic.Bool
@@ -169,7 +169,7 @@
 
 // Guards against a second run of a booking that may have run, and against the outcomes "not run"
 // and success for it.
-func TestSpoiledBookingIsUnknown(t *testing.T) {
+func TestBrokenBookingIsUnknown(t *testing.T) {
 	for name, spoil := range broken() {
 		t.Run(name, func(t *testing.T) {
 			a, b := scripted.Serve(t, spoil), scripted.Serve(t, spoil)
--- a/gateway/silence_test.go
+++ b/gateway/silent_stream_test.go
@@ -11,7 +11,7 @@
 
 // Guards against aborting a stream that its slow server still finishes, when no other server may
 // run it.
-func TestSilentStreamStaysWhereNobodyElseMayRunIt(t *testing.T) {
+func TestSilentStreamThatMayNotBeRepeatedStays(t *testing.T) {
 	for name, tt := range map[string]struct {
 		attempts int
 		retries  float64
--- a/gateway/suspicions_test.go
+++ b/gateway/suspicions_test.go
@@ -32,7 +32,7 @@
 // Guards against each gateway detecting a fault on its own: when two others suspect a target,
 // this one sends no more requests there. One suspicion is not enough, nor is one of an earlier
 // incarnation of the target.
-func TestDoubtsOfOthersAreHeeded(t *testing.T) {
+func TestSuspicionsOfOthersCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var store recordingStore
@@ -57,7 +57,7 @@
 }
 
 // Guards against requests to a target that others report as failing.
-func TestDoubtedTargetGetsNothingNew(t *testing.T) {
+func TestSuspectedTargetGetsNothingNew(t *testing.T) {
 	first := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), first, second)
@@ -79,7 +79,7 @@
 
 // Guards against a server that fails requests which others serve, and reports that it is healthy:
 // each request that may run only once and is sent there is lost.
-func TestFailingServerIsDoubted(t *testing.T) {
+func TestFailingServerIsSuspected(t *testing.T) {
 	var fail atomic.Bool
 	bad := scripted.Serve(t, func(x *scripted.Exchange) {
 		if fail.Load() {
