--- a/core/request/admission/admission.go
+++ b/core/request/admission/admission.go
@@ -59,8 +59,8 @@
 	Cost int64
 	// Objective is the time within which its route wants the first event.
 	Objective time.Duration
-	// Patience is how long its caller waits for the first event; 0 means unknown.
-	Patience time.Duration
+	// CallerTimeout is how long its caller waits for the first event; 0 means unknown.
+	CallerTimeout time.Duration
 	// Retry reports whether its caller has been refused before.
 	Retry bool
 }
@@ -89,7 +89,7 @@
 	names []string
 	// assignments are the running requests by ID.
 	assignments map[string]assignment
-	settled     []Decision
+	decisions   []Decision
 	shed        []queue.Shed
 	// emptyAt is when the queue was last empty.
 	emptyAt time.Time
@@ -166,7 +166,7 @@
 		ID: r.ID, Workspace: r.Workspace, Priority: priorityOf(r), Cost: r.Cost, Deadline: p.latestStart(r, now),
 		// The length of the wait is not known while nothing is served, and a retrying caller
 		// gains nothing from a refusal.
-		Patient: r.Retry || p.Down(now),
+		WaitUntilDeadline: r.Retry || p.Down(now),
 	}
 	if refusal := p.queue.Enqueue(item, now); refusal != nil {
 		return refusal
@@ -192,7 +192,7 @@
 
 func (p *Pool) wait(r Request, now time.Time) queue.Wait {
 	return queue.Wait{
-		Objective: r.Objective, Service: p.fastestFirstEvent(), Patience: r.Patience, BacklogAge: p.backlogAge(now),
+		Objective: r.Objective, Service: p.fastestFirstEvent(), CallerTimeout: r.CallerTimeout, BacklogAge: p.backlogAge(now),
 		Retry: r.Retry, Closed: p.Down(now),
 	}
 }
--- a/core/request/admission/attempt.go
+++ b/core/request/admission/attempt.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// retryAfterShare is the part of its remaining patience after which the caller of a service
-	// that is down may come back: callers honour at most a third.
+	// retryAfterShare is the part of its remaining time after which the caller of a service that
+	// is down may come back: callers honour at most a third.
 	retryAfterShare = 0.32
 	// retryAfterJitter is the random part of that time, so that callers don't come back
 	// together.
--- a/core/request/admission/pump.go
+++ b/core/request/admission/dispatch.go
@@ -17,8 +17,8 @@
 
 // Decisions returns the decisions since the last call. The slice is valid until the next call.
 func (p *Pool) Decisions() []Decision {
-	out := p.settled
-	p.settled = p.settled[len(p.settled):]
+	out := p.decisions
+	p.decisions = p.decisions[len(p.decisions):]
 	return out
 }
 
@@ -40,13 +40,13 @@
 		}
 		g.start(now)
 		p.assignments[item.ID] = assignment{g, now}
-		p.settled = append(p.settled, Decision{ID: item.ID, Group: g.name})
+		p.decisions = append(p.decisions, Decision{ID: item.ID, Group: g.name})
 	}
 	p.updateSlots()
 	p.updateUrgentShare(now)
 	p.shed = p.queue.TakeShed(p.shed[:0])
 	for _, s := range p.shed {
-		p.settled = append(p.settled, Decision{ID: s.ID, Refusal: s.Refusal})
+		p.decisions = append(p.decisions, Decision{ID: s.ID, Refusal: s.Refusal})
 	}
 	// The end of a backlog is also noticed while no request arrives.
 	p.backlogAge(now)
--- a/core/request/admission/outage_test.go
+++ b/core/request/admission/outage_test.go
@@ -82,7 +82,7 @@
 func (r *recovery) arrive(retry bool) {
 	r.next++
 	id := fmt.Sprintf("%t-%d", retry, r.next)
-	q := Request{ID: id, Workspace: fmt.Sprint("w", r.next%8), Cost: cost, Objective: objective, Patience: 2 * time.Second, Retry: retry}
+	q := Request{ID: id, Workspace: fmt.Sprint("w", r.next%8), Cost: cost, Objective: objective, CallerTimeout: 2 * time.Second, Retry: retry}
 	if refusal := r.pool.Enqueue(q, r.now); refusal != nil && retry {
 		r.lost++
 	}
--- a/core/request/booking/booking_test.go
+++ b/core/request/booking/booking_test.go
@@ -48,7 +48,7 @@
 	key, home := keyOf("a", "a", 0), newHome(1, three)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
 	is.Equal(home.Claim(claimFor(key, "r1", "a"), 0).Kind, BadExecutor) // one crash would lose both records
-	is.Equal(home.Claim(claimFor(key, "r1", "d"), 0).Kind, BadExecutor) // a rebuild would not ask it
+	is.Equal(home.Claim(claimFor(key, "r1", "d"), 0).Kind, BadExecutor) // a rebuild would not query it
 	is.Equal(home.Claim(Claim{Key: key, Executor: "b", Revision: 2}, 0).Reason, ReasonConfigurationBehind)
 	first := home.Claim(claimFor(key, "r1", "b"), 0)
 	is.Equal(first.Kind, Granted)
@@ -190,16 +190,16 @@
 	is.True(exec.Start(running, 0))
 	exec.Drain()
 	is.Equal(exec.Accept(Submission{Grant: Grant{Key{1}, "b", 7, 1}, Incarnation: 1}, 0).Reason, ReasonDraining)
-	custody := &Backups{}
-	is.True(custody.Put(Handover{home.Export(0), exec.Export(0)}, 0))
+	backups := &Backups{}
+	is.True(backups.Put(Handover{home.Export(0), exec.Export(0)}, 0))
 	is.Equal(home.Claim(claimFor(key, "r2", "c"), 0).Kind, Rebuilding)
 	is.True(!exec.Start(queued, 0))
 
-	h, ok := custody.Take("a", 2, 0)
+	h, ok := backups.Take("a", 2, 0)
 	is.True(ok)
-	_, ok = custody.Take("a", 2, 0)
+	_, ok = backups.Take("a", 2, 0)
 	is.True(ok) // the answer may have been lost
-	_, ok = custody.Take("a", 3, 0)
+	_, ok = backups.Take("a", 3, 0)
 	is.True(!ok) // process 2 may have run more
 
 	next := &Executor{Name: "a", Incarnation: 2}
--- a/core/request/booking/simulation_test.go
+++ b/core/request/booking/simulation_test.go
@@ -262,7 +262,7 @@
 		return
 	}
 	s := n.exec.Resolve(Query{y.held.Grant, y.held.ExecutorIncarnation, y.body}, w.clock(n))
-	w.t.Logf("%v settle %x %s at %s/%d: %d %s", w.now, y.key[0], y.id, n.name, n.inc, s.Kind, s.State)
+	w.t.Logf("%v resolve %x %s at %s/%d: %d %s", w.now, y.key[0], y.id, n.name, n.inc, s.Kind, s.State)
 	switch {
 	case s.Kind == Known && s.State != AnswerLost:
 		if w.bodies[s.RequestID] != y.body {
@@ -278,7 +278,7 @@
 		}
 		y.phase = claiming
 	default:
-		w.finish(y, outcome.Unknown, "settled")
+		w.finish(y, outcome.Unknown, "resolved")
 	}
 }
 
--- a/core/request/permit/availability.go
+++ b/core/request/permit/availability.go
@@ -36,25 +36,25 @@
 }
 
 // ExpectedStart returns when a request that arrives now is expected to be sent.
-func (o Availability) ExpectedStart(now time.Time) time.Time {
-	turn := o.At
-	if turn.IsZero() {
-		turn = now.Add(maxClaimTime)
+func (a Availability) ExpectedStart(now time.Time) time.Time {
+	at := a.At
+	if at.IsZero() {
+		at = now.Add(maxClaimTime)
 	}
-	if turn.Before(now) {
-		turn = now
+	if at.Before(now) {
+		at = now
 	}
-	if o.Waiting > 0 && o.Rate > 0 {
-		turn = turn.Add(time.Duration(float64(o.Waiting) / o.Rate * float64(time.Second)))
+	if a.Waiting > 0 && a.Rate > 0 {
+		at = at.Add(time.Duration(float64(a.Waiting) / a.Rate * float64(time.Second)))
 	}
-	return turn
+	return at
 }
 
 // Add adds a target: when it accepts a request, zero if this is not known, and how many a
 // second.
-func (o *Availability) Add(at time.Time, rate float64) {
-	if !at.IsZero() && (o.At.IsZero() || at.Before(o.At)) {
-		o.At = at
+func (a *Availability) Add(at time.Time, rate float64) {
+	if !at.IsZero() && (a.At.IsZero() || at.Before(a.At)) {
+		a.At = at
 	}
-	o.Rate += rate
+	a.Rate += rate
 }
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -129,9 +129,9 @@
 	return &holder{Tracker: NewTracker(fmt.Sprintf("sender-%d", i), fmt.Sprint(r.rng.Uint32()), r.rng), sim: r}
 }
 
-func asOne(*replay, int) policy          { return &localLimit{part: 1} }
+func wholeLimitEach(*replay, int) policy { return &localLimit{part: 1} }
 func equalParts(r *replay, _ int) policy { return &localLimit{part: 1 / float64(r.senders)} }
-func heedless(*replay, int) policy       { return unlimited{} }
+func withoutLimit(*replay, int) policy   { return unlimited{} }
 
 // run simulates the scenario.
 func (r *replay) run() {
@@ -338,8 +338,8 @@
 		scenario
 		policy func(*replay, int) policy
 	}{
-		{"heedless", many, heedless},
-		{"as one", many, asOne},
+		{"without a limit", many, withoutLimit},
+		{"whole limit each", many, wholeLimitEach},
 		{"equal parts", saving, equalParts},
 	} {
 		r := newReplay(c.scenario, 1, c.policy)
--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -169,12 +169,12 @@
 
 // Guards against waiting to send a request until after its caller has disconnected, and
 // against refusing one that can be sent soon.
-func TestTurn(t *testing.T) {
+func TestExpectedStart(t *testing.T) {
 	latest := WaitDeadline(start, start.Add(3*time.Second))
 	for _, c := range []struct {
 		name         string
 		availability Availability
-		turn         time.Duration
+		start        time.Duration
 		waits        bool
 	}{
 		{"now", Availability{At: start.Add(-time.Minute), Rate: 2}, 0, true},
@@ -184,9 +184,9 @@
 		{"not known", Availability{}, maxClaimTime, true},
 		{"late", Availability{At: start.Add(2 * time.Second), Rate: 1}, 2 * time.Second, false},
 	} {
-		turn := c.availability.ExpectedStart(start)
-		if turn != start.Add(c.turn) || turn.After(latest) == c.waits {
-			t.Errorf("%s: turn %v, latest %v", c.name, turn.Sub(start), latest.Sub(start))
+		expected := c.availability.ExpectedStart(start)
+		if expected != start.Add(c.start) || expected.After(latest) == c.waits {
+			t.Errorf("%s: expected start %v, latest %v", c.name, expected.Sub(start), latest.Sub(start))
 		}
 	}
 }
--- a/core/request/quarantine/fingerprint_test.go
+++ b/core/request/quarantine/fingerprint_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// BenchmarkPrint is what each answered request costs a gateway.
-func BenchmarkPrint(b *testing.B) {
+// BenchmarkFingerprint measures what each answered request costs a gateway.
+func BenchmarkFingerprint(b *testing.B) {
 	c := content()
 	c.Body = make([]byte, 4<<10)
 	for b.Loop() {
--- a/core/request/quarantine/replay_test.go
+++ b/core/request/quarantine/replay_test.go
@@ -57,12 +57,12 @@
 	sent, crashed map[int]int
 }
 
-func newSimulation(sh scenario, seed uint64) *simulation {
+func newSimulation(sc scenario, seed uint64) *simulation {
 	s := &simulation{
-		scenario: sh, rng: rand.New(rand.NewPCG(seed, 1)), now: start, inboxes: make([][]event, sh.gateways),
+		scenario: sc, rng: rand.New(rand.NewPCG(seed, 1)), now: start, inboxes: make([][]event, sc.gateways),
 		holds: map[Fingerprint]int64{}, tries: map[int]int{}, next: 1000, refused: map[int]bool{}, sent: map[int]int{}, crashed: map[int]int{},
 	}
-	for range sh.gateways {
+	for range sc.gateways {
 		s.registers = append(s.registers, New())
 	}
 	return s
@@ -210,7 +210,7 @@
 // crashing request must not be sent more than three times after the recovery that follows its
 // third crash, and none of the hundreds of other requests may be refused.
 func TestReplayOfACrashLoop(t *testing.T) {
-	for name, sh := range map[string]scenario{
+	for name, sc := range map[string]scenario{
 		"a group of 16":    {targets: 16, gateways: 6, backlog: 160, copies: 4, seeds: 60},
 		"a group of 192":   {targets: 192, gateways: 53, backlog: 600, copies: 8, seeds: 2},
 		"a plain service":  {targets: 3, gateways: 6, backlog: 18, copies: 2, seeds: 60},
@@ -218,8 +218,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			crashes := 0
-			for seed := range sh.seeds {
-				crashes = max(crashes, runScenario(t, sh, seed))
+			for seed := range sc.seeds {
+				crashes = max(crashes, runScenario(t, sc, seed))
 			}
 			t.Logf("at most %d crashes under one request", crashes)
 		})
@@ -228,8 +228,8 @@
 
 // runScenario simulates a scenario with one crashing request or two, and returns the most
 // crashes that one of them caused.
-func runScenario(t *testing.T, sh scenario, seed uint64) (crashes int) {
-	s := newSimulation(sh, seed)
+func runScenario(t *testing.T, sc scenario, seed uint64) (crashes int) {
+	s := newSimulation(sc, seed)
 	crashing := []int{1, 2}[:1+seed%2]
 	for range replayWaves {
 		s.admitWave(crashing)
--- a/core/request/queue/admit.go
+++ b/core/request/queue/admit.go
@@ -91,7 +91,7 @@
 	if !now.Before(item.Deadline) {
 		return q.refuse(ReasonExpired, 0)
 	}
-	if item.Patient {
+	if item.WaitUntilDeadline {
 		return nil
 	}
 	wait := q.wait(item)
--- a/core/request/queue/gate.go
+++ b/core/request/queue/gate.go
@@ -25,7 +25,7 @@
 // opens with the first one that is not refused. The zero value is open.
 //
 // A service that has refused for long, such as an incomplete group, is unlikely to serve a
-// request within the caller's patience. A request that cannot be the next probe is better
+// request within the caller's timeout. A request that cannot be the next probe is better
 // refused at once than after a wait; see FailFast.
 type Gate struct {
 	closed    bool
--- a/core/request/queue/overload_test.go
+++ b/core/request/queue/overload_test.go
@@ -123,14 +123,14 @@
 		t.Logf("%s: on time %.2f, served %d of %d", name, onTime, o.served, o.arrivals)
 		return onTime, o.served
 	}
-	limited, servedLimited := play("told", 0.3, inTime)
-	line, servedLine := play("one line", 0.3, func(bool, time.Duration) time.Duration { return Wait{Service: replayService}.CallerLimit() })
+	limited, servedLimited := play("refused when late", 0.3, inTime)
+	single, servedSingle := play("one queue", 0.3, func(bool, time.Duration) time.Duration { return Wait{Service: replayService}.CallerLimit() })
 	first, servedFirst := play("retries first", 0.9, inTime)
 	is.True(limited > 0.55)
-	is.True(line < 0.25)
+	is.True(single < 0.25)
 	is.True(first < 0.25)
 	// The engines have as much to do in each case.
-	is.True(servedLimited >= servedLine && servedLimited >= servedFirst)
+	is.True(servedLimited >= servedSingle && servedLimited >= servedFirst)
 }
 
 // Guards against refusing callers while there are slots for all.
@@ -143,7 +143,7 @@
 
 func TestLongestWait(t *testing.T) {
 	const service = 200 * time.Millisecond
-	last := defaultPatience - service - startMargin
+	last := defaultCallerTimeout - service - startMargin
 	for _, tt := range []struct {
 		name string
 		w    Wait
@@ -155,8 +155,8 @@
 		{"no objective", Wait{Service: service, BacklogAge: 2 * time.Second}, minWait},
 		{"all refuse", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Closed: true}, maxClosedWait},
 		{"comes back", Wait{Objective: 500 * time.Millisecond, Service: service, BacklogAge: 2 * time.Second, Retry: true, Closed: true}, last},
-		{"patient caller", Wait{Service: service, Patience: 5 * time.Second}, 5*time.Second - service - startMargin},
-		{"impatient caller", Wait{Objective: 500 * time.Millisecond, Service: service, Patience: 250 * time.Millisecond, BacklogAge: 2 * time.Second}, minWait},
+		{"long timeout", Wait{Service: service, CallerTimeout: 5 * time.Second}, 5*time.Second - service - startMargin},
+		{"short timeout", Wait{Objective: 500 * time.Millisecond, Service: service, CallerTimeout: 250 * time.Millisecond, BacklogAge: 2 * time.Second}, minWait},
 	} {
 		t.Run(tt.name, func(t *testing.T) { is.New(t).Equal(tt.w.Longest(), tt.want) })
 	}
--- a/core/request/queue/queue.go
+++ b/core/request/queue/queue.go
@@ -67,8 +67,8 @@
 	Weight float64
 	// Deadline is the latest useful start; zero means none.
 	Deadline time.Time
-	// Patient items wait until their deadline, whatever the expected wait is.
-	Patient bool
+	// WaitUntilDeadline accepts the item even if its expected wait exceeds the deadline.
+	WaitUntilDeadline bool
 }
 
 // Shed is an item that the queue removed unstarted after it had accepted it.
--- a/core/request/queue/wait.go
+++ b/core/request/queue/wait.go
@@ -13,11 +13,11 @@
 	// requests. An outage that ends in that time was a restart; a lost rank takes seconds, and
 	// then the caller had better come back with an attempt left than when all others do.
 	maxClosedWait = 700 * time.Millisecond
-	// defaultPatience is how long the caller of a stream waits for its first event if the route
-	// does not specify it.
-	defaultPatience = 2 * time.Second
+	// defaultCallerTimeout is how long the caller of a stream waits for its first event if the
+	// route does not specify it.
+	defaultCallerTimeout = 2 * time.Second
 	// startMargin is the time left between the first event and the end of its caller's
-	// patience: for the network, and for a forward pass that takes longer than expected.
+	// timeout: for the network, and for a forward pass that takes longer than expected.
 	startMargin = 150 * time.Millisecond
 )
 
@@ -26,8 +26,8 @@
 	// Objective is the time within which its route wants the first event of the response,
 	// Service the time that engines take to it from the start.
 	Objective, Service time.Duration
-	// Patience is how long its caller waits for the first event; 0 means unknown.
-	Patience time.Duration
+	// CallerTimeout is how long its caller waits for the first event; 0 means unknown.
+	CallerTimeout time.Duration
 	// BacklogAge is for how long requests have been waiting without a break.
 	BacklogAge time.Duration
 	// Retry reports whether its caller has been refused before, Closed whether no target
@@ -58,9 +58,9 @@
 // CallerLimit returns how long after its arrival the request must have started for its caller
 // to be still connected when its response begins.
 func (w Wait) CallerLimit() time.Duration {
-	patience := w.Patience
-	if patience <= 0 {
-		patience = defaultPatience
+	timeout := w.CallerTimeout
+	if timeout <= 0 {
+		timeout = defaultCallerTimeout
 	}
-	return max(patience-w.Service-startMargin, minWait)
+	return max(timeout-w.Service-startMargin, minWait)
 }
--- a/core/request/retry/return_detector.go
+++ b/core/request/retry/return_detector.go
@@ -33,15 +33,15 @@
 // Returning reports whether a caller with the given remaining wait has been here before. A
 // caller that states no wait counts as being at its first attempt. Bound is the longest time
 // that the operator lets such a caller wait, or 0 if there is none.
-func (p *ReturnDetector) Returning(patience, bound time.Duration) bool {
-	if patience <= 0 {
+func (p *ReturnDetector) Returning(remaining, bound time.Duration) bool {
+	if remaining <= 0 {
 		return false
 	}
 	p.samples++
-	p.longest = max(p.longest, patience)
+	p.longest = max(p.longest, remaining)
 	longest := p.longest
 	if p.samples < minSamples && p.longest >= bound/boundDivisor {
 		longest = max(longest, bound)
 	}
-	return float64(patience) < firstTryShare*float64(longest)
+	return float64(remaining) < firstTryShare*float64(longest)
 }
--- a/core/request/retry/return_detector_test.go
+++ b/core/request/retry/return_detector_test.go
@@ -12,22 +12,22 @@
 func TestReturningCallersHaveLessTimeLeft(t *testing.T) {
 	for _, tt := range []struct {
 		name      string
-		patience  []time.Duration
+		remaining []time.Duration
 		returning bool
 	}{
 		{"first of all", []time.Duration{7 * time.Second}, false},
-		{"the most patient", []time.Duration{7 * time.Second, 8 * time.Second}, false},
-		{"the least patient at its first try", []time.Duration{8 * time.Second, 6800 * time.Millisecond}, false},
+		{"longest remaining time", []time.Duration{7 * time.Second, 8 * time.Second}, false},
+		{"shortest timeout at its first attempt", []time.Duration{8 * time.Second, 6800 * time.Millisecond}, false},
 		{"refused at once, back after a quarter", []time.Duration{8 * time.Second, 6 * time.Second}, true},
 		{"back late", []time.Duration{8 * time.Second, 500 * time.Millisecond}, true},
-		{"does not say", []time.Duration{8 * time.Second, 0}, false},
-		{"nobody says", []time.Duration{0, 0}, false},
+		{"no timeout stated", []time.Duration{8 * time.Second, 0}, false},
+		{"no timeout stated by any", []time.Duration{0, 0}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			var p ReturnDetector
 			got := false
-			for _, d := range tt.patience {
+			for _, d := range tt.remaining {
 				got = p.Returning(d, 0)
 			}
 			is.Equal(got, tt.returning)
--- a/core/request/retry/window_test.go
+++ b/core/request/retry/window_test.go
@@ -17,24 +17,24 @@
 func TestMomentMayUseTheWholeWindow(t *testing.T) {
 	is := is.New(t)
 	key := Key{Workspace: "pool", Hop: "pool"}
-	b, saved := windowed(), NewBudgets(Limits{Ratio: 0.2, KeyBurst: 4, HopBurst: 4})
+	b, bucketed := windowed(), NewBudgets(Limits{Ratio: 0.2, KeyBurst: 4, HopBurst: 4})
 	now := time.Unix(1000, 0)
 	for range 500 {
 		now = now.Add(20 * time.Millisecond)
 		b.Request(key, now)
-		saved.Request(key, now)
+		bucketed.Request(key, now)
 	}
-	took, tookSaved := 0, 0
+	took, tookBucketed := 0, 0
 	for range 40 {
 		if b.For(key).Take(now) {
 			took++
 		}
-		if saved.For(key).Take(now) {
-			tookSaved++
+		if bucketed.For(key).Take(now) {
+			tookBucketed++
 		}
 	}
 	is.Equal(took, 40)
-	is.True(tookSaved <= 5)
+	is.True(tookBucketed <= 5)
 }
 
 // Guards against more retries within a time span than its requests allow, wherever the span
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -117,12 +117,12 @@
 func (c *call) admissionRequest(id string) admission.Request {
 	return admission.Request{
 		ID: id, Workspace: c.workspaceName(), Cost: int64(c.cost()), Objective: c.route.Objective,
-		Patience: c.firstEventPatience(), Retry: c.returning,
+		CallerTimeout: c.firstEventTimeout(), Retry: c.returning,
 	}
 }
 
-// firstEventPatience returns how long the caller waits for the first part of its answer.
-func (c *call) firstEventPatience() time.Duration {
+// firstEventTimeout returns how long the caller waits for the first part of its answer.
+func (c *call) firstEventTimeout() time.Duration {
 	left := c.deadline.Sub(c.arrived)
 	if c.route.StreamIdleTimeout > 0 {
 		return min(c.route.StreamIdleTimeout, left)
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -112,8 +112,8 @@
 		refusal := <-waiting[0]
 		is.Equal(refusal.Outcome, outcome.NotRun)
 		took := time.Since(began)
-		longest := queue.Wait{Patience: c.firstEventPatience(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
-		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.firstEventPatience())
+		longest := queue.Wait{CallerTimeout: c.firstEventTimeout(), Closed: true, Service: (&queue.ServiceTime{}).P90()}.Longest()
+		is.True(took >= longest && took < longest+100*time.Millisecond && took < c.firstEventTimeout())
 		is.True(refusal.RetryAfter > 1500*time.Millisecond && refusal.RetryAfter < 8*time.Second/3)
 	})
 }
@@ -168,7 +168,7 @@
 		time.Sleep(time.Millisecond)
 		_, ok := a.awaitRetry(t.Context(), c)
 		is.True(!ok)
-		is.True(time.Since(c.arrived) < c.firstEventPatience())
+		is.True(time.Since(c.arrived) < c.firstEventTimeout())
 		begun := caller(false)
 		begun.begun, begun.slot = true, probe
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -98,8 +98,8 @@
 	body   []byte
 }
 
-// defaultPatience is the time limit of a request whose caller does not state one.
-const defaultPatience = 60 * time.Second
+// defaultTimeout is the time limit of a request whose caller does not state one.
+const defaultTimeout = 60 * time.Second
 
 // errDeadline is the cause when a request has reached its deadline.
 var errDeadline = errors.New("the time of the request is over")
@@ -118,14 +118,14 @@
 		c.respond(http.StatusUnauthorized, "unknown key", 0)
 		return false
 	}
-	patience := c.req.Timeout
-	if patience == 0 {
-		patience = defaultPatience
+	timeout := c.req.Timeout
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
 	if c.route.Timeout > 0 {
-		patience = min(patience, c.route.Timeout)
+		timeout = min(timeout, c.route.Timeout)
 	}
-	c.deadline = c.arrived.Add(patience)
+	c.deadline = c.arrived.Add(timeout)
 	c.attempts.MayNotRepeat = !c.route.Repeatable()
 	c.lastEvent = c.req.LastEvent
 	limit := cat.config.Limits.BodyBytes
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -57,8 +57,8 @@
 	g.fleet.mu.Lock()
 	g.fleet.pause(g.fleet.targetStates["t0"], "r1", time.Second, now)
 	g.fleet.mu.Unlock()
-	for patience, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
-		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(patience)}}
+	for timeout, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
+		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(timeout)}}
 		is.Equal(c.shouldWait(0), near)
 		is.Equal(c.retryAfter > 0, !near)
 	}
--- a/gateway/pending.go
+++ b/gateway/pending.go
@@ -169,7 +169,7 @@
 	if baseline == nil {
 		return false
 	}
-	patience, known := baseline.took.Timeout()
-	waits := health.Pending{Sent: p.started, Target: w.targets[p.target.ID], Others: w.services[p.service].without(p.target.ID), Timeout: patience}
+	timeout, known := baseline.took.Timeout()
+	waits := health.Pending{Sent: p.started, Target: w.targets[p.target.ID], Others: w.services[p.service].without(p.target.ID), Timeout: timeout}
 	return known && waits.Unanswered(now)
 }
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -42,8 +42,8 @@
 	rigKey   = "key-of-harbor-home"
 	rigSpace = "harbor-home"
 	rigBody  = "a family's own words"
-	// rigPatience is how long callers wait unless a test says otherwise.
-	rigPatience = 5 * time.Second
+	// rigTimeout is how long callers wait unless a test says otherwise.
+	rigTimeout = 5 * time.Second
 )
 
 // routeOf returns a route of one of the kinds that a configuration may have.
@@ -94,7 +94,7 @@
 	r.calls++
 	return scripted.Call{
 		Gateway: r.front, Method: http.MethodPost, Path: "/a/item?q=1", Host: rigHost, Key: rigKey,
-		ID: fmt.Sprintf("r%d", r.calls), Body: rigBody, Timeout: rigPatience,
+		ID: fmt.Sprintf("r%d", r.calls), Body: rigBody, Timeout: rigTimeout,
 	}
 }
 
@@ -214,7 +214,7 @@
 	_, got := all.ask()
 	all.Equal(got.Status, platform.StatusNotRun)
 	all.True(got.RetryAfter() > 0)
-	all.True(got.RetryAfter() <= rigPatience/3) // the longest that callers honour
+	all.True(got.RetryAfter() <= rigTimeout/3) // the longest that callers honour
 }
 
 // Guards against a run by another service, at the address of a removed server.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -194,7 +194,7 @@
 }
 
 // isReturning reports whether a caller of a route is repeating an earlier attempt.
-func (g *gateway) isReturning(r *deployment.Route, patience time.Duration) bool {
+func (g *gateway) isReturning(r *deployment.Route, timeout time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.returnDetectors[r.Name]
@@ -202,7 +202,7 @@
 		p = &retry.ReturnDetector{}
 		g.returnDetectors[r.Name] = p
 	}
-	return p.Returning(patience, r.Timeout)
+	return p.Returning(timeout, r.Timeout)
 }
 
 // run calls tick periodically until the context ends.
--- a/gateway/startup/startup.go
+++ b/gateway/startup/startup.go
@@ -13,7 +13,7 @@
 //
 //	gate := startup.New()
 //	go func() { readConfiguration(); gate.Open() }() // or gate.Unreachable()
-//	if err := gate.Wait(ctx, patience); err != nil {
+//	if err := gate.Wait(ctx, timeout); err != nil {
 //		return refuse(err) // a *startup.RefusedError, or ctx.Err()
 //	}
 package startup
@@ -30,9 +30,9 @@
 	// maxHoldTime bounds the wait of one request: callers abandon a process that has not
 	// read their request after a second.
 	maxHoldTime = 900 * time.Millisecond
-	// patienceDivisor is the divisor of the caller's patience: after that part of it the
+	// timeoutDivisor is the divisor of the caller's timeout: after that part of it the
 	// caller abandons the process as well.
-	patienceDivisor = 3
+	timeoutDivisor = 3
 	// retryDelay is the time that a process needs to read its configuration. A refused
 	// caller should not retry earlier.
 	retryDelay = time.Second
@@ -100,9 +100,9 @@
 	return g.held
 }
 
-// Wait holds a request until the Gate is open and returns nil then. Patience is how long the
+// Wait holds a request until the Gate is open and returns nil then. Timeout is how long the
 // caller waits for its answer, 0 if it is not known.
-func (g *Gate) Wait(ctx context.Context, patience time.Duration) error {
+func (g *Gate) Wait(ctx context.Context, timeout time.Duration) error {
 	if isClosed(g.opened) {
 		return nil
 	}
@@ -111,8 +111,8 @@
 	}
 	defer g.leave()
 	hold := maxHoldTime
-	if patience > 0 {
-		hold = min(hold, patience/patienceDivisor)
+	if timeout > 0 {
+		hold = min(hold, timeout/timeoutDivisor)
 	}
 	timer := time.NewTimer(hold)
 	defer timer.Stop()
--- a/gateway/startup/startup_test.go
+++ b/gateway/startup/startup_test.go
@@ -20,9 +20,9 @@
 }
 
 // waiter starts a request and returns the channel of its outcome.
-func waiter(ctx context.Context, g *Gate, patience time.Duration) chan error {
+func waiter(ctx context.Context, g *Gate, timeout time.Duration) chan error {
 	out := make(chan error, 1)
-	go func() { out <- g.Wait(ctx, patience) }()
+	go func() { out <- g.Wait(ctx, timeout) }()
 	synctest.Wait()
 	return out
 }
@@ -63,16 +63,16 @@
 
 // Guards against holding a caller until it abandons the process.
 func TestHoldIsBoundedInTime(t *testing.T) {
-	for name, c := range map[string]struct{ patience, want time.Duration }{
-		"long patience":  {7 * time.Second, maxHoldTime},
-		"short patience": {600 * time.Millisecond, 200 * time.Millisecond},
-		"unknown":        {0, maxHoldTime},
+	for name, c := range map[string]struct{ timeout, want time.Duration }{
+		"long timeout":  {7 * time.Second, maxHoldTime},
+		"short timeout": {600 * time.Millisecond, 200 * time.Millisecond},
+		"unknown":       {0, maxHoldTime},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				began := time.Now()
-				is.Equal(reason(New().Wait(t.Context(), c.patience)), ReasonTimeout)
+				is.Equal(reason(New().Wait(t.Context(), c.timeout)), ReasonTimeout)
 				is.Equal(time.Since(began), c.want)
 			})
 		})
