--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -174,7 +174,7 @@
 	for _, c := range []struct {
 		name         string
 		availability Availability
-		start        time.Duration
+		after        time.Duration
 		waits        bool
 	}{
 		{"now", Availability{At: start.Add(-time.Minute), Rate: 2}, 0, true},
@@ -185,7 +185,7 @@
 		{"late", Availability{At: start.Add(2 * time.Second), Rate: 1}, 2 * time.Second, false},
 	} {
 		expected := c.availability.ExpectedStart(start)
-		if expected != start.Add(c.start) || expected.After(latest) == c.waits {
+		if expected != start.Add(c.after) || expected.After(latest) == c.waits {
 			t.Errorf("%s: expected start %v, latest %v", c.name, expected.Sub(start), latest.Sub(start))
 		}
 	}
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -104,8 +104,8 @@
 	a.locked(func(p *admission.Pool, now time.Time) {
 		a.next++
 		id = strconv.FormatUint(a.next, 36)
-		turn := make(chan admission.Decision, 1)
-		a.waiting[id], ready = turn, turn
+		decision := make(chan admission.Decision, 1)
+		a.waiting[id], ready = decision, decision
 		if refusal = p.Enqueue(c.admissionRequest(id), now); refusal != nil {
 			delete(a.waiting, id)
 		}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -71,16 +71,16 @@
 // already counted as waiting.
 func (c *call) shouldWait(own int) bool {
 	now := time.Now()
-	o, held := c.fleet.availability(c.query(), now)
-	if !held {
+	o, throttled := c.fleet.availability(c.query(), now)
+	if !throttled {
 		return false
 	}
 	o.Waiting -= own
-	turn := o.ExpectedStart(now)
-	if !turn.After(permit.WaitDeadline(c.arrived, c.deadline)) {
+	start := o.ExpectedStart(now)
+	if !start.After(permit.WaitDeadline(c.arrived, c.deadline)) {
 		return true
 	}
-	c.retryAfter = turn.Sub(now)
+	c.retryAfter = start.Sub(now)
 	return false
 }
 
--- a/gateway/backpressure.go
+++ b/gateway/backpressure.go
@@ -15,10 +15,9 @@
 	limits *limits
 	// paused holds until when targets want no requests from this gateway.
 	paused map[string]time.Time
-	// held holds the throttled targets: those that take no request now because of a limit or
-	// a pause.
-	held map[string]bool
-	// waiting counts the requests by service that wait for a held target.
+	// throttled holds the targets that take no request now because of a limit or a pause.
+	throttled map[string]bool
+	// waiting counts the requests by service that wait for a throttled target.
 	waiting map[string]int
 	// refusing holds the targets that are avoided because they refuse requests.
 	refusing map[string]*targetState
@@ -26,19 +25,19 @@
 
 func newBackpressure(instance string, log *slog.Logger) backpressure {
 	return backpressure{
-		limits: newLimits(instance, log), paused: map[string]time.Time{}, held: map[string]bool{},
+		limits: newLimits(instance, log), paused: map[string]time.Time{}, throttled: map[string]bool{},
 		waiting: map[string]int{}, refusing: map[string]*targetState{},
 	}
 }
 
 // drop removes what an earlier incarnation of a target has requested. Stays reports that the
-// target has restarted; born identifies its new incarnation.
-func (b *backpressure) drop(id string, born int64, stays bool) {
-	delete(b.held, id)
+// target has restarted; startedAt identifies its new incarnation.
+func (b *backpressure) drop(id string, startedAt int64, stays bool) {
+	delete(b.throttled, id)
 	delete(b.paused, id)
 	delete(b.refusing, id)
 	if stays {
-		b.limits.restarted(id, born)
+		b.limits.restarted(id, startedAt)
 		return
 	}
 	b.limits.remove(id)
@@ -47,7 +46,7 @@
 // applyBackpressure applies what a target requests in an answer. It is called with the lock held.
 func (f *fleet) applyBackpressure(s activeAttempt, a platform.Answer, now time.Time) {
 	if a.ShuttingDown && !s.target.announcedShutdown {
-		f.markLeaving(s, a.ID)
+		f.markShuttingDown(s, a.ID)
 	}
 	if a.Sealed || a.NotRun {
 		f.applyLimit(s, a.ID, a.Limit, now)
@@ -62,12 +61,12 @@
 	}
 }
 
-// markLeaving records that a target has announced its shutdown in an answer. Its entry in the
-// store may never say so. It is called with the lock held.
-func (f *fleet) markLeaving(s activeAttempt, requestID string) {
+// markShuttingDown records that a target has announced its shutdown in an answer. Its entry in
+// the store may never say so. It is called with the lock held.
+func (f *fleet) markShuttingDown(s activeAttempt, requestID string) {
 	p := s.target
 	p.announcedShutdown = true
-	metricLeaving.Add(1)
+	metricShutdowns.Add(1)
 	f.log.Info("target announced its shutdown", "id", requestID, "target", p.ID, "service", p.Service, "draining-by-store", p.Draining)
 	if f.targetStates[p.ID] == p {
 		f.table.SetLeaving(s.index, true)
@@ -100,7 +99,7 @@
 	if until := now.Add(d); until.After(f.backpressure.paused[p.ID]) {
 		f.backpressure.paused[p.ID] = until
 	}
-	f.setHeld(p.ID, true)
+	f.setThrottled(p.ID, true)
 }
 
 // refused records a failure of a target, or a refusal without a requested pause. It is called
@@ -118,7 +117,7 @@
 // It is called with the lock held.
 func (f *fleet) updateThrottled(service string, now time.Time) {
 	unready := f.backpressure.limits.unready(service, now)
-	if len(unready) == 0 && len(f.backpressure.held) == 0 {
+	if len(unready) == 0 && len(f.backpressure.throttled) == 0 {
 		return
 	}
 	for id, until := range f.backpressure.paused {
@@ -126,27 +125,27 @@
 			delete(f.backpressure.paused, id)
 		}
 	}
-	for id := range f.backpressure.held {
+	for id := range f.backpressure.throttled {
 		if !unready[id] && f.backpressure.paused[id].IsZero() {
-			f.setHeld(id, false)
+			f.setThrottled(id, false)
 		}
 	}
 	for id := range unready {
-		if !f.backpressure.held[id] && f.targetStates[id] != nil {
-			f.setHeld(id, true)
+		if !f.backpressure.throttled[id] && f.targetStates[id] != nil {
+			f.setThrottled(id, true)
 		}
 	}
 }
 
-// setHeld stops or resumes sending requests to a target. It is called with the lock held.
-func (f *fleet) setHeld(id string, held bool) {
-	if held {
-		f.backpressure.held[id] = true
+// setThrottled stops or resumes sending requests to a target. It is called with the lock held.
+func (f *fleet) setThrottled(id string, throttled bool) {
+	if throttled {
+		f.backpressure.throttled[id] = true
 	} else {
-		delete(f.backpressure.held, id)
+		delete(f.backpressure.throttled, id)
 	}
 	if i, ok := f.table.Lookup(id); ok {
-		f.table.SetPaused(i, held)
+		f.table.SetPaused(i, throttled)
 	}
 }
 
@@ -168,7 +167,7 @@
 	defer f.mu.Unlock()
 	o := permit.Availability{Waiting: f.backpressure.waiting[q.Service]}
 	some := false
-	for id := range f.backpressure.held {
+	for id := range f.backpressure.throttled {
 		i, ok := f.table.Lookup(id)
 		if !ok || f.targetStates[id].Service != q.Service || q.Exclude.Has(i) || f.targetStates[id].shuttingDown() {
 			continue
--- a/gateway/call_test.go
+++ b/gateway/call_test.go
@@ -65,6 +65,6 @@
 	view := r.view
 	view.Targets = map[string]deployment.Target{"t0": t0}
 	r.gateway.update(&view)
-	_, got := r.ask()
+	_, got := r.send()
 	r.Equal(got.Status, http.StatusOK)
 }
--- a/gateway/crash/detector.go
+++ b/gateway/crash/detector.go
@@ -12,10 +12,10 @@
 // # Usage
 //
 //	d := crash.New(tcp.Dial, serves, log, func(c quarantine.Crash) { report(c) })
-//	d.AnswerBroken(target, print) // an answer of the target broke off
-//	d.Removed(target)       // its entry was removed
-//	d.Restarted(target)     // its entry, or another one at its address, shows a later start
-//	d.Tick(time.Now())      // periodically
+//	d.AnswerBroken(target, fingerprint) // an answer of the target broke off
+//	d.Removed(target)                   // its entry was removed
+//	d.Restarted(target)                 // its entry, or another one at its address, shows a later start
+//	d.Tick(time.Now())                  // periodically
 package crash
 
 import (
@@ -34,9 +34,9 @@
 )
 
 const (
-	// settleDelay is the time between a broken answer and the check of the target's address:
+	// checkDelay is the time between a broken answer and the check of the target's address:
 	// a process that ends closes its connections and its listener one after the other.
-	settleDelay = 50 * time.Millisecond
+	checkDelay = 50 * time.Millisecond
 	// dialTimeout is how long the address may take to answer.
 	dialTimeout = 500 * time.Millisecond
 	// retention is how long a broken answer is kept until the store removes the target's
@@ -66,8 +66,8 @@
 
 // incarnation identifies one incarnation of a target.
 type incarnation struct {
-	id   string
-	born int64
+	id        string
+	startedAt int64
 }
 
 func incarnationOf(t deployment.Target) incarnation { return incarnation{t.ID, t.StartedAt} }
@@ -183,7 +183,7 @@
 // checkAddress finds out whether the process of a target has ended.
 func (d *Detector) checkAddress(b *brokenAnswers) {
 	for {
-		pause.For(context.Background(), settleDelay)
+		pause.For(context.Background(), checkDelay)
 		d.mu.Lock()
 		count := len(b.fresh)
 		d.mu.Unlock()
@@ -253,9 +253,9 @@
 }
 
 // short returns the shortened fingerprints for a log line, at most maxLogged of them.
-func short(prints []quarantine.Fingerprint) []string {
+func short(fingerprints []quarantine.Fingerprint) []string {
 	texts := make([]string, 0, maxLogged)
-	for _, p := range prints[:min(len(prints), maxLogged)] {
+	for _, p := range fingerprints[:min(len(fingerprints), maxLogged)] {
 		texts = append(texts, p.Short())
 	}
 	return texts
--- a/gateway/isolator.go
+++ b/gateway/isolator.go
@@ -86,8 +86,8 @@
 
 // queueCompleted queues requests that were answered completely for the next report. It is called
 // with the lock held.
-func (s *isolator) queueCompleted(prints []quarantine.Fingerprint) {
-	for _, p := range prints {
+func (s *isolator) queueCompleted(fingerprints []quarantine.Fingerprint) {
+	for _, p := range fingerprints {
 		if len(s.unwritten.Completed) < maxUnwritten {
 			s.unwritten.Completed = append(s.unwritten.Completed, p)
 		}
@@ -95,7 +95,7 @@
 }
 
 // apply applies the items of the store under quarantine.Prefix.
-func (s *isolator) apply(items []kv.Item, whole bool) {
+func (s *isolator) apply(items []kv.Item, snapshot bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -115,7 +115,7 @@
 		}
 		s.queueCompleted(completed)
 	}
-	if whole {
+	if snapshot {
 		s.register.RetainOnly(keys)
 	}
 	s.show()
@@ -144,7 +144,7 @@
 	if !s.writeHold(ctx, p, v.Revision, v.Hold.WithProbe()) {
 		return false
 	}
-	s.log.Info("request on trial", "print", p.Short(), "trials-before", v.Hold.Probes, "crashes", v.Hold.Crashes)
+	s.log.Info("quarantined request probed", "print", p.Short(), "trials-before", v.Hold.Probes, "crashes", v.Hold.Crashes)
 	return true
 }
 
@@ -192,7 +192,7 @@
 	if errors.As(err, &status) && status.Conflict() {
 		return
 	}
-	s.log.Warn("crashes not told", "error", err.Error())
+	s.log.Warn("crashes not reported", "error", err.Error())
 }
 
 // run writes reports and holds until the context ends.
@@ -251,7 +251,7 @@
 			continue // Another gateway has written it.
 		}
 		if s.writeHold(ctx, p, 0, h) {
-			s.log.Warn("request held back", "print", p.Short(), "crashes", h.Crashes, "trial-soon", h.ProbeNow)
+			s.log.Warn("request quarantined", "print", p.Short(), "crashes", h.Crashes, "trial-soon", h.ProbeNow)
 		}
 	}
 }
--- a/gateway/limits.go
+++ b/gateway/limits.go
@@ -62,10 +62,10 @@
 }
 
 // restarted removes the limit of an earlier incarnation of a target.
-func (l *limits) restarted(id string, born int64) {
+func (l *limits) restarted(id string, startedAt int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tracker.Restarted(id, born)
+	l.tracker.Restarted(id, startedAt)
 }
 
 // remove removes the limit of a target that no longer exists.
@@ -107,10 +107,10 @@
 }
 
 // apply applies the items of the store under permit.Prefix.
-func (l *limits) apply(items []kv.Item, whole bool) {
+func (l *limits) apply(items []kv.Item, snapshot bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, err := range l.tracker.Apply(items, whole, time.Now()) {
+	for _, err := range l.tracker.Apply(items, snapshot, time.Now()) {
 		l.log.Warn("invalid permit in the store", "error", err.Error())
 	}
 }
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -25,7 +25,7 @@
 		free := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 		r := newRig(t, routeOf(kind), limited, free)
 		for range 40 {
-			_, got := r.ask()
+			_, got := r.send()
 			r.Equal(got.Status, 200)
 		}
 		r.Equal(len(limited.Seen()), 1)
@@ -36,7 +36,7 @@
 func TestAllTargetsLimited(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("0.5", "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
-	_, got := r.ask()
+	_, got := r.send()
 	r.Equal(got.Status, 200)
 	c := r.call()
 	c.Timeout = time.Second
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -155,7 +155,7 @@
 	at, ok := r.gateway.fleet.table.Lookup("t0")
 	is.True(ok)
 	r.gateway.fleet.mu.Lock()
-	st := &activeStream{activeAttempt: activeAttempt{index: at, target: r.gateway.fleet.targetStates["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, heardAt: now.Add(-time.Second), end: func(error) {}}
+	st := &activeStream{activeAttempt: activeAttempt{index: at, target: r.gateway.fleet.targetStates["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, lastEventAt: now.Add(-time.Second), end: func(error) {}}
 	r.gateway.fleet.streams.open[st] = struct{}{}
 	r.gateway.fleet.streams.groups[groupKey{service: "pool"}] = now
 	r.gateway.fleet.watchSilence(now)
@@ -174,7 +174,7 @@
 	r := newRig(t, routeOf(deployment.Safe), s)
 	read := r.logged()
 	r.gateway.digest(&rankpeer.Digest{Targets: []string{"t0"}, Running: []uint16{1}, Queued: []uint16{0}, Pace: []uint16{10}}, time.Now().Add(-700*time.Millisecond))
-	c, _ := r.ask()
+	c, _ := r.send()
 	for _, l := range story.RequestTrace(c.ID, read()) {
 		if l.Message != "request" {
 			continue
--- a/gateway/metrics.go
+++ b/gateway/metrics.go
@@ -23,8 +23,8 @@
 	metricRateLimits = expvar.NewInt("target-rate-limits-set")
 	// metricPauses counts refusals that request a pause.
 	metricPauses = expvar.NewInt("target-pauses-requested")
-	// metricLeaving counts targets that have announced their shutdown in an answer.
-	metricLeaving = expvar.NewInt("targets-shutting-down")
+	// metricShutdowns counts targets that have announced their shutdown in an answer.
+	metricShutdowns = expvar.NewInt("targets-shutting-down")
 	// metricPermits counts changes of permits by kind.
 	metricPermits = expvar.NewMap("permit-changes")
 	// metricThrottledWaits counts requests that have waited for a throttled target.
--- a/gateway/pause_test.go
+++ b/gateway/pause_test.go
@@ -35,7 +35,7 @@
 		other := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 		r := newRig(t, routeOf(kind), paused, other)
 		for range 40 {
-			_, got := r.ask()
+			_, got := r.send()
 			r.Equal(got.Status, 200)
 		}
 		r.Equal(len(paused.Seen()), 1)
@@ -115,8 +115,8 @@
 	on.Store(true)
 	s := scripted.Serve(t, pausing("3", &on))
 	r := newRig(t, routeOf(deployment.Unsafe), s)
-	r.ask()
-	_, got := r.ask()
+	r.send()
+	_, got := r.send()
 	r.Equal(got.Status, 503)
 	r.True(got.RetryAfter() > 2*time.Second && got.RetryAfter() <= 3*time.Second)
 	r.Equal(len(s.Seen()), 1)
@@ -128,9 +128,9 @@
 	on.Store(true)
 	s := scripted.Serve(t, pausing("0.5", &on))
 	r := newRig(t, routeOf(deployment.Unsafe), s)
-	r.ask()
+	r.send()
 	on.Store(false)
-	_, got := r.ask()
+	_, got := r.send()
 	r.Equal(got.Status, 200)
 }
 
@@ -141,10 +141,10 @@
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		leaving := scripted.Serve(t, func(x *scripted.Exchange) { x.Leaving("ok") })
 		r := newRig(t, routeOf(kind), leaving)
-		_, got := r.ask()
+		_, got := r.send()
 		r.Equal(got.Status, 200)
 		for range 2 {
-			_, got = r.ask()
+			_, got = r.send()
 			r.Equal(got.Status, 503)
 			r.gateway.update(&r.view)
 		}
@@ -154,7 +154,7 @@
 		restarted.StartedAt = 9
 		r.view.Targets = map[string]deployment.Target{"t0": restarted}
 		r.gateway.update(&r.view)
-		_, got = r.ask()
+		_, got = r.send()
 		r.Equal(got.Status, 200)
 	}
 }
--- a/gateway/pending_test.go
+++ b/gateway/pending_test.go
@@ -37,7 +37,7 @@
 // warm sends requests until the gateway knows how long answers take.
 func (r *rig) warm() {
 	for range 40 {
-		r.ask()
+		r.send()
 	}
 }
 
@@ -73,13 +73,13 @@
 	r, first, second := newHangingRig(t, deployment.Safe, timeout)
 	failed := r.traffic()
 	for range 40 {
-		_, got := r.ask()
+		_, got := r.send()
 		r.Equal(got.Status, http.StatusOK)
 	}
 	// It is suspected by now, and gets at most an occasional probe.
 	before, all := len(first.Seen()), len(second.Seen())
 	for range 40 {
-		r.ask()
+		r.send()
 	}
 	r.True(len(first.Seen())-before <= (len(second.Seen())-all)/10)
 	time.Sleep(timeout)
@@ -93,7 +93,7 @@
 	r.traffic()
 	asked, lost := 60, 0
 	for range asked {
-		if _, got := r.ask(); got.Status != http.StatusOK {
+		if _, got := r.send(); got.Status != http.StatusOK {
 			lost++
 		}
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -9,10 +9,10 @@
 
 // quarantineState is what is known about calls with the same content.
 type quarantineState struct {
-	// cachedPrint is the fingerprint of the request once it was computed; suspect is set if a
-	// target may have crashed while running it.
-	cachedPrint quarantine.Fingerprint
-	suspect     bool
+	// cachedFingerprint is the fingerprint of the request once it was computed; suspect is set
+	// if a target may have crashed while running it.
+	cachedFingerprint quarantine.Fingerprint
+	suspect           bool
 	// probe is set if the request is quarantined and is sent to find out whether it still
 	// crashes targets; crashes is how many had crashed before.
 	probe   bool
@@ -21,13 +21,13 @@
 
 // fingerprint returns the fingerprint that the request shares with others of the same content.
 func (c *call) fingerprint() quarantine.Fingerprint {
-	if c.cachedPrint == (quarantine.Fingerprint{}) {
+	if c.cachedFingerprint == (quarantine.Fingerprint{}) {
 		content := quarantine.Content{
 			Method: c.r.Method, Host: c.r.Host, Target: c.r.RequestURI, Workspace: c.workspaceName(), Body: c.body,
 		}
-		c.cachedPrint = content.Fingerprint()
+		c.cachedFingerprint = content.Fingerprint()
 	}
-	return c.cachedPrint
+	return c.cachedFingerprint
 }
 
 // refuseIfQuarantined refuses the request at once if it is quarantined and no probe is due, and
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -70,8 +70,8 @@
 	return &quarantineRig{r, s}
 }
 
-// print returns the fingerprint of the calls of a rig.
-func (r *quarantineRig) print() quarantine.Fingerprint {
+// fingerprint returns the fingerprint of the calls of a rig.
+func (r *quarantineRig) fingerprint() quarantine.Fingerprint {
 	c := quarantine.Content{Method: http.MethodPost, Host: rigHost, Target: r.call().Path, Workspace: rigSpace, Body: []byte(rigBody)}
 	return c.Fingerprint()
 }
@@ -79,8 +79,8 @@
 // hold quarantines the calls of the rig.
 func (r *quarantineRig) hold(h quarantine.Hold) {
 	is := r.gateway.isolator
-	over := is.decide(r.print()).Revision
-	r.True(is.writeHold(r.t.Context(), r.print(), over, h))
+	over := is.decide(r.fingerprint()).Revision
+	r.True(is.writeHold(r.t.Context(), r.fingerprint(), over, h))
 }
 
 // Guards against queueing or sending a request that crashes servers, and against refusing
@@ -91,7 +91,7 @@
 			s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 			r := newQuarantineRig(t, kind, s)
 			r.hold(quarantine.Hold{Crashes: 3})
-			_, answer := r.ask()
+			_, answer := r.send()
 			r.Equal(answer.Status, http.StatusServiceUnavailable)
 			r.True(answer.RetryAfter() > 9*time.Minute)
 			r.Equal(total(s), 0)
@@ -129,13 +129,13 @@
 		time.Sleep(time.Millisecond)
 	}
 	r.hold(quarantine.Hold{Crashes: 3})
-	c, answer := r.ask()
+	c, answer := r.send()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
 	r.True(answer.RetryAfter() > 9*time.Minute) // that of the hold, not of the queue
 	close(hold)
 	r.Equal((<-served).Status, http.StatusOK)
 	own := story.RequestTrace(c.ID, read())
-	r.Equal(story.CauseOf(c.ID, own), story.Cause{Kind: story.Quarantined, Detail: "print " + r.print().Short()})
+	r.Equal(story.CauseOf(c.ID, own), story.Cause{Kind: story.Quarantined, Detail: "print " + r.fingerprint().Short()})
 }
 
 // Guards against the outcome "not run" for a request that has crashed a server.
@@ -147,7 +147,7 @@
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
 	r = newQuarantineRig(t, deployment.Safe, s0, s1)
-	_, answer := r.ask()
+	_, answer := r.send()
 	r.Equal(answer.Status, http.StatusBadGateway)
 	r.Equal(answer.RetryAfter(), time.Duration(0))
 	r.Equal(total(s0, s1), 1)
@@ -164,7 +164,7 @@
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
 	r = newQuarantineRig(t, deployment.Stream, s0, s1)
-	_, answer := r.ask()
+	_, answer := r.send()
 	r.Equal(answer.Status, http.StatusOK)
 	r.True(!answer.Complete)
 	r.Equal(total(s0, s1), 1)
@@ -176,29 +176,29 @@
 	r := newQuarantineRig(t, deployment.Unsafe, s)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	for range 3 {
-		_, answer := r.ask()
+		_, answer := r.send()
 		r.Equal(answer.Status, http.StatusOK)
 	}
 	r.True(r.gateway.isolator.writeReport(t.Context()))
 	items := r.store.all()
 	r.Equal(len(items), 1) // the hold is removed, the report to the others is there
-	r.True(items[0].Key != quarantine.HoldKey(r.print()))
+	r.True(items[0].Key != quarantine.HoldKey(r.fingerprint()))
 }
 
 // Guards against repeating a probe that has crashed its server.
 func TestProbeCrashes(t *testing.T) {
 	var r *quarantineRig
 	script := func(x *scripted.Exchange) {
-		r.gateway.isolator.crashed(quarantine.Crash{Target: x.Expect(), Requests: []quarantine.Fingerprint{r.print()}})
+		r.gateway.isolator.crashed(quarantine.Crash{Target: x.Expect(), Requests: []quarantine.Fingerprint{r.fingerprint()}})
 		x.Close()
 	}
 	s0, s1 := scripted.Serve(t, script), scripted.Serve(t, script)
 	r = newQuarantineRig(t, deployment.Safe, s0, s1)
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
-	_, first := r.ask()
+	_, first := r.send()
 	r.Equal(first.Status, http.StatusBadGateway)
 	time.Sleep(probeSettleTime + 100*time.Millisecond)
-	_, second := r.ask()
+	_, second := r.send()
 	r.Equal(second.Status, http.StatusServiceUnavailable)
 	r.True(second.RetryAfter() > time.Minute)
 	r.Equal(total(s0, s1), 1)
@@ -216,7 +216,7 @@
 			r := newQuarantineRig(t, deployment.Safe, s)
 			r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 			for range 5 {
-				_, answer := r.ask()
+				_, answer := r.send()
 				r.True(answer.Status == http.StatusServiceUnavailable || answer.Status == http.StatusBadGateway)
 				time.Sleep(probeSettleTime + 100*time.Millisecond)
 			}
@@ -231,16 +231,16 @@
 	r.store.down = true
 	s := r.gateway.isolator
 	for _, target := range []string{"a", "b", "c"} {
-		s.crashed(quarantine.Crash{Target: target, Requests: []quarantine.Fingerprint{r.print()}})
+		s.crashed(quarantine.Crash{Target: target, Requests: []quarantine.Fingerprint{r.fingerprint()}})
 	}
 	r.True(!s.writeReport(t.Context()))
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go s.run(ctx)
-	for !s.decide(r.print()).Quarantined {
+	for !s.decide(r.fingerprint()).Quarantined {
 		time.Sleep(isolatorTick)
 	}
-	_, answer := r.ask()
+	_, answer := r.send()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
 	r.Equal(len(r.store.all()), 0)
 	r.store.mu.Lock()
@@ -256,8 +256,8 @@
 	r := newQuarantineRig(t, deployment.Safe)
 	for n := range 10 * maxUnwritten {
 		s := r.gateway.isolator
-		s.crashed(quarantine.Crash{Target: string(rune(n + 'a')), Requests: []quarantine.Fingerprint{r.print()}})
-		s.completed(r.print())
+		s.crashed(quarantine.Crash{Target: string(rune(n + 'a')), Requests: []quarantine.Fingerprint{r.fingerprint()}})
+		s.completed(r.fingerprint())
 	}
 	s := r.gateway.isolator
 	r.Equal(len(s.unwritten.Crashes), maxUnwritten)
@@ -271,10 +271,10 @@
 	r.hold(quarantine.Hold{Crashes: 3, ProbeNow: true})
 	other := newIsolator("front-2", r.store, r.gateway.log)
 	other.apply(r.store.all(), true)
-	v := other.decide(r.print())
+	v := other.decide(r.fingerprint())
 	r.True(v.Probe)
-	r.True(other.claimProbe(t.Context(), r.print(), v))
-	r.True(!r.gateway.isolator.claimProbe(t.Context(), r.print(), v))
+	r.True(other.claimProbe(t.Context(), r.fingerprint(), v))
+	r.True(!r.gateway.isolator.claimProbe(t.Context(), r.fingerprint(), v))
 }
 
 // Guards against quarantining a request again by old reports after an operator has cleared it.
@@ -282,18 +282,18 @@
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newQuarantineRig(t, deployment.Safe, s)
 	r.hold(quarantine.Hold{Crashes: 3})
-	_, answer := r.ask()
+	_, answer := r.send()
 	r.Equal(answer.Status, http.StatusServiceUnavailable)
-	r.gateway.isolator.apply([]kv.Item{{Key: quarantine.HoldKey(r.print()), Revision: 9, Deleted: true}}, false)
-	_, answer = r.ask()
+	r.gateway.isolator.apply([]kv.Item{{Key: quarantine.HoldKey(r.fingerprint()), Revision: 9, Deleted: true}}, false)
+	_, answer = r.send()
 	r.Equal(answer.Status, http.StatusOK)
 	r.True(r.gateway.isolator.writeReport(t.Context()))
 	for _, it := range r.store.all() {
-		var told quarantine.Report
-		if json.Unmarshal(it.Value, &told) == nil && len(told.Completed) == 1 {
-			r.Equal(told.Completed[0], r.print())
+		var report quarantine.Report
+		if json.Unmarshal(it.Value, &report) == nil && len(report.Completed) == 1 {
+			r.Equal(report.Completed[0], r.fingerprint())
 			return
 		}
 	}
-	t.Error("nobody is told")
+	t.Error("no report was written")
 }
--- a/gateway/retry_share_test.go
+++ b/gateway/retry_share_test.go
@@ -14,20 +14,20 @@
 // Guards against more retries of all gateways together than the platform allows, when all lose
 // streams at once.
 func TestRetryBurstIsSharedByAllGateways(t *testing.T) {
-	const slack, all = 264, 53
+	const burst, all = 264, 53
 	r := newRig(t, routeOf(deployment.Safe), scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") }))
-	r.gateway.bounds = boot.Bounds{RetryRatio: 0.2, RetryBurst: slack, RetryWindow: 10 * time.Second}
+	r.gateway.bounds = boot.Bounds{RetryRatio: 0.2, RetryBurst: burst, RetryWindow: 10 * time.Second}
 	r.gateway.budgets = retry.NewBudgets(retryLimits(r.gateway.bounds))
 	left := func() float64 { return r.gateway.retriesLeft("pool") }
 	r.gateway.shareRetries(all)
 	r.True(left() >= 1)
-	r.True(left()*all <= slack)
+	r.True(left()*all <= burst)
 	r.gateway.shareRetries(0) // a coordinator that does not know
-	r.True(left()*all <= slack)
+	r.True(left()*all <= burst)
 	r.gateway.digest(&rankpeer.Digest{Gateways: 2 * all}, time.Now())
-	r.True(left()*2*all <= slack)
+	r.True(left()*2*all <= burst)
 	// The number of gateways after a restart of a few is not taken as the total.
 	r.gateway.shareRetries(3)
-	r.True(left() <= slack/minGateways)
-	r.True(slackShare(boot.Bounds{RetryBurst: slack}, defaultGateways)*all <= slack)
+	r.True(left() <= burst/minGateways)
+	r.True(burstShare(boot.Bounds{RetryBurst: burst}, defaultGateways)*all <= burst)
 }
--- a/gateway/rules_test.go
+++ b/gateway/rules_test.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// ask sends the next attempt.
-func (r *rig) ask() (scripted.Call, scripted.Answer) {
+// send sends the next attempt.
+func (r *rig) send() (scripted.Call, scripted.Answer) {
 	c := r.call()
 	return c, c.Do(r.t.Context())
 }
@@ -157,7 +157,7 @@
 			}
 			a, b := scripted.Serve(t, script), scripted.Serve(t, script)
 			r := newRig(t, routeOf(deployment.Safe), a, b)
-			c, got := r.ask()
+			c, got := r.send()
 			r.Equal(got.Status, 200)
 			r.True(got.Complete)
 			r.True(got.Sealed(c.ID))
@@ -174,7 +174,7 @@
 		t.Run(name, func(t *testing.T) {
 			a, b := scripted.Serve(t, spoil), scripted.Serve(t, spoil)
 			r := newRig(t, routeOf(deployment.Unsafe), a, b)
-			_, got := r.ask()
+			_, got := r.send()
 			r.Equal(got.Status, platform.StatusUnknown)
 			r.Equal(got.Signature(), "")
 			r.Equal(got.Body, "")
@@ -188,7 +188,7 @@
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "booked") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
 	for range 3 {
-		_, got := r.ask()
+		_, got := r.send()
 		r.Equal(got.Status, 200)
 	}
 	conns := map[int]bool{}
@@ -205,13 +205,13 @@
 	b := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "booked") })
 	r := newRig(t, routeOf(deployment.Unsafe), a, b)
 	for range 20 { // whichever is tried first
-		_, got := r.ask()
+		_, got := r.send()
 		r.Equal(got.Status, 200)
 		r.Equal(got.Body, "booked")
 	}
 	r.True(len(a.Seen()) > 0) // the refusing one was asked
 	all := newRig(t, routeOf(deployment.Unsafe), scripted.Serve(t, refuse), scripted.Serve(t, refuse))
-	_, got := all.ask()
+	_, got := all.send()
 	all.Equal(got.Status, platform.StatusNotRun)
 	all.True(got.RetryAfter() > 0)
 	all.True(got.RetryAfter() <= rigTimeout/3) // the longest that callers honour
@@ -223,7 +223,7 @@
 	own := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "own") })
 	r := newRig(t, routeOf(deployment.Unsafe), other, own)
 	for range 30 {
-		_, got := r.ask()
+		_, got := r.send()
 		r.Equal(got.Status, 200)
 		r.Equal(got.Body, "own")
 	}
@@ -265,7 +265,7 @@
 func TestFailureOfTheServerIsPassedOn(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(500, "the desk is closed") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
-	c, got := r.ask()
+	c, got := r.send()
 	r.Equal(got.Status, 500)
 	r.Equal(got.Body, "the desk is closed")
 	r.True(got.Sealed(c.ID))
@@ -277,7 +277,7 @@
 	fail := func(x *scripted.Exchange) { x.Respond(500, "no") }
 	a, b, c := scripted.Serve(t, fail), scripted.Serve(t, fail), scripted.Serve(t, fail)
 	r := newRig(t, routeOf(deployment.Safe), a, b, c)
-	_, got := r.ask()
+	_, got := r.send()
 	r.Equal(got.Status, 500)
 	r.Equal(total(a, b, c), 2)
 }
@@ -345,7 +345,7 @@
 	}
 	a, b := scripted.Serve(t, script), scripted.Serve(t, script)
 	r := newRig(t, routeOf(deployment.Stream), a, b)
-	c, got := r.ask()
+	c, got := r.send()
 	r.Equal(got.Status, 200)
 	r.True(got.Complete)
 	r.True(got.Sealed(c.ID))
@@ -367,7 +367,7 @@
 		"two ranks slow": {2, 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, told := make(chan string, 1), make(chan struct{})
+			first, proceed := make(chan string, 1), make(chan struct{})
 			script := func(x *scripted.Exchange) {
 				x.Stream()
 				if x.Header.Get("Last-Event-Id") != "" {
@@ -377,7 +377,7 @@
 				}
 				x.Chunk(scripted.Event(1))
 				first <- x.Expect()
-				<-told
+				<-proceed
 				x.Chunk(scripted.Event(2) + scripted.Event(3))
 				x.End()
 			}
@@ -398,7 +398,7 @@
 			if tt.moves {
 				answer = <-got // the slow server has said nothing more
 			}
-			close(told)
+			close(proceed)
 			if !tt.moves {
 				answer = <-got
 			}
@@ -441,7 +441,7 @@
 	route := routeOf(deployment.Stream)
 	route.Resumable = false
 	r := newRig(t, route, a, b)
-	_, got := r.ask()
+	_, got := r.send()
 	r.True(!got.Complete)
 	r.Equal(total(a, b), 1)
 }
@@ -478,7 +478,7 @@
 	})
 	r := newRig(t, routeOf(deployment.Safe), s)
 	for range 3 {
-		c, got := r.ask()
+		c, got := r.send()
 		r.Equal(got.Body, "own")
 		r.True(got.Sealed(c.ID))
 	}
@@ -563,7 +563,7 @@
 	before := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "before") })
 	after := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "after") })
 	r := newRig(t, routeOf(deployment.Safe), before)
-	_, got := r.ask()
+	_, got := r.send()
 	r.Equal(got.Body, "before")
 	cfg := *r.view.Config
 	cfg.Version += 4
@@ -575,7 +575,7 @@
 		"t0": r.view.Targets["t0"], "t1": {ID: "t1", Service: "annex", Addr: after.Addr, Slots: 12},
 	}}
 	r.gateway.update(&view)
-	_, got = r.ask()
+	_, got = r.send()
 	r.Equal(got.Status, http.StatusUnauthorized)
 	c := r.call()
 	c.Key = "new-key"
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -83,7 +83,7 @@
 	// retryFraction is the part of the deployment's retries that is used, since
 	// a request that a client repeats at another gateway is counted differently.
 	retryFraction = 0.85
-	// minGateways is the minimum number of gateways among which the retry slack is
+	// minGateways is the minimum number of gateways among which the burst of retries is
 	// divided: restarted ones start with a new share.
 	minGateways = 24
 	// defaultGateways is the number used until a coordinator has reported the actual one.
@@ -93,16 +93,16 @@
 // retryLimits returns this gateway's part of the retries of the whole deployment. The
 // ratio is not divided: each gateway applies it to its own requests.
 func retryLimits(b boot.Bounds) retry.Limits {
-	share := slackShare(b, defaultGateways)
+	share := burstShare(b, defaultGateways)
 	return retry.Limits{
 		Ratio: b.RetryRatio * retryFraction, KeyBurst: share, HopBurst: share,
 		KeyStart: share / 2, HopStart: share / 2, Window: b.RetryWindow,
 	}
 }
 
-// slackShare returns this gateway's part of the retries that all gateways may make in
+// burstShare returns this gateway's part of the retries that all gateways may make in
 // addition to the ratio of their requests.
-func slackShare(b boot.Bounds, among int) float64 {
+func burstShare(b boot.Bounds, among int) float64 {
 	return max(math.Floor(b.RetryBurst/float64(max(among, minGateways))), 1)
 }
 
@@ -112,7 +112,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if among > 0 {
-		g.budgets.SetKeyBurst(slackShare(g.bounds, among))
+		g.budgets.SetKeyBurst(burstShare(g.bounds, among))
 	}
 }
 
--- a/gateway/silent_stream_test.go
+++ b/gateway/silent_stream_test.go
@@ -22,7 +22,7 @@
 		"no retry left":      {2, 0.5, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			first, told := make(chan string, 2), make(chan struct{})
+			first, proceed := make(chan string, 2), make(chan struct{})
 			script := func(x *scripted.Exchange) {
 				x.Stream()
 				if x.Header.Get("Last-Event-Id") != "" {
@@ -32,7 +32,7 @@
 				}
 				x.Chunk(scripted.Event(1))
 				first <- x.Expect()
-				<-told
+				<-proceed
 				x.Chunk(scripted.Event(2))
 				x.End()
 			}
@@ -53,7 +53,7 @@
 			if tt.moves {
 				answer = <-got // the silent server has said nothing more
 			}
-			close(told)
+			close(proceed)
 			if !tt.moves {
 				answer = <-got
 			}
--- a/gateway/streams.go
+++ b/gateway/streams.go
@@ -27,9 +27,9 @@
 	begun   bool
 	// mayMove is set if another server may run the request.
 	mayMove bool
-	// heardAt is when its last event arrived, or when the request was sent.
-	heardAt time.Time
-	end     context.CancelCauseFunc
+	// lastEventAt is when its last event arrived, or when the request was sent.
+	lastEventAt time.Time
+	end         context.CancelCauseFunc
 }
 
 // activeStreams tracks the streams in progress to detect silence. The fleet's lock guards it.
@@ -54,7 +54,7 @@
 // slows down its group and another server may run the request.
 func (f *fleet) trackStream(ctx context.Context, s activeAttempt, id, service string, mayMove bool) (context.Context, *activeStream) {
 	ctx, end := context.WithCancelCause(ctx)
-	st := &activeStream{activeAttempt: s, id: id, service: service, mayMove: mayMove, heardAt: s.started, end: end}
+	st := &activeStream{activeAttempt: s, id: id, service: service, mayMove: mayMove, lastEventAt: s.started, end: end}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.streams.open[st] = struct{}{}
@@ -73,7 +73,7 @@
 func (f *fleet) event(st *activeStream, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	st.begun, st.heardAt = true, now
+	st.begun, st.lastEventAt = true, now
 	f.streams.targets[st.target.ID] = now
 	f.streams.groups[f.key(st)] = now
 }
@@ -149,7 +149,7 @@
 	for st := range f.streams.open {
 		id := st.target.ID
 		p := health.Progress{
-			Begun: st.begun, Due: due[id], Answer: st.heardAt,
+			Begun: st.begun, Due: due[id], Answer: st.lastEventAt,
 			Target: f.streams.targets[id], Pool: f.streams.groups[f.key(st)],
 		}
 		silence := p.Evaluate(now)
@@ -168,7 +168,7 @@
 // spendRetry takes one of the retries that are left for a service in this check, and reports
 // whether there was one.
 func (f *fleet) spendRetry(left map[string]int, service string) bool {
-	if _, asked := left[service]; !asked {
+	if _, known := left[service]; !known {
 		left[service] = f.spare(service)
 	}
 	left[service]--
@@ -210,7 +210,7 @@
 		f.monitor.Fail(st.index, health.Hard, now)
 	}
 	f.log.Warn("target silent", "id", st.id, "target", st.target.ID, "service", st.service, "whole-target", silence.TargetStalled,
-		"begun", st.begun, "silent-ms", now.Sub(st.heardAt).Milliseconds())
+		"begun", st.begun, "silent-ms", now.Sub(st.lastEventAt).Milliseconds())
 	metricSilent.Add(1)
 	delete(f.streams.open, st)
 	st.end(errStalled)
--- a/gateway/suspicions.go
+++ b/gateway/suspicions.go
@@ -29,9 +29,9 @@
 // suspicion is the report of a gateway that a target fails while others do not.
 type suspicion struct {
 	Target string `json:"target"`
-	// Born distinguishes the incarnations of a target under one name.
-	Born  int64  `json:"born"`
-	Cause string `json:"cause"`
+	// StartedAt distinguishes the incarnations of a target under one name.
+	StartedAt int64  `json:"born"`
+	Cause     string `json:"cause"`
 }
 
 // suspicionKey returns the key for the suspicions of a gateway.
@@ -94,7 +94,7 @@
 			continue
 		}
 		if err := s.write(ctx, shared); err != nil {
-			s.log.Warn("doubts not told", "targets", len(shared), "error", err.Error())
+			s.log.Warn("suspicions not shared", "targets", len(shared), "error", err.Error())
 		}
 		pause.For(ctx, shareInterval)
 	}
@@ -129,7 +129,7 @@
 	f.updateAvoided(p, now)
 	if !known {
 		// All gateways read each shared suspicion.
-		f.shareSuspicion(suspicion{Target: p.ID, Born: p.StartedAt, Cause: cause})
+		f.shareSuspicion(suspicion{Target: p.ID, StartedAt: p.StartedAt, Cause: cause})
 	}
 }
 
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	p := f.targetStates[d.Target]
-	if p == nil || p.StartedAt != d.Born {
+	if p == nil || p.StartedAt != d.StartedAt {
 		return
 	}
 	f.suspicions.Report(d.Target, source, false, now)
--- a/gateway/suspicions_test.go
+++ b/gateway/suspicions_test.go
@@ -40,7 +40,7 @@
 		sharers := []*suspicionExchange{newSuspicionExchange("front-1", &store, slog.New(slog.DiscardHandler)), newSuspicionExchange("front-2", &store, slog.New(slog.DiscardHandler))}
 		for _, d := range sharers {
 			go d.run(ctx)
-			d.share(suspicion{Target: "t0", Born: 7, Cause: causeUnanswered})
+			d.share(suspicion{Target: "t0", StartedAt: 7, Cause: causeUnanswered})
 			time.Sleep(shareInterval)
 		}
 		stop()
@@ -62,17 +62,17 @@
 	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), first, second)
 	now := time.Now()
-	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", Born: 99}, "front-1", now)
-	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", Born: 99}, "front-2", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", StartedAt: 99}, "front-1", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", StartedAt: 99}, "front-2", now)
 	r.gateway.fleet.addSuspicion(suspicion{Target: "t0"}, "front-1", now)
 	for range 30 {
-		r.ask()
+		r.send()
 	}
 	r.True(len(first.Seen()) > 0)
 	r.gateway.fleet.addSuspicion(suspicion{Target: "t0"}, "front-2", now)
 	before := len(first.Seen())
 	for range 30 {
-		r.ask()
+		r.send()
 	}
 	r.Equal(len(first.Seen()), before)
 }
@@ -94,7 +94,7 @@
 	fail.Store(true)
 	lost := 0
 	for range 60 {
-		if _, got := r.ask(); got.Status != 200 {
+		if _, got := r.send(); got.Status != 200 {
 			lost++
 		}
 	}
--- a/gateway/upstream/reply.go
+++ b/gateway/upstream/reply.go
@@ -46,13 +46,13 @@
 
 // finish returns the connection to the pool if the answer was read completely and no
 // other bytes followed it.
-func (r *Reply) finish(whole bool) {
+func (r *Reply) finish(complete bool) {
 	if r.done {
 		return
 	}
 	r.done = true
 	stopped := r.stop == nil || r.stop()
-	if !whole || !stopped || !r.reusable() {
+	if !complete || !stopped || !r.reusable() {
 		r.pool.discard(r.conn)
 		return
 	}
--- a/gateway/upstream/upstream_test.go
+++ b/gateway/upstream/upstream_test.go
@@ -64,7 +64,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func ask(id string) *Request {
+func newRequest(id string) *Request {
 	return &Request{Method: "GET", Target: "/", Host: "h", ID: id}
 }
 
@@ -89,9 +89,9 @@
 	addr, _ := answerWith(t, answers...)
 	p := NewPool(addr, dial, echoes)
 	defer p.Close()
-	_, err := read(t, p, ask("1"))
+	_, err := read(t, p, newRequest("1"))
 	is.NoErr(err)
-	got, err := read(t, p, ask("2"))
+	got, err := read(t, p, newRequest("2"))
 	is.NoErr(err)
 	is.Equal(got, "two")
 }
@@ -102,7 +102,7 @@
 	p := NewPool(addr, dial, echoes)
 	defer p.Close()
 	for id, want := range []string{"one", "two"} {
-		got, err := read(t, p, ask(fmt.Sprint(id+1)))
+		got, err := read(t, p, newRequest(fmt.Sprint(id+1)))
 		is.NoErr(err)
 		is.Equal(got, want)
 	}
@@ -125,9 +125,9 @@
 	addr, requests := answerWith(t, []string{reply("1", "one"), ""}, []string{reply("2", "two")})
 	p := NewPool(addr, dial, echoes)
 	defer p.Close()
-	_, err := read(t, p, ask("1"))
+	_, err := read(t, p, newRequest("1"))
 	is.NoErr(err)
-	_, err = read(t, p, ask("2"))
+	_, err = read(t, p, newRequest("2"))
 	var broken *BrokenError
 	is.True(errors.As(err, &broken))
 	is.Equal(requests(), 2)
@@ -139,7 +139,7 @@
 	is.NoErr(err)
 	addr := l.Addr().String()
 	is.NoErr(l.Close())
-	_, err = read(t, NewPool(addr, dial, echoes), ask("1"))
+	_, err = read(t, NewPool(addr, dial, echoes), newRequest("1"))
 	var notSent *NotSentError
 	is.True(errors.As(err, &notSent))
 }
@@ -154,7 +154,7 @@
 			is := is.New(t)
 			addr, _ := answerWith(t, []string{answer, ""})
 			p := NewPool(addr, dial, echoes)
-			got, err := p.Do(t.Context(), ask("1"))
+			got, err := p.Do(t.Context(), newRequest("1"))
 			is.NoErr(err)
 			go func() {
 				c, err := net.Dial("tcp", addr)
@@ -189,7 +189,7 @@
 		_ = c.Close()
 	}()
 	p := NewPool(l.Addr().String(), dial, echoes)
-	got, err := read(t, p, ask("1"))
+	got, err := read(t, p, newRequest("1"))
 	is.NoErr(err)
 	is.Equal(got, "all of it")
 	is.Equal(p.NumOpen(), 0)
@@ -216,7 +216,7 @@
 	ctx, cancel := context.WithCancelCause(t.Context())
 	left := errors.New("caller left")
 	time.AfterFunc(20*time.Millisecond, func() { cancel(left) })
-	_, err = NewPool(l.Addr().String(), dial, echoes).Do(ctx, ask("1"))
+	_, err = NewPool(l.Addr().String(), dial, echoes).Do(ctx, newRequest("1"))
 	is.True(errors.Is(err, left))
 	<-ended
 }
