--- a/core/request/queue/limiter_test.go
+++ b/core/request/queue/limiter_test.go
@@ -8,7 +8,7 @@
 
 // Guards against requests that wait at full engines, where they are served even if they are
 // late.
-func TestAllowedUnderFullSlots(t *testing.T) {
+func TestEntryLimitAtFullSlots(t *testing.T) {
 	is := is.New(t)
 	full := EngineLoad{Slots: 192, Running: 192, Queued: 48}
 	sum := 0
@@ -21,7 +21,7 @@
 }
 
 // Guards against an entry with few requests that may send none of a sudden burst.
-func TestAllowedWithFreeSlots(t *testing.T) {
+func TestEntryLimitWithFreeSlots(t *testing.T) {
 	is := is.New(t)
 	e := EngineLoad{Slots: 192, Running: 92}
 	is.Equal(EntryLimit(e, 46), 46+50)
@@ -31,7 +31,7 @@
 }
 
 // Guards against an entry that alone exceeds the slots before the next load is reported.
-func TestAllowedWithOldLoad(t *testing.T) {
+func TestEntryLimitWithOldLoad(t *testing.T) {
 	is := is.New(t)
 	is.Equal(EntryLimit(EngineLoad{Slots: 192, Running: 10}, 192), 192)
 	is.Equal(EntryLimit(EngineLoad{Slots: 192, Running: 10}, 191), 192)
@@ -39,7 +39,7 @@
 
 // Guards against filling engines that come back beyond their slots, and against leaving them
 // half empty.
-func TestAllowedGrowsToTheSlots(t *testing.T) {
+func TestEntryLimitGrowsToTheSlots(t *testing.T) {
 	is := is.New(t)
 	own := RecoveryLimit(192, 4)
 	is.True(own > 10 && own < 40)
@@ -53,7 +53,7 @@
 }
 
 // Guards against many entries that each take a quarter of the same free slots.
-func TestAllowedForManyEntries(t *testing.T) {
+func TestEntryLimitForManyEntries(t *testing.T) {
 	is := is.New(t)
 	const slots, entries = 1152, 53
 	e := EngineLoad{Slots: slots, Running: slots - 100, Entries: entries}
--- a/core/request/target/target.go
+++ b/core/request/target/target.go
@@ -84,7 +84,7 @@
 	h.Set(name, value)
 }
 
-// client sends requests to one address; Engine and Plain embed it.
+// client sends requests to one address; Engine and Service embed it.
 type client struct {
 	address   string
 	transport *http.Transport
--- a/core/request/target/target_test.go
+++ b/core/request/target/target_test.go
@@ -241,7 +241,7 @@
 	return ln.Addr().String(), request
 }
 
-func TestPlainPassesThrough(t *testing.T) {
+func TestServiceResponsePassesThrough(t *testing.T) {
 	is := is.New(t)
 	addr, request := raw(t, "HTTP/1.1 302 Found\r\nLocation: /elsewhere\r\nContent-Encoding: gzip\r\n"+
 		"Connection: X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nX-Two: a\r\nX-Two: b\r\nContent-Length: 2\r\n\r\nhi")
@@ -268,7 +268,7 @@
 
 // A service crashes while it sends a response: a reader that takes any end of
 // the body for the end of the response would show half a page.
-func TestPlainCutBodyIsBroken(t *testing.T) {
+func TestTruncatedServiceBodyIsBroken(t *testing.T) {
 	is := is.New(t)
 	addr, _ := raw(t, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 	a, err := target.NewService(addr, target.Options{}).Do(t.Context(), target.Call{Method: "GET", Path: "/visitations/1"})
--- a/gateway/admitter_test.go
+++ b/gateway/admitter_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// enter starts callers at once and returns the channels of their refusals.
-func enter(ctx context.Context, a *admitter, callers ...*call) []chan *outcome.Error {
+// acquireAll starts callers at once and returns the channels of their refusals.
+func acquireAll(ctx context.Context, a *admitter, callers ...*call) []chan *outcome.Error {
 	out := make([]chan *outcome.Error, len(callers))
 	for i, c := range callers {
 		out[i] = make(chan *outcome.Error, 1)
@@ -77,7 +77,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		a, probe := refusedAdmitter(t)
-		waiting := enter(t.Context(), a, caller(false), caller(false), caller(true))
+		waiting := acquireAll(t.Context(), a, caller(false), caller(false), caller(true))
 		time.Sleep(500 * time.Millisecond)
 		a.accepted(probe)
 		synctest.Wait()
@@ -95,7 +95,7 @@
 		// There is no free slot for a probe.
 		a.reportLoad(admission.Load{Complete: true, Running: 10000})
 		c := caller(false)
-		waiting := enter(t.Context(), a, c)
+		waiting := acquireAll(t.Context(), a, c)
 		began := time.Now()
 		for range 300 {
 			if len(waiting[0]) > 0 {
@@ -215,7 +215,7 @@
 		a := testAdmitter(1)
 		at, refusal := a.acquire(t.Context(), caller(false))
 		is.Equal(refusal, nil)
-		waiting := enter(t.Context(), a, caller(false), caller(true))
+		waiting := acquireAll(t.Context(), a, caller(false), caller(true))
 		a.release(at, 900)
 		synctest.Wait()
 		is.Equal(len(waiting[1]), 1)
@@ -235,8 +235,8 @@
 		a := testAdmitter(1)
 		at, _ := a.acquire(t.Context(), caller(false))
 		ctx, cancel := context.WithCancel(t.Context())
-		gone := enter(ctx, a, caller(false))
-		next := enter(t.Context(), a, caller(false))
+		gone := acquireAll(ctx, a, caller(false))
+		next := acquireAll(t.Context(), a, caller(false))
 		cancel()
 		synctest.Wait()
 		is.True(<-gone[0] != nil)
@@ -270,9 +270,9 @@
 		is := is.New(t)
 		a := testAdmitter(1)
 		at, _ := a.acquire(t.Context(), caller(false))
-		waiting := enter(t.Context(), a, caller(false))
+		waiting := acquireAll(t.Context(), a, caller(false))
 		time.Sleep(700 * time.Millisecond)
-		waiting = append(waiting, enter(t.Context(), a, caller(false))...)
+		waiting = append(waiting, acquireAll(t.Context(), a, caller(false))...)
 		time.Sleep(600 * time.Millisecond)
 		a.tick()
 		a.resize(map[string]int{"": 3})
@@ -290,9 +290,9 @@
 		is := is.New(t)
 		a := testAdmitter(1)
 		at, _ := a.acquire(t.Context(), caller(false))
-		first := enter(t.Context(), a, caller(true))
+		first := acquireAll(t.Context(), a, caller(true))
 		time.Sleep(1100 * time.Millisecond)
-		waiting := enter(t.Context(), a, caller(false))
+		waiting := acquireAll(t.Context(), a, caller(false))
 		limit := 500*time.Millisecond - (&queue.ServiceTime{}).P90()
 		time.Sleep(limit - time.Millisecond)
 		a.tick()
--- a/gateway/crash/detector_test.go
+++ b/gateway/crash/detector_test.go
@@ -47,7 +47,7 @@
 	return deployment.Target{ID: "t0", StartedAt: 7, Addr: netip.MustParseAddrPort("10.0.0.1:80")}
 }
 
-func printOf(n int) quarantine.Fingerprint {
+func fingerprintOf(n int) quarantine.Fingerprint {
 	c := quarantine.Content{Target: fmt.Sprint(n)}
 	return c.Fingerprint()
 }
@@ -97,14 +97,14 @@
 				is := is.New(t)
 				b := newHarness()
 				b.answer = tt.answer
-				b.AnswerBroken(target(), printOf(1))
+				b.AnswerBroken(target(), fingerprintOf(1))
 				waitForCheck()
 				if tt.after != nil {
 					tt.after(b)
 				}
 				is.Equal(len(b.crashes), tt.want)
 				for _, c := range b.crashes {
-					is.Equal(c, quarantine.Crash{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{printOf(1)}})
+					is.Equal(c, quarantine.Crash{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{fingerprintOf(1)}})
 				}
 			})
 		})
@@ -117,7 +117,7 @@
 		is := is.New(t)
 		b := newHarness()
 		b.answer, b.serves = errUnreachable, false
-		b.AnswerBroken(target(), printOf(1))
+		b.AnswerBroken(target(), fingerprintOf(1))
 		waitForCheck()
 		is.Equal(len(b.crashes), 1)
 	})
@@ -129,7 +129,7 @@
 		is := is.New(t)
 		b := newHarness()
 		b.answer, b.serves = syscall.ECONNREFUSED, false
-		b.AnswerBroken(target(), printOf(1))
+		b.AnswerBroken(target(), fingerprintOf(1))
 		waitForCheck()
 		b.Removed(target())
 		is.Equal(len(b.crashes), 0)
@@ -144,8 +144,8 @@
 		b := newHarness()
 		b.answer = syscall.ECONNREFUSED
 		for n := range 2 * maxRequests {
-			b.AnswerBroken(target(), printOf(n))
-			b.AnswerBroken(target(), printOf(n))
+			b.AnswerBroken(target(), fingerprintOf(n))
+			b.AnswerBroken(target(), fingerprintOf(n))
 		}
 		waitForCheck()
 		is.Equal(b.dials, 1)
@@ -159,11 +159,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b := newHarness()
-		b.AnswerBroken(target(), printOf(1))
+		b.AnswerBroken(target(), fingerprintOf(1))
 		waitForCheck()
 		b.answer = syscall.ECONNREFUSED
-		b.AnswerBroken(target(), printOf(2))
+		b.AnswerBroken(target(), fingerprintOf(2))
 		waitForCheck()
-		is.Equal(b.crashes, []quarantine.Crash{{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{printOf(2)}}})
+		is.Equal(b.crashes, []quarantine.Crash{{Target: "t0", StartedAt: 7, Requests: []quarantine.Fingerprint{fingerprintOf(2)}}})
 	})
 }
--- a/gateway/pending_test.go
+++ b/gateway/pending_test.go
@@ -91,13 +91,13 @@
 func TestBookingStaysWithAServerThatAnswersNothing(t *testing.T) {
 	r, first, second := newHangingRig(t, deployment.Unsafe, 500*time.Millisecond)
 	r.traffic()
-	asked, lost := 60, 0
-	for range asked {
+	sent, lost := 60, 0
+	for range sent {
 		if _, got := r.send(); got.Status != http.StatusOK {
 			lost++
 		}
 	}
-	r.True(lost <= asked/10)
+	r.True(lost <= sent/10)
 	runs := map[string]int{}
 	for _, s := range []*scripted.Server{first, second} {
 		for _, seen := range s.Seen() {
