--- a/core/request/booking/booking_test.go
+++ b/core/request/booking/booking_test.go
@@ -43,12 +43,12 @@
 // Guards against a second run when the answer to a granted claim is lost: the caller retries at
 // another entry while the first submission is still in transit. The second attempt must seal
 // the first.
-func TestSecondTrySealsTheFirst(t *testing.T) {
+func TestSecondAttemptSealsTheFirst(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(1, three)
 	b := &Executor{Name: "b", Incarnation: 1, First: true}
 	is.Equal(home.Claim(claimFor(key, "r1", "a"), 0).Kind, BadExecutor) // one crash would lose both records
-	is.Equal(home.Claim(claimFor(key, "r1", "d"), 0).Kind, BadExecutor) // a rebuild would not ask it
+	is.Equal(home.Claim(claimFor(key, "r1", "d"), 0).Kind, BadExecutor) // a rebuild would not query it
 	is.Equal(home.Claim(Claim{Key: key, Executor: "b", Revision: 2}, 0).Reason, ReasonConfigurationBehind)
 	first := home.Claim(claimFor(key, "r1", "b"), 0)
 	is.Equal(first.Kind, Granted)
@@ -110,7 +110,7 @@
 // Guards against a second run after a home and the executor of its grant crashed together. The
 // empty list of the new executor process must not count as "never ran", and an attempt sealed
 // at another executor must not count as the last one.
-func TestExecutorLostItsMemory(t *testing.T) {
+func TestExecutorRestartsWithoutRecords(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(2, three)
 	young := &Executor{Name: "b", Incarnation: 2}
@@ -178,7 +178,7 @@
 // Guards against losing keys in a planned restart with one key granted, one queued and one
 // running: the next process must know all three. A register must not count as complete after a
 // process has run without it.
-func TestDrainHandsOver(t *testing.T) {
+func TestDrainHandsOverRegisters(t *testing.T) {
 	is := is.New(t)
 	key, home := keyOf("a", "a", 0), newHome(1, three)
 	exec := &Executor{Name: "a", Incarnation: 1, First: true}
@@ -190,16 +190,16 @@
 	is.True(exec.Start(running, 0))
 	exec.Drain()
 	is.Equal(exec.Accept(Submission{Grant: Grant{Key{1}, "b", 7, 1}, Incarnation: 1}, 0).Reason, ReasonDraining)
-	custody := &Backups{}
-	is.True(custody.Put(Handover{home.Export(0), exec.Export(0)}, 0))
+	backups := &Backups{}
+	is.True(backups.Put(Handover{home.Export(0), exec.Export(0)}, 0))
 	is.Equal(home.Claim(claimFor(key, "r2", "c"), 0).Kind, Rebuilding)
 	is.True(!exec.Start(queued, 0))
 
-	h, ok := custody.Take("a", 2, 0)
+	h, ok := backups.Take("a", 2, 0)
 	is.True(ok)
-	_, ok = custody.Take("a", 2, 0)
+	_, ok = backups.Take("a", 2, 0)
 	is.True(ok) // the answer may have been lost
-	_, ok = custody.Take("a", 3, 0)
+	_, ok = backups.Take("a", 3, 0)
 	is.True(!ok) // process 2 may have run more
 
 	next := &Executor{Name: "a", Incarnation: 2}
--- a/core/request/permit/replay_test.go
+++ b/core/request/permit/replay_test.go
@@ -129,9 +129,9 @@
 	return &holder{Tracker: NewTracker(fmt.Sprintf("sender-%d", i), fmt.Sprint(r.rng.Uint32()), r.rng), sim: r}
 }
 
-func asOne(*replay, int) policy          { return &localLimit{part: 1} }
+func wholeLimitEach(*replay, int) policy { return &localLimit{part: 1} }
 func equalParts(r *replay, _ int) policy { return &localLimit{part: 1 / float64(r.senders)} }
-func heedless(*replay, int) policy       { return unlimited{} }
+func withoutLimit(*replay, int) policy   { return unlimited{} }
 
 // run simulates the scenario.
 func (r *replay) run() {
@@ -330,7 +330,7 @@
 // The simpler policies break the limit under loads that permits handle: senders that ignore
 // limits, that each enforce the limit by themselves, and that accumulate equal parts of it
 // until all have a request at once.
-func TestReplayOtherWays(t *testing.T) {
+func TestReplaySimplerPolicies(t *testing.T) {
 	many := scenario{senders: 390, limit: 1, wanted: 0.02}
 	saving := scenario{senders: 20, limit: 1, wanted: 0.02, rush: 22 * time.Second}
 	for _, c := range []struct {
@@ -338,8 +338,8 @@
 		scenario
 		policy func(*replay, int) policy
 	}{
-		{"heedless", many, heedless},
-		{"as one", many, asOne},
+		{"without a limit", many, withoutLimit},
+		{"whole limit each", many, wholeLimitEach},
 		{"equal parts", saving, equalParts},
 	} {
 		r := newReplay(c.scenario, 1, c.policy)
@@ -360,7 +360,7 @@
 }
 
 // Guards against senders that still avoid a target which no longer sets a limit.
-func TestReplayLifted(t *testing.T) {
+func TestReplayClearedLimit(t *testing.T) {
 	for _, senders := range []int{6, 53, 390} {
 		r := newReplay(scenario{senders: senders, limit: 1, wanted: 4, clearedAfter: 20 * time.Second}, 3, withPermits)
 		r.run()
--- a/core/request/permit/tracker_test.go
+++ b/core/request/permit/tracker_test.go
@@ -52,7 +52,7 @@
 
 // Guards against clearing a limit because of a response to a request that was sent before the
 // limit was known.
-func TestOlderAnswerLiftsNothing(t *testing.T) {
+func TestOlderAnswerClearsNoLimit(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
 	none := Response{Target: "t", Service: "s", StartedAt: 5, Sent: start.Add(-time.Second)}
@@ -116,7 +116,7 @@
 }
 
 // Guards against permits that stay with senders which don't use them.
-func TestPermitsAreGivenBack(t *testing.T) {
+func TestUnusedPermitsAreReleased(t *testing.T) {
 	is := is.New(t)
 	now := start.Add(time.Second)
 	tr := newTracker(1)
@@ -153,7 +153,7 @@
 }
 
 // Guards against malformed items that other writers stored under the keys of permits.
-func TestItemsThatAreNoPermits(t *testing.T) {
+func TestMalformedPermits(t *testing.T) {
 	is := is.New(t)
 	tr := newTracker(1)
 	good := item(own(0), 3)
@@ -169,12 +169,12 @@
 
 // Guards against waiting to send a request until after its caller has disconnected, and
 // against refusing one that can be sent soon.
-func TestTurn(t *testing.T) {
+func TestExpectedStart(t *testing.T) {
 	latest := WaitDeadline(start, start.Add(3*time.Second))
 	for _, c := range []struct {
 		name         string
 		availability Availability
-		turn         time.Duration
+		after        time.Duration
 		waits        bool
 	}{
 		{"now", Availability{At: start.Add(-time.Minute), Rate: 2}, 0, true},
@@ -184,9 +184,9 @@
 		{"not known", Availability{}, maxClaimTime, true},
 		{"late", Availability{At: start.Add(2 * time.Second), Rate: 1}, 2 * time.Second, false},
 	} {
-		turn := c.availability.ExpectedStart(start)
-		if turn != start.Add(c.turn) || turn.After(latest) == c.waits {
-			t.Errorf("%s: turn %v, latest %v", c.name, turn.Sub(start), latest.Sub(start))
+		expected := c.availability.ExpectedStart(start)
+		if expected != start.Add(c.after) || expected.After(latest) == c.waits {
+			t.Errorf("%s: expected start %v, latest %v", c.name, expected.Sub(start), latest.Sub(start))
 		}
 	}
 }
--- a/gateway/admitter.go
+++ b/gateway/admitter.go
@@ -104,8 +104,8 @@
 	a.locked(func(p *admission.Pool, now time.Time) {
 		a.next++
 		id = strconv.FormatUint(a.next, 36)
-		turn := make(chan admission.Decision, 1)
-		a.waiting[id], ready = turn, turn
+		decision := make(chan admission.Decision, 1)
+		a.waiting[id], ready = decision, decision
 		if refusal = p.Enqueue(c.admissionRequest(id), now); refusal != nil {
 			delete(a.waiting, id)
 		}
@@ -117,12 +117,12 @@
 func (c *call) admissionRequest(id string) admission.Request {
 	return admission.Request{
 		ID: id, Workspace: c.workspaceName(), Cost: int64(c.cost()), Objective: c.route.Objective,
-		Patience: c.firstEventPatience(), Retry: c.returning,
+		CallerTimeout: c.firstEventTimeout(), Retry: c.returning,
 	}
 }
 
-// firstEventPatience returns how long the caller waits for the first part of its answer.
-func (c *call) firstEventPatience() time.Duration {
+// firstEventTimeout returns how long the caller waits for the first part of its answer.
+func (c *call) firstEventTimeout() time.Duration {
 	left := c.deadline.Sub(c.arrived)
 	if c.route.StreamIdleTimeout > 0 {
 		return min(c.route.StreamIdleTimeout, left)
--- a/gateway/limits_test.go
+++ b/gateway/limits_test.go
@@ -25,7 +25,7 @@
 		free := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 		r := newRig(t, routeOf(kind), limited, free)
 		for range 40 {
-			_, got := r.ask()
+			_, got := r.send()
 			r.Equal(got.Status, 200)
 		}
 		r.Equal(len(limited.Seen()), 1)
@@ -36,7 +36,7 @@
 func TestAllTargetsLimited(t *testing.T) {
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Limited("0.5", "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), s)
-	_, got := r.ask()
+	_, got := r.send()
 	r.Equal(got.Status, 200)
 	c := r.call()
 	c.Timeout = time.Second
@@ -47,7 +47,7 @@
 }
 
 // Guards against holding callers whose expected wait is long, and against refusing others.
-func TestOnlyNearTurnsAreWaitedFor(t *testing.T) {
+func TestOnlyShortWaitsAreHeld(t *testing.T) {
 	is := is.New(t)
 	g := &gateway{fleet: newFleet("front-1", "z1", slog.New(slog.DiscardHandler))}
 	g.fleet.update(&mirror.Snapshot{Targets: map[string]deployment.Target{"t0": {ID: "t0", Service: "pool", Slots: 1}}})
@@ -57,8 +57,8 @@
 	g.fleet.mu.Lock()
 	g.fleet.pause(g.fleet.targetStates["t0"], "r1", time.Second, now)
 	g.fleet.mu.Unlock()
-	for patience, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
-		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(patience)}}
+	for timeout, near := range map[time.Duration]bool{time.Second: false, 20 * time.Second: true} {
+		c := &call{gateway: g, request: request{service: "pool", route: &deployment.Route{}, arrived: now, deadline: now.Add(timeout)}}
 		is.Equal(c.shouldWait(0), near)
 		is.Equal(c.retryAfter > 0, !near)
 	}
--- a/gateway/log_test.go
+++ b/gateway/log_test.go
@@ -146,7 +146,7 @@
 }
 
 // Guards against a request history that lacks the reason why a stream was moved.
-func TestStoryOfAMovedStream(t *testing.T) {
+func TestHistoryOfAMovedStream(t *testing.T) {
 	is := is.New(t)
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Stream), s)
@@ -155,7 +155,7 @@
 	at, ok := r.gateway.fleet.table.Lookup("t0")
 	is.True(ok)
 	r.gateway.fleet.mu.Lock()
-	st := &activeStream{activeAttempt: activeAttempt{index: at, target: r.gateway.fleet.targetStates["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, heardAt: now.Add(-time.Second), end: func(error) {}}
+	st := &activeStream{activeAttempt: activeAttempt{index: at, target: r.gateway.fleet.targetStates["t0"]}, id: "r1", service: "pool", begun: true, mayMove: true, lastEventAt: now.Add(-time.Second), end: func(error) {}}
 	r.gateway.fleet.streams.open[st] = struct{}{}
 	r.gateway.fleet.streams.groups[groupKey{service: "pool"}] = now
 	r.gateway.fleet.watchSilence(now)
@@ -168,13 +168,13 @@
 }
 
 // Guards against log lines without the age of the load report by which a target was picked.
-func TestLineNamesTheAgeOfTheLoad(t *testing.T) {
+func TestLogLineHasTheAgeOfTheLoad(t *testing.T) {
 	is := is.New(t)
 	s := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Safe), s)
 	read := r.logged()
 	r.gateway.digest(&rankpeer.Digest{Targets: []string{"t0"}, Running: []uint16{1}, Queued: []uint16{0}, Pace: []uint16{10}}, time.Now().Add(-700*time.Millisecond))
-	c, _ := r.ask()
+	c, _ := r.send()
 	for _, l := range logreader.RequestTrace(c.ID, read()) {
 		if l.Message != "request" {
 			continue
--- a/gateway/pending_test.go
+++ b/gateway/pending_test.go
@@ -37,7 +37,7 @@
 // warm sends requests until the gateway knows how long answers take.
 func (r *rig) warm() {
 	for range 40 {
-		r.ask()
+		r.send()
 	}
 }
 
@@ -73,13 +73,13 @@
 	r, first, second := newHangingRig(t, deployment.Safe, timeout)
 	failed := r.traffic()
 	for range 40 {
-		_, got := r.ask()
+		_, got := r.send()
 		r.Equal(got.Status, http.StatusOK)
 	}
 	// It is suspected by now, and gets at most an occasional probe.
 	before, all := len(first.Seen()), len(second.Seen())
 	for range 40 {
-		r.ask()
+		r.send()
 	}
 	r.True(len(first.Seen())-before <= (len(second.Seen())-all)/10)
 	time.Sleep(timeout)
@@ -91,13 +91,13 @@
 func TestBookingStaysWithAServerThatAnswersNothing(t *testing.T) {
 	r, first, second := newHangingRig(t, deployment.Unsafe, 500*time.Millisecond)
 	r.traffic()
-	asked, lost := 60, 0
-	for range asked {
-		if _, got := r.ask(); got.Status != http.StatusOK {
+	sent, lost := 60, 0
+	for range sent {
+		if _, got := r.send(); got.Status != http.StatusOK {
 			lost++
 		}
 	}
-	r.True(lost <= asked/10)
+	r.True(lost <= sent/10)
 	runs := map[string]int{}
 	for _, s := range []*scripted.Server{first, second} {
 		for _, seen := range s.Seen() {
--- a/gateway/suspicions_test.go
+++ b/gateway/suspicions_test.go
@@ -32,7 +32,7 @@
 // Guards against each gateway detecting a fault on its own: when two others suspect a target,
 // this one sends no more requests there. One suspicion is not enough, nor is one of an earlier
 // incarnation of the target.
-func TestDoubtsOfOthersAreHeeded(t *testing.T) {
+func TestSuspicionsOfOthersCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var store recordingStore
@@ -40,7 +40,7 @@
 		sharers := []*suspicionExchange{newSuspicionExchange("front-1", &store, slog.New(slog.DiscardHandler)), newSuspicionExchange("front-2", &store, slog.New(slog.DiscardHandler))}
 		for _, d := range sharers {
 			go d.run(ctx)
-			d.share(suspicion{Target: "t0", Born: 7, Cause: causeUnanswered})
+			d.share(suspicion{Target: "t0", StartedAt: 7, Cause: causeUnanswered})
 			time.Sleep(shareInterval)
 		}
 		stop()
@@ -57,29 +57,29 @@
 }
 
 // Guards against requests to a target that others report as failing.
-func TestDoubtedTargetGetsNothingNew(t *testing.T) {
+func TestSuspectedTargetGetsNothingNew(t *testing.T) {
 	first := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	second := scripted.Serve(t, func(x *scripted.Exchange) { x.Respond(200, "ok") })
 	r := newRig(t, routeOf(deployment.Unsafe), first, second)
 	now := time.Now()
-	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", Born: 99}, "front-1", now)
-	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", Born: 99}, "front-2", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", StartedAt: 99}, "front-1", now)
+	r.gateway.fleet.addSuspicion(suspicion{Target: "t0", StartedAt: 99}, "front-2", now)
 	r.gateway.fleet.addSuspicion(suspicion{Target: "t0"}, "front-1", now)
 	for range 30 {
-		r.ask()
+		r.send()
 	}
 	r.True(len(first.Seen()) > 0)
 	r.gateway.fleet.addSuspicion(suspicion{Target: "t0"}, "front-2", now)
 	before := len(first.Seen())
 	for range 30 {
-		r.ask()
+		r.send()
 	}
 	r.Equal(len(first.Seen()), before)
 }
 
 // Guards against a server that fails requests which others serve, and reports that it is healthy:
 // each request that may run only once and is sent there is lost.
-func TestFailingServerIsDoubted(t *testing.T) {
+func TestFailingServerIsSuspected(t *testing.T) {
 	var fail atomic.Bool
 	bad := scripted.Serve(t, func(x *scripted.Exchange) {
 		if fail.Load() {
@@ -94,7 +94,7 @@
 	fail.Store(true)
 	lost := 0
 	for range 60 {
-		if _, got := r.ask(); got.Status != 200 {
+		if _, got := r.send(); got.Status != 200 {
 			lost++
 		}
 	}
