--- a/core/request/admission/admission_test.go
+++ b/core/request/admission/admission_test.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"encoding/json"
 	"math/rand/v2"
 	"strconv"
 	"testing"
@@ -211,3 +212,11 @@
 	is.Equal(len(p.Groups(start)), 1)
 	is.Equal(p.Load().Running, 2)
 }
+
+// Guards against a renamed field that changes the keys of the log line.
+func TestGroupLoadKeepsItsKeys(t *testing.T) {
+	is := is.New(t)
+	line, err := json.Marshal(GroupLoad{Group: "g0", Running: 6, Limit: 6, Available: true})
+	is.NoErr(err)
+	is.Equal(string(line), `{"Group":"g0","Running":6,"Limit":6,"Works":true}`)
+}
--- a/core/request/admission/dispatch.go
+++ b/core/request/admission/dispatch.go
@@ -99,7 +99,8 @@
 	// Running is how many requests of this entry run there, Limit how many may.
 	Running, Limit int
 	// Available is false while the group refuses, is stalled or has lost a rank.
-	Available bool
+	// The log knows it as Works.
+	Available bool `json:"Works"`
 }
 
 // Groups returns the state of each group, sorted by name.
