--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,5 +1,6 @@
-// Package proof holds the proofs under failure: tests that start the programs
-// as separate processes, break something, and judge by the stand-ins' ledgers.
+// Package proof contains the fault-injection tests. They start the programs as
+// separate processes, inject faults and verify the outcome against the ledgers of
+// the stand-ins.
 //
 // # Usage
 //
